--- a/source/core-keeper/duties/dutyVoter.ts
+++ b/source/core-keeper/duties/dutyVoter.ts
@@ -2,43 +2,46 @@
 import { KeeperStates } from '../ledger/keeperState';
 import type { KeeperCore } from '../register/keeperCore';
 
+/** A candidate's request to be granted, or to renew, the lease of a duty under `term`. */
 export type Ballot = Readonly<{ duty: string; candidate: string; term: number; leaseMicroseconds: number }>;
+/** The vote of one replica, with the highest term and the holder that it knows for this duty. */
 export type BallotAnswer = Readonly<{
   duty: string;
   granted: boolean;
   term: number;
   holder: string;
   waitMicroseconds: number;
-  /** A term that any duty not known here must go above. */
+  /** A duty that this replica does not list needs a term above this one. */
   floor: number;
 }>;
 
-/** A candidate with an older list of members learns the present one with its next reading of the core. */
-const outdatedMicroseconds = 200_000;
+/** Retry delay for a candidate with an outdated member list: it gets the current list when it next reads from the control nodes. */
+const outdatedMembersRetryMicroseconds = 200_000;
 
 type Lease = Readonly<{ holder: string; term: number; untilMicroseconds: number }>;
 
-const mostLeaseMicroseconds = 10_000_000;
-const mostDuties = 4096;
+/** Upper limit of a granted lease; a longer request is shortened to it. */
+const maxLeaseMicroseconds = 10_000_000;
+const maxRequestsPerMessage = 4096;
 
-/** Starting values, ours: a duty that nobody asked for so long is forgotten, and how often that is looked at. */
-const forgetMicroseconds = 600_000_000;
-const forgetLookMicroseconds = 60_000_000;
-/** Starting value, ours: agents that were not heard for longer were out of touch, and say nothing of what they hold. */
-const quietMicroseconds = 10_000_000;
+/** A duty that nobody requests for this time is removed from the state. */
+const retentionMicroseconds = 600_000_000;
+const pruneIntervalMicroseconds = 60_000_000;
+/** After a longer gap without requests this replica counts as cut off from the agents, so missing requests prove nothing. */
+const contactGapMicroseconds = 10_000_000;
 
 /**
- * One keeper's vote on duties: at most one holder a duty while a lease it gave runs. Why by the steady time: a boot clock
- * that leaps forward must not let a lease go while its holder still has it.
+ * One replica's votes on leases: it grants each duty to at most one holder until the granted lease expires. Expiry uses the steady
+ * clock because a boot clock that jumps forward would end a lease that its holder still uses.
  */
 export class DutyVoter {
   private readonly leases = new Map<string, Lease>();
-  /** When each duty was last asked for, since this keeper is in touch with agents. */
-  private readonly asked = new Map<string, number>();
+  /** Time of the last request for each duty during the current period of contact with agents. */
+  private readonly requestedAt = new Map<string, number>();
   private votesFromMicroseconds: number;
-  private inTouchSince = -Infinity;
-  private lastHeard = -Infinity;
-  private lookedAt = -Infinity;
+  private contactSince = -Infinity;
+  private lastContact = -Infinity;
+  private lastPruned = -Infinity;
 
   public constructor(
     private readonly core: KeeperCore,
@@ -47,11 +50,12 @@
     this.votesFromMicroseconds = clock.steadyMicroseconds();
   }
 
-  /** Why wait: a keeper that restarted, or joined anew, has forgotten which leases it gave. */
+  /** Delays new grants by one lease term: a replica that restarted or rejoined does not know which leases it granted before. */
   public waitOneLease(leaseMicroseconds: number): void {
     this.votesFromMicroseconds = this.clock.steadyMicroseconds() + leaseMicroseconds;
   }
 
+  /** The granted leases by duty, with the time left of each. */
   public holders(): Readonly<Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>> {
     const now = this.clock.steadyMicroseconds();
     return Object.fromEntries(
@@ -63,98 +67,100 @@
   }
 
   /**
-   * Votes under the list of members that the candidate goes by. One that goes by an older list than this voter is refused:
-   * a majority of that list may have nobody in common with one of the present list, and both would grant the same duty.
+   * Votes on a batch of lease requests. A candidate that uses an older member list than this replica is refused: a majority of the old
+   * list and a majority of the current list may be disjoint, and both could grant the same duty.
    */
-  public async vote(ballots: readonly Ballot[], membersRevision: number): Promise<readonly BallotAnswer[]> {
-    const counted = ballots.slice(0, mostDuties);
-    this.heard(counted);
-    if (membersRevision < this.core.members().revision) return counted.map((ballot) => this.outdated(ballot));
-    const answers = await Promise.all(counted.map((ballot) => this.voteOne(ballot)));
-    // Why not waited for: agents wait for the votes, and nothing hangs on when this reaches the disk.
-    void this.forget();
+  public async vote(requests: readonly Ballot[], membersRevision: number): Promise<readonly BallotAnswer[]> {
+    const counted = requests.slice(0, maxRequestsPerMessage);
+    this.recordRequests(counted);
+    if (membersRevision < this.core.members().revision) return counted.map((request) => this.refuseOutdated(request));
+    const answers = await Promise.all(counted.map((request) => this.voteOne(request)));
+    // Pruning is not awaited: agents wait for the votes, and correctness does not depend on when it reaches the disk.
+    void this.prune();
     return answers;
   }
 
-  /** A candidate that missed its majority gives its votes back; it never acted under that term. */
-  public withdraw(ballots: readonly Pick<Ballot, 'duty' | 'candidate' | 'term'>[]): void {
-    for (const { duty, candidate, term } of ballots) {
+  /** Releases the votes of a candidate that did not reach a majority; it never acted under that term. */
+  public withdraw(requests: readonly Pick<Ballot, 'duty' | 'candidate' | 'term'>[]): void {
+    for (const { duty, candidate, term } of requests) {
       const lease = this.leases.get(duty);
       if (lease?.holder === candidate && lease.term === term) this.leases.delete(duty);
     }
   }
 
-  private heard(ballots: readonly Ballot[]): void {
+  /** Records the requests, and starts a new period of contact after a gap. */
+  private recordRequests(requests: readonly Ballot[]): void {
     const now = this.clock.steadyMicroseconds();
-    if (now - this.lastHeard > quietMicroseconds) {
-      this.inTouchSince = now;
-      this.asked.clear();
+    if (now - this.lastContact > contactGapMicroseconds) {
+      this.contactSince = now;
+      this.requestedAt.clear();
     }
-    this.lastHeard = now;
-    for (const { duty } of ballots) this.asked.set(duty, now);
+    this.lastContact = now;
+    for (const { duty } of requests) this.requestedAt.set(duty, now);
   }
 
   /**
-   * Duties of what is gone for long are forgotten, their highest term is not: each keeper alone, since each only promises for
-   * itself. Why by the time it was in touch: after a cut a duty may well be held by the votes of others.
+   * Removes duties that nobody has requested for a long time, but keeps their highest term as the floor. Each replica does this on its
+   * own, since its promises bind only itself. Only time in contact with agents counts: during a network partition a duty may be held by
+   * the votes of other replicas.
    */
-  private async forget(): Promise<void> {
+  private async prune(): Promise<void> {
     const now = this.clock.steadyMicroseconds();
-    if (now - this.lookedAt < forgetLookMicroseconds || !this.core.votes()) return;
-    this.lookedAt = now;
+    if (now - this.lastPruned < pruneIntervalMicroseconds || !this.core.votes()) return;
+    this.lastPruned = now;
     const duties = Object.keys(this.core.ledger.pending.duties).filter(
       (duty) =>
-        now - (this.asked.get(duty) ?? this.inTouchSince) >= forgetMicroseconds &&
+        now - (this.requestedAt.get(duty) ?? this.contactSince) >= retentionMicroseconds &&
         (this.leases.get(duty)?.untilMicroseconds ?? -Infinity) <= now,
     );
-    for (const duty of this.asked.keys()) if (duties.includes(duty)) this.asked.delete(duty);
+    for (const duty of this.requestedAt.keys()) if (duties.includes(duty)) this.requestedAt.delete(duty);
     for (const duty of duties) this.leases.delete(duty);
-    // Why the outcome does not matter: as long as it is not on the disk the duties are known as before.
+    // The result is ignored: if the write fails, the duties simply remain in the state.
     if (duties.length > 0) await this.core.ledger.write([{ kind: 'dutiesForgotten', duties }]);
   }
 
-  private outdated({ duty }: Ballot): BallotAnswer {
+  private refuseOutdated({ duty }: Ballot): BallotAnswer {
     const { term, holder } = KeeperStates.duty(this.core.ledger.pending, duty);
     const floor = this.core.ledger.pending.dutyFloor;
-    return { duty, granted: false, term, holder, waitMicroseconds: outdatedMicroseconds, floor };
+    return { duty, granted: false, term, holder, waitMicroseconds: outdatedMembersRetryMicroseconds, floor };
   }
 
-  private async voteOne(ballot: Ballot): Promise<BallotAnswer> {
+  private async voteOne(request: Ballot): Promise<BallotAnswer> {
     const now = this.clock.steadyMicroseconds();
-    const stored = KeeperStates.duty(this.core.ledger.pending, ballot.duty);
+    const stored = KeeperStates.duty(this.core.ledger.pending, request.duty);
     const floor = this.core.ledger.pending.dutyFloor;
-    const no = (waitMicroseconds: number): BallotAnswer => ({
-      duty: ballot.duty,
+    const refuse = (waitMicroseconds: number): BallotAnswer => ({
+      duty: request.duty,
       granted: false,
       term: stored.term,
       holder: stored.holder,
       waitMicroseconds,
       floor,
     });
-    if (!this.core.votes()) return no(1_000_000);
-    const leaseMicroseconds = Math.min(ballot.leaseMicroseconds, mostLeaseMicroseconds);
-    const renewal = stored.holder !== '' && ballot.term === stored.term && ballot.candidate === stored.holder;
-    // Why a renewal is fine while waiting: it asks for nothing that another could hold.
-    if (now < this.votesFromMicroseconds && !renewal) return no(this.votesFromMicroseconds - now);
-    const lease = this.leases.get(ballot.duty);
-    if (lease !== undefined && lease.holder !== ballot.candidate && lease.untilMicroseconds > now)
-      return no(lease.untilMicroseconds - now);
+    if (!this.core.votes()) return refuse(1_000_000);
+    const leaseMicroseconds = Math.min(request.leaseMicroseconds, maxLeaseMicroseconds);
+    const renewal = stored.holder !== '' && request.term === stored.term && request.candidate === stored.holder;
+    // A renewal is granted during the delay: no other candidate can hold the same term.
+    if (now < this.votesFromMicroseconds && !renewal) return refuse(this.votesFromMicroseconds - now);
+    const lease = this.leases.get(request.duty);
+    if (lease !== undefined && lease.holder !== request.candidate && lease.untilMicroseconds > now)
+      return refuse(lease.untilMicroseconds - now);
     if (!renewal) {
-      if (ballot.term <= stored.term) return no(0);
+      if (request.term <= stored.term) return refuse(0);
       const written = await this.core.ledger.write([
-        { kind: 'dutyGranted', duty: ballot.duty, term: ballot.term, holder: ballot.candidate },
+        { kind: 'dutyGranted', duty: request.duty, term: request.term, holder: request.candidate },
       ]);
-      if (written !== 'synced') return no(1_000_000);
-      // Why look again: while the disk wrote, a later ballot may have taken the duty further.
-      const after = this.core.ledger.pending.duties[ballot.duty];
-      if (after?.term !== ballot.term) return no(0);
+      if (written !== 'synced') return refuse(1_000_000);
+      // The term is checked again because a later request may have raised it while the write was under way.
+      const after = this.core.ledger.pending.duties[request.duty];
+      if (after?.term !== request.term) return refuse(0);
     }
-    this.leases.set(ballot.duty, {
-      holder: ballot.candidate,
-      term: ballot.term,
+    this.leases.set(request.duty, {
+      holder: request.candidate,
+      term: request.term,
       untilMicroseconds: this.clock.steadyMicroseconds() + leaseMicroseconds,
     });
-    const { duty, term, candidate } = ballot;
+    const { duty, term, candidate } = request;
     return { duty, granted: true, term, holder: candidate, waitMicroseconds: 0, floor };
   }
 }
--- a/source/core-keeper/ledger/keeperState.ts
+++ b/source/core-keeper/ledger/keeperState.ts
@@ -3,41 +3,50 @@
 import { OutcomeHistories, type EarlierChange } from '../register/outcomeHistory';
 
 /**
- * empty: no file. forming: said yes to one new fleet. joining: lost its disk or is new, must not vote.
- * voting: full voice. replaced: never votes again.
+ * Membership status of a replica. `empty`: it has no log. `forming`: it voted to found one fleet. `joining`: it is new or lost its disk and
+ * must not vote. `voting`: it is a full member. `replaced`: it was removed and never votes again.
  */
 export type Standing = 'empty' | 'forming' | 'joining' | 'voting' | 'replaced';
 
+/** Consensus state for one key: the highest promised epoch and the last accepted value. */
 export type Cell = Readonly<{ promised: Epoch; accepted: Accepted | null }>;
+/** The highest term granted for a duty, and its holder. */
 export type DutyTerm = Readonly<{ term: number; holder: string }>;
+/** The members that founded the fleet, by name. */
 export type FirstMembers = Readonly<Record<string, CoreMember>>;
 
+/** The durable state of one replica. */
 export type KeeperState = Readonly<{
   standing: Standing;
   fleet: string;
   incarnation: number;
+  /** The highest known incarnation of each other replica. */
   known: Incarnations;
   firstMembers: FirstMembers;
   cells: Readonly<Partial<Record<DocumentKey, Cell>>>;
   /**
-   * A list of members that this replica heard of and could not accept any more, since it had promised a higher epoch. It acts by
-   * this list, but never counts among those that accepted it. Null: none.
+   * A newer member list that this replica received but could not accept, because it had already promised a higher epoch. It acts by this
+   * list, but does not count among the replicas that accepted it. Null if there is none.
    */
   learnedMembers: Accepted | null;
   duties: Readonly<Record<string, DutyTerm>>;
-  /** The highest term of any duty that was forgotten: a duty that is not listed counts as having had this one. */
+  /** The highest term of any removed duty. A duty that is not listed is treated as having had this term. */
   dutyFloor: number;
   /**
-   * The seeds that were told when the whole system started for the first time; empty where this disk was not there then, or
-   * was lost since. Only these seeds may found a fleet, whatever seeds are told later.
+   * The configured seeds at the first start of the whole system; empty if this disk was not part of it or was lost since. Only these
+   * seeds may found a fleet, whatever seeds are configured later.
    */
   firstSeeds: readonly string[];
 }>;
 
-/** What may be missing: a replica of an earlier build forgot no duty, and learned no list without accepting it. */
+/**
+ * The part of a replica's state that it sends to a joining replica. Earlier versions omit the optional fields: they never removed a duty and
+ * had no learned list.
+ */
 export type KeeperFrame = Pick<KeeperState, 'firstMembers' | 'cells' | 'duties' | 'known'> &
   Partial<Pick<KeeperState, 'dutyFloor' | 'learnedMembers'>>;
 
+/** A durable state change, as written to the write-ahead log. */
 export type KeeperEvent =
   | Readonly<{ kind: 'firstStarted'; seeds: readonly string[] }>
   | Readonly<{ kind: 'forming'; fleet: string; members: FirstMembers }>
@@ -53,29 +62,30 @@
   | Readonly<{ kind: 'dutiesForgotten'; duties: readonly string[] }>
   | Readonly<{ kind: 'whole'; state: KeeperState }>;
 
-/** An entry as it may stand in a file or a snapshot; builds before this one kept whole digests of the last 128 changes. */
+/** An entry as read from the log or a snapshot. Earlier versions stored full digests of the last 128 changes. */
 type StoredEntry = Entry | (Omit<Entry, 'outcomes'> & Readonly<{ changes: readonly EarlierChange[] }>);
 
-const presentEntry = (stored: StoredEntry): Entry => {
+const upgradeEntry = (stored: StoredEntry): Entry => {
   if ('outcomes' in stored) return stored;
   const { changes, ...entry } = stored;
   return { ...entry, outcomes: OutcomeHistories.ofEarlierBuild(changes) };
 };
 
-const presentAccepted = (accepted: Accepted | null): Accepted | null =>
-  accepted === null ? null : { epoch: accepted.epoch, entry: presentEntry(accepted.entry) };
+const upgradeAccepted = (accepted: Accepted | null): Accepted | null =>
+  accepted === null ? null : { epoch: accepted.epoch, entry: upgradeEntry(accepted.entry) };
 
-const presentCells = (cells: KeeperState['cells']): KeeperState['cells'] => {
-  const present: Partial<Record<DocumentKey, Cell>> = {};
+const upgradeAcceptorStates = (cells: KeeperState['cells']): KeeperState['cells'] => {
+  const upgradedStates: Partial<Record<DocumentKey, Cell>> = {};
   for (const [key, cell] of Object.entries(cells) as readonly (readonly [DocumentKey, Cell])[])
-    present[key] = { promised: cell.promised, accepted: presentAccepted(cell.accepted) };
-  return present;
+    upgradedStates[key] = { promised: cell.promised, accepted: upgradeAccepted(cell.accepted) };
+  return upgradedStates;
 };
 
-const emptyCell: Cell = { promised: Epochs.none, accepted: null };
+const emptyAcceptorState: Cell = { promised: Epochs.none, accepted: null };
 
-const higher = (left: Epoch, right: Epoch): Epoch => (Epochs.compare(left, right) >= 0 ? left : right);
+const higherEpoch = (left: Epoch, right: Epoch): Epoch => (Epochs.compare(left, right) >= 0 ? left : right);
 
+/** Whether `left` is newer than `right`, by epoch and then by revision. */
 const outranks = (left: Accepted, right: Accepted | null): boolean => {
   if (right === null) return true;
   const order = Epochs.compare(left.epoch, right.epoch);
@@ -85,12 +95,12 @@
 const newest = (left: Accepted | null, right: Accepted | null): Accepted | null =>
   right !== null && outranks(right, left) ? right : left;
 
-const joinCells = (left: KeeperState['cells'], right: KeeperState['cells']): KeeperState['cells'] => {
+const mergeAcceptorStates = (left: KeeperState['cells'], right: KeeperState['cells']): KeeperState['cells'] => {
   const joined: Partial<Record<DocumentKey, Cell>> = { ...left };
   for (const [key, cell] of Object.entries(right) as readonly (readonly [DocumentKey, Cell])[]) {
-    const own = joined[key] ?? emptyCell;
+    const own = joined[key] ?? emptyAcceptorState;
     joined[key] = {
-      promised: higher(own.promised, cell.promised),
+      promised: higherEpoch(own.promised, cell.promised),
       accepted: newest(own.accepted, cell.accepted),
     };
   }
@@ -100,10 +110,10 @@
 type Duties = Pick<KeeperState, 'duties' | 'dutyFloor'>;
 
 /**
- * For each duty the higher of the two terms. Why those below the floor go: the other keeper may have forgotten a higher term
- * of that very duty, and its floor is all that it still says of it.
+ * Keeps the higher of the two terms for each duty. Terms below the merged floor are dropped because the other replica may have removed a
+ * higher term of the same duty, of which only its floor remains.
  */
-const joinDuties = (left: Duties, right: Duties): Duties => {
+const mergeDuties = (left: Duties, right: Duties): Duties => {
   const dutyFloor = Math.max(left.dutyFloor, right.dutyFloor);
   const joined: Record<string, DutyTerm> = { ...left.duties };
   for (const [duty, term] of Object.entries(right.duties))
@@ -111,14 +121,16 @@
   return { dutyFloor, duties: Object.fromEntries(Object.entries(joined).filter(([, { term }]) => term >= dutyFloor)) };
 };
 
-const joinKnown = (left: Incarnations, right: Incarnations): Incarnations => {
+const mergeIncarnations = (left: Incarnations, right: Incarnations): Incarnations => {
   const joined: Record<string, number> = { ...left };
   for (const [keeper, incarnation] of Object.entries(right))
     joined[keeper] = Math.max(joined[keeper] ?? 0, incarnation);
   return joined;
 };
 
+/** Reads and changes of the durable state, as pure functions. */
 export const KeeperStates = {
+  /** The state of a replica without a log. */
   start: {
     standing: 'empty',
     fleet: '',
@@ -131,17 +143,17 @@
     dutyFloor: 0,
     firstSeeds: [],
   } as KeeperState,
-  cell: (state: KeeperState, key: DocumentKey): Cell => state.cells[key] ?? emptyCell,
+  cell: (state: KeeperState, key: DocumentKey): Cell => state.cells[key] ?? emptyAcceptorState,
   outranks,
 
-  /** The newest list of members that this replica accepted or learned of; null: the first one stands. */
+  /** The newest member list that this replica accepted or learned; null while the founding members are current. */
   members: (state: KeeperState): Accepted | null =>
     newest(KeeperStates.cell(state, 'core-members').accepted, state.learnedMembers),
 
-  /** The term below which a keeper never votes for this duty, and who had it; nobody: it was never granted, or forgotten. */
+  /** The highest term of a duty, which a new grant must exceed, and its holder; the holder is empty if it was never granted or was removed. */
   duty: ({ duties, dutyFloor }: KeeperState, duty: string): DutyTerm => duties[duty] ?? { term: dutyFloor, holder: '' },
 
-  /** The one function for every change of a keeper's durable state. */
+  /** Applies an event to the durable state; every change goes through this function. */
   reduce: (state: KeeperState, event: KeeperEvent): KeeperState => {
     switch (event.kind) {
       case 'firstStarted':
@@ -156,10 +168,10 @@
         return event.frames.reduce<KeeperState>(
           (joined, frame) => ({
             ...joined,
-            cells: joinCells(joined.cells, presentCells(frame.cells)),
-            ...joinDuties(joined, { duties: frame.duties, dutyFloor: frame.dutyFloor ?? 0 }),
-            known: joinKnown(joined.known, frame.known),
-            learnedMembers: newest(joined.learnedMembers, presentAccepted(frame.learnedMembers ?? null)),
+            cells: mergeAcceptorStates(joined.cells, upgradeAcceptorStates(frame.cells)),
+            ...mergeDuties(joined, { duties: frame.duties, dutyFloor: frame.dutyFloor ?? 0 }),
+            known: mergeIncarnations(joined.known, frame.known),
+            learnedMembers: newest(joined.learnedMembers, upgradeAccepted(frame.learnedMembers ?? null)),
             firstMembers: Object.keys(joined.firstMembers).length > 0 ? joined.firstMembers : frame.firstMembers,
           }),
           { ...state, standing: 'voting' },
@@ -167,12 +179,12 @@
       case 'replaced':
         return { ...state, standing: 'replaced' };
       case 'knew':
-        return { ...state, known: joinKnown(state.known, { [event.keeper]: event.incarnation }) };
+        return { ...state, known: mergeIncarnations(state.known, { [event.keeper]: event.incarnation }) };
       case 'promised': {
         const cell = KeeperStates.cell(state, event.key);
         return {
           ...state,
-          cells: { ...state.cells, [event.key]: { ...cell, promised: higher(cell.promised, event.epoch) } },
+          cells: { ...state.cells, [event.key]: { ...cell, promised: higherEpoch(cell.promised, event.epoch) } },
         };
       }
       case 'accepted': {
@@ -182,8 +194,8 @@
           cells: {
             ...state.cells,
             [event.key]: {
-              promised: higher(cell.promised, event.epoch),
-              accepted: { epoch: event.epoch, entry: presentEntry(event.entry) },
+              promised: higherEpoch(cell.promised, event.epoch),
+              accepted: { epoch: event.epoch, entry: upgradeEntry(event.entry) },
             },
           },
         };
@@ -191,7 +203,7 @@
       case 'membersLearned':
         return {
           ...state,
-          learnedMembers: newest(state.learnedMembers, { epoch: event.epoch, entry: presentEntry(event.entry) }),
+          learnedMembers: newest(state.learnedMembers, { epoch: event.epoch, entry: upgradeEntry(event.entry) }),
         };
       case 'dutyGranted':
         return { ...state, duties: { ...state.duties, [event.duty]: { term: event.term, holder: event.holder } } };
@@ -202,12 +214,12 @@
           dutyFloor: Math.max(state.dutyFloor, ...event.duties.map((duty) => state.duties[duty]?.term ?? 0)),
         };
       case 'whole':
-        // Why over the start: a frame of an earlier build lacks what came later.
+        // The initial state supplies the fields that a snapshot of an earlier version lacks.
         return {
           ...KeeperStates.start,
           ...event.state,
-          cells: presentCells(event.state.cells),
-          learnedMembers: presentAccepted(event.state.learnedMembers ?? null),
+          cells: upgradeAcceptorStates(event.state.cells),
+          learnedMembers: upgradeAccepted(event.state.learnedMembers ?? null),
         };
     }
   },
--- a/source/core-keeper/ledger/ledger.ts
+++ b/source/core-keeper/ledger/ledger.ts
@@ -6,33 +6,40 @@
 import { LogRecords } from './logSchema';
 import { Records } from './records';
 
-/** unreadable: a record is whole, but of a kind or form that this build does not know, counted from 0. */
+/**
+ * `fresh`: the log holds no events. `corrupt`: the file is damaged at offset `at`. `unreadable`: the record with this index, counted
+ * from 0, is complete, but this version does not know its kind or form.
+ */
 export type LedgerOpened =
   | Readonly<{ kind: 'opened'; fresh: boolean }>
   | Readonly<{ kind: 'corrupt'; at: number }>
   | Readonly<{ kind: 'unreadable'; record: number }>;
+/** `full`: refused because the disk is full; later writes may succeed. `lost`: this log takes no more writes. */
 export type Written = 'synced' | 'full' | 'lost';
 
-type Waiting = Readonly<{
+type QueuedWrite = Readonly<{
   events: readonly KeeperEvent[];
-  settle: (written: Written) => void;
+  complete: (written: Written) => void;
   sinceMicroseconds: number;
 }>;
 
 const fileName = 'keeper.ledger';
 
-/** The keeper's one file. `pending` decides what may be promised next, `synced` is all that anybody is told. */
+/**
+ * The write-ahead log of one replica, a single file. `pending` includes writes under way and decides what may be promised next;
+ * `synced` is the state on disk, and only that is shown to others.
+ */
 export class Ledger {
   public readonly news = new Emittery<{ synced: readonly KeeperEvent[]; broken: string }>();
   private file: DiskFile | undefined;
   private length = 0;
-  private frameLength = 0;
-  private rewritten = 0;
-  private waiting: Waiting[] = [];
+  private snapshotLength = 0;
+  private snapshotCount = 0;
+  private queue: QueuedWrite[] = [];
   private writingSince: number | undefined;
   private broken = false;
-  private draining: Promise<void> = Promise.resolve();
-  private toldFull = false;
+  private drained: Promise<void> = Promise.resolve();
+  private reportedFull = false;
   private syncedState: KeeperState = KeeperStates.start;
   private pendingState: KeeperState = KeeperStates.start;
 
@@ -51,23 +58,25 @@
     return this.pendingState;
   }
 
-  /** How long the file is, and how often it was rewritten as one snapshot since the process started. */
+  /** The size of the file and of its last snapshot, and the number of snapshots written since the process started. */
   public get size(): Readonly<{ bytes: number; snapshotBytes: number; snapshots: number }> {
-    return { bytes: this.length, snapshotBytes: this.frameLength, snapshots: this.rewritten };
+    return { bytes: this.length, snapshotBytes: this.snapshotLength, snapshots: this.snapshotCount };
   }
 
-  /** How long the oldest unanswered write has waited; a stalled disk shows here. */
+  /** The age of the oldest unfinished write; it grows while the disk is stalled. */
   public stalledMicroseconds(): number {
-    const oldest = Math.min(this.writingSince ?? Infinity, this.waiting[0]?.sinceMicroseconds ?? Infinity);
+    const oldest = Math.min(this.writingSince ?? Infinity, this.queue[0]?.sinceMicroseconds ?? Infinity);
     return oldest === Infinity ? 0 : this.clock.nowMicroseconds() - oldest;
   }
 
+  /** Reads the log, rebuilds the state and cuts off an incomplete record at the end. */
   public async open(): Promise<LedgerOpened> {
     const bytes = await this.disk.read(fileName);
     const read = Records.read(bytes ?? new Uint8Array());
     if (read.kind === 'corrupt') return read;
     const bodies = read.bodies.filter((body) => LogRecords.are(body));
-    // Why not left out: a later build may have promised or accepted something there, and to forget it breaks what it said.
+    // Unknown records are not skipped: a later version may have recorded a promise or an accepted value there, and dropping it would break
+    // that promise.
     if (bodies.length < read.bodies.length)
       return { kind: 'unreadable', record: read.bodies.findIndex((body) => !LogRecords.are(body)) };
     const events = bodies.flat();
@@ -76,46 +85,46 @@
     this.file = await this.disk.open(fileName);
     this.length = read.length;
     if (bytes !== undefined && read.length < bytes.length) {
-      this.log(`A torn tail of ${bytes.length - read.length} bytes is cut.`);
+      this.log(`truncated an incomplete record of ${bytes.length - read.length} bytes at the end of the log`);
       await this.file.truncate(read.length);
       await this.file.sync();
     }
     return { kind: 'opened', fresh: events.length === 0 };
   }
 
-  /** Answers once the events are on the disk for good, or certainly are not. */
+  /** Resolves when the events are durable, or will certainly never be. */
   public write(events: readonly KeeperEvent[]): Promise<Written> {
     if (this.broken || this.file === undefined) return Promise.resolve('lost');
     this.pendingState = events.reduce(KeeperStates.reduce, this.pendingState);
     return new Promise((resolve) => {
-      this.waiting.push({ events, settle: resolve, sinceMicroseconds: this.clock.nowMicroseconds() });
-      if (this.writingSince === undefined) this.draining = this.drain();
+      this.queue.push({ events, complete: resolve, sinceMicroseconds: this.clock.nowMicroseconds() });
+      if (this.writingSince === undefined) this.drained = this.drain();
     });
   }
 
-  /** Takes no more; what is being written is on the disk, or certainly lost, before the file is closed. */
+  /** Takes no more writes, waits for the write under way, and closes the file. */
   public async close(): Promise<void> {
     this.broken = true;
-    // Why wait: a sync of a file closed under it looks like a disk that failed.
-    await this.draining;
-    for (const { settle } of this.waiting.splice(0)) settle('lost');
+    // Closing the file during a sync would look like a disk failure.
+    await this.drained;
+    for (const { complete } of this.queue.splice(0)) complete('lost');
     await this.file?.close();
   }
 
   private async drain(): Promise<void> {
-    while (this.waiting.length > 0 && !this.broken) {
-      const batch = this.waiting;
-      this.waiting = [];
+    while (this.queue.length > 0 && !this.broken) {
+      const batch = this.queue;
+      this.queue = [];
       this.writingSince = this.clock.nowMicroseconds();
       const written = await this.writeBatch(batch.flatMap(({ events }) => events));
       this.writingSince = undefined;
       if (written !== 'synced') {
-        // Why drop the later ones too: they were decided on a state that never came to be.
-        const later = this.waiting;
-        this.waiting = [];
+        // Later writes are dropped too: they were decided on a pending state that was never written.
+        const later = this.queue;
+        this.queue = [];
         this.pendingState = this.syncedState;
-        for (const { settle } of [...batch, ...later]) settle(written);
-      } else for (const { settle } of batch) settle('synced');
+        for (const { complete } of [...batch, ...later]) complete(written);
+      } else for (const { complete } of batch) complete('synced');
     }
   }
 
@@ -131,56 +140,59 @@
     try {
       await file.sync();
     } catch (error) {
-      // Why end: after a failed sync nobody knows what is on the disk; a later sync may lie.
-      return this.breakDown(`A sync failed: ${DiskFaults.of(error).text}.`);
+      // The log stops after a failed sync: the content of the disk is unknown, and a later sync may report success wrongly.
+      return this.fail(`log sync failed: ${DiskFaults.of(error).text}`);
     }
-    if (this.toldFull) this.log('The disk takes writes again.');
-    this.toldFull = false;
+    if (this.reportedFull) this.log('the disk accepts writes again');
+    this.reportedFull = false;
     this.length += record.length;
     this.syncedState = events.reduce(KeeperStates.reduce, this.syncedState);
     void this.news.emit('synced', events);
-    await this.rewriteWhenLong();
+    await this.compactWhenLong();
     return 'synced';
   }
 
   private async appendFailed(file: DiskFile, error: unknown): Promise<Written> {
     const fault = DiskFaults.of(error);
-    if (fault.kind !== 'full') return this.breakDown(`A write failed: ${fault.text}.`);
+    if (fault.kind !== 'full') return this.fail(`log write failed: ${fault.text}`);
     try {
       await file.truncate(this.length);
       await file.sync();
-    } catch (second) {
-      return this.breakDown(`A full disk could not be tidied: ${DiskFaults.of(second).text}.`);
+    } catch (cleanupError) {
+      return this.fail(
+        `could not remove an incomplete record after the disk filled up: ${DiskFaults.of(cleanupError).text}`,
+      );
     }
-    // Why once: each writing tries again, and a line for each says nothing new.
-    if (!this.toldFull) this.log('The disk is full. Changes are refused.');
-    this.toldFull = true;
+    // Logged once per period: every write tries again and would repeat the line.
+    if (!this.reportedFull) this.log('the disk is full; refusing changes');
+    this.reportedFull = true;
     return 'full';
   }
 
-  private breakDown(text: string): Written {
+  private fail(reason: string): Written {
     this.broken = true;
-    this.log(text);
-    void this.news.emit('broken', text);
+    this.log(reason);
+    void this.news.emit('broken', reason);
     return 'lost';
   }
 
-  private async rewriteWhenLong(): Promise<void> {
-    if (this.length < this.rewriteBytes || this.length < this.frameLength * 4) return;
+  /** Replaces a long log by one snapshot. The factor 4 keeps the log from being rewritten often when the snapshot itself is large. */
+  private async compactWhenLong(): Promise<void> {
+    if (this.length < this.rewriteBytes || this.length < this.snapshotLength * 4) return;
     const record = Records.make([{ kind: 'whole', state: this.syncedState } satisfies KeeperEvent]);
     try {
       await this.disk.replace(fileName, record);
     } catch (error) {
-      // Why go on: the old file is whole as long as the rename has not happened.
+      // A full disk is no failure here: the previous file stays complete until the rename.
       if (DiskFaults.of(error).kind === 'full') return;
-      this.breakDown(`A rewrite failed: ${DiskFaults.of(error).text}.`);
+      this.fail(`writing a log snapshot failed: ${DiskFaults.of(error).text}`);
       return;
     }
-    const old = this.file;
+    const oldFile = this.file;
     this.file = await this.disk.open(fileName);
-    await old?.close();
+    await oldFile?.close();
     this.length = record.length;
-    this.frameLength = record.length;
-    this.rewritten += 1;
+    this.snapshotLength = record.length;
+    this.snapshotCount += 1;
   }
 }
--- a/source/core-keeper/ledger/logSchema.ts
+++ b/source/core-keeper/ledger/logSchema.ts
@@ -1,10 +1,10 @@
-/** What may stand in the log: one schema a record, also as earlier builds wrote it. What a later build wrote does not fit. */
+/** Schemas of the events in the write-ahead log, including the forms that earlier versions wrote. Records of later versions do not match. */
 import { Type, type TProperties, type TSchema } from '@sinclair/typebox';
 import { Schema } from '../../shared/schema/schema';
 import { Count, Entry, Epoch, Incarnations, Key, Members, Name, Names, StoredEntry } from '../messages/parts';
 import type { KeeperEvent } from './keeperState';
 
-const record = (kind: KeeperEvent['kind'], fields: TProperties): TSchema =>
+const eventSchema = (kind: KeeperEvent['kind'], fields: TProperties): TSchema =>
   Type.Object({ kind: Type.Literal(kind), ...fields });
 
 const StoredAccepted = Type.Union([Type.Object({ epoch: Epoch, entry: StoredEntry }), Type.Null()]);
@@ -23,34 +23,36 @@
   dutyFloor: Type.Optional(Count),
   learnedMembers: Type.Optional(StoredAccepted),
 };
-const states = (['empty', 'forming', 'joining', 'voting', 'replaced'] as const).map((each) => Type.Literal(each));
+const statusLiterals = (['empty', 'forming', 'joining', 'voting', 'replaced'] as const).map((status) =>
+  Type.Literal(status),
+);
 const State = Type.Object({
   ...snapshot,
-  standing: Type.Union(states),
+  standing: Type.Union(statusLiterals),
   fleet: Name,
   incarnation: Count,
   firstSeeds: Type.Optional(Names),
 });
 
-const records: Readonly<Record<KeeperEvent['kind'], TSchema>> = {
-  firstStarted: record('firstStarted', { seeds: Names }),
-  forming: record('forming', { fleet: Name, members: Members }),
-  formed: record('formed', {}),
-  joining: record('joining', { fleet: Name, incarnation: Count }),
-  joined: record('joined', { frames: Type.Array(Type.Object(snapshot)) }),
-  replaced: record('replaced', {}),
-  knew: record('knew', { keeper: Name, incarnation: Count }),
-  promised: record('promised', { key: Key, epoch: Epoch }),
-  accepted: record('accepted', { key: Key, epoch: Epoch, entry: StoredEntry }),
-  membersLearned: record('membersLearned', { epoch: Epoch, entry: Entry }),
-  dutyGranted: record('dutyGranted', { duty: Name, term: Count, holder: Name }),
-  dutiesForgotten: record('dutiesForgotten', { duties: Type.Array(Name) }),
-  whole: record('whole', { state: State }),
+const eventSchemas: Readonly<Record<KeeperEvent['kind'], TSchema>> = {
+  firstStarted: eventSchema('firstStarted', { seeds: Names }),
+  forming: eventSchema('forming', { fleet: Name, members: Members }),
+  formed: eventSchema('formed', {}),
+  joining: eventSchema('joining', { fleet: Name, incarnation: Count }),
+  joined: eventSchema('joined', { frames: Type.Array(Type.Object(snapshot)) }),
+  replaced: eventSchema('replaced', {}),
+  knew: eventSchema('knew', { keeper: Name, incarnation: Count }),
+  promised: eventSchema('promised', { key: Key, epoch: Epoch }),
+  accepted: eventSchema('accepted', { key: Key, epoch: Epoch, entry: StoredEntry }),
+  membersLearned: eventSchema('membersLearned', { epoch: Epoch, entry: Entry }),
+  dutyGranted: eventSchema('dutyGranted', { duty: Name, term: Count, holder: Name }),
+  dutiesForgotten: eventSchema('dutiesForgotten', { duties: Type.Array(Name) }),
+  whole: eventSchema('whole', { state: State }),
 };
 
-const batch = new Schema(Type.Array(Type.Union(Object.values(records))));
+const batch = new Schema(Type.Array(Type.Union(Object.values(eventSchemas))));
 
 export const LogRecords = {
-  /** One record of the log: the events that were synced together. */
+  /** Whether a decoded record is a batch of known events, which were synced together. */
   are: (body: unknown): body is readonly KeeperEvent[] => batch.is(body),
 } as const;
--- a/source/core-keeper/ledger/records.ts
+++ b/source/core-keeper/ledger/records.ts
@@ -2,40 +2,43 @@
 import { pack, unpack } from 'msgpackr';
 
 /**
- * One record: length, checksum of the length, checksum of the body, body. One sync writes one record,
- * so that what a power cut may tear is never more than the last one.
+ * The file format of the write-ahead log. A record is the body's length, the CRC-32 of the length, the CRC-32 of the body, and the body.
+ * Each sync covers one record, so a power failure can leave at most the last record incomplete.
  */
-const headBytes = 12;
-const mostBytes = 64 * 1024 * 1024;
+const headerBytes = 12;
+const maxBodyBytes = 64 * 1024 * 1024;
 
+/** `corrupt`: a synced record at offset `at` is damaged. An incomplete record at the end is left out of `length`, which counts bytes. */
 export type RecordsRead =
   Readonly<{ kind: 'sound'; bodies: readonly unknown[]; length: number }> | Readonly<{ kind: 'corrupt'; at: number }>;
 
+/** The complete, undamaged record at an offset. */
 const recordAt = (bytes: Buffer, at: number): Readonly<{ body: Buffer; end: number }> | undefined => {
-  if (at + headBytes > bytes.length) return undefined;
+  if (at + headerBytes > bytes.length) return undefined;
   const length = bytes.readUInt32BE(at);
-  if (length === 0 || length > mostBytes || crc32(bytes.subarray(at, at + 4)) !== bytes.readUInt32BE(at + 4))
+  if (length === 0 || length > maxBodyBytes || crc32(bytes.subarray(at, at + 4)) !== bytes.readUInt32BE(at + 4))
     return undefined;
-  const end = at + headBytes + length;
+  const end = at + headerBytes + length;
   if (end > bytes.length) return undefined;
-  const body = bytes.subarray(at + headBytes, end);
+  const body = bytes.subarray(at + headerBytes, end);
   return crc32(body) === bytes.readUInt32BE(at + 8) ? { body, end } : undefined;
 };
 
-const headAt = (bytes: Buffer, at: number): boolean => {
+/** Whether an undamaged record header stands at an offset. */
+const hasHeaderAt = (bytes: Buffer, at: number): boolean => {
   if (at + 8 > bytes.length) return false;
   const length = bytes.readUInt32BE(at);
-  return length > 0 && length <= mostBytes && crc32(bytes.subarray(at, at + 4)) === bytes.readUInt32BE(at + 4);
+  return length > 0 && length <= maxBodyBytes && crc32(bytes.subarray(at, at + 4)) === bytes.readUInt32BE(at + 4);
 };
 
 export const Records = {
   make: (value: unknown): Buffer => {
     const body = pack(value);
-    const head = Buffer.alloc(headBytes);
-    head.writeUInt32BE(body.length, 0);
-    head.writeUInt32BE(crc32(head.subarray(0, 4)), 4);
-    head.writeUInt32BE(crc32(body), 8);
-    return Buffer.concat([head, body]);
+    const header = Buffer.alloc(headerBytes);
+    header.writeUInt32BE(body.length, 0);
+    header.writeUInt32BE(crc32(header.subarray(0, 4)), 4);
+    header.writeUInt32BE(crc32(body), 8);
+    return Buffer.concat([header, body]);
   },
 
   read: (source: Uint8Array): RecordsRead => {
@@ -49,10 +52,11 @@
       at = record.end;
     }
     if (at === bytes.length) return { kind: 'sound', bodies, length: at };
-    // Why: a whole record whose body alone is wrong, with more behind it, was synced once and has rotted.
-    if (headAt(bytes, at) && at + headBytes + bytes.readUInt32BE(at) < bytes.length) return { kind: 'corrupt', at };
-    // Why look ahead: a good record behind a bad place means the bad place is no torn tail.
-    for (let ahead = at + 1; ahead + headBytes <= bytes.length; ahead += 1)
+    // A complete record with a valid header, a damaged body and more data after it was synced before and has been damaged since.
+    if (hasHeaderAt(bytes, at) && at + headerBytes + bytes.readUInt32BE(at) < bytes.length)
+      return { kind: 'corrupt', at };
+    // A valid record after the damaged place shows that this is not an incomplete write at the end of the file.
+    for (let ahead = at + 1; ahead + headerBytes <= bytes.length; ahead += 1)
       if (recordAt(bytes, ahead) !== undefined) return { kind: 'corrupt', at };
     return { kind: 'sound', bodies, length: at };
   },
--- a/source/core-keeper/standing/founding.ts
+++ b/source/core-keeper/standing/founding.ts
@@ -1,7 +1,3 @@
-/**
- * Founding a fleet. Each seed says yes to one fleet, on its disk; any two majorities of the seeds share one, so two fleets cannot both be
- * founded, as long as a disk that was lost says yes no more.
- */
 import type { CoreMember } from '../../shared/blueprint/types';
 import type { Random } from '../../shared/effects/random/random';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
@@ -13,19 +9,24 @@
 
 type Hello = AnswerOf<'hello'>;
 
+/** Settings of the bootstrap. `founders`: the number of seeds that found the fleet. */
 export type FoundingSettings = Readonly<{
   seeds: readonly string[];
   member: CoreMember;
   askMicroseconds: number;
   founders: number;
-  /** After so long a majority of the seeds founds without the others; only where `joins` is asks, which brings them in. */
+  /** After this delay a majority of the seeds founds the fleet without the others; only if `joins` is `asks`, which adds them later. */
   foundingPatienceMicroseconds: number;
-  /** named: it takes a place only if its settings name whom it replaces. asks: it asks the members to take it in. */
+  /** `named`: a replica joins only as the replacement of the member that its settings name. `asks`: it asks the members to add it. */
   joins: 'named' | 'asks';
 }>;
 
+/**
+ * Bootstraps a new fleet. Each seed votes for one fleet and stores that vote on its disk. Any two majorities of the seeds overlap, so two
+ * fleets cannot both be founded, provided that a seed which lost its disk does not vote again.
+ */
 export class Founding {
-  /** Since when a majority of the seeds, but not all of them, could found the fleet. */
+  /** The time since which a majority of the seeds, but not all of them, could found the fleet. */
   private majoritySince: number | undefined;
 
   public constructor(
@@ -34,38 +35,38 @@
     private readonly random: Random,
     private readonly settings: FoundingSettings,
     private readonly log: Log,
-    private readonly ownHello: () => Hello,
+    private readonly describeSelf: () => Hello,
   ) {}
 
-  /** Said by the one who founds. Each founder says yes to one fleet only, on disk. */
-  public async form({ fleet: wanted, members }: Ask<'form'>): Promise<Message> {
-    // Why what is pending: a yes that is being written counts, or two founders that ask at one moment would both hear it.
+  /** Answers a founder's request: this replica votes for one fleet only and stores its vote before it answers. */
+  public async form({ fleet: requestedFleet, members }: Ask<'form'>): Promise<Message> {
+    // The pending state is checked because a vote under way counts: otherwise two concurrent founders could both receive a vote.
     const { standing, fleet } = this.core.ledger.pending;
-    const isRepeated = standing === 'forming' && fleet === wanted;
+    const isRepeated = standing === 'forming' && fleet === requestedFleet;
     if (standing !== 'empty' && !isRepeated) return { kind: 'noVote' };
     if (isRepeated && this.core.state.standing === 'forming') return { kind: 'formingToo' };
-    const written = await this.core.ledger.write([{ kind: 'forming', fleet: wanted, members }]);
+    const written = await this.core.ledger.write([{ kind: 'forming', fleet: requestedFleet, members }]);
     return written === 'synced' ? { kind: 'formingToo' } : { kind: 'noVote' };
   }
 
-  /** Founding a fleet: all seeds together, or after some patience a majority of them that were there from the first start. */
+  /** Founds the fleet with all seeds, or after a delay with a majority of them that took part in the first start. */
   public async found(hellos: readonly Hello[]): Promise<void> {
-    // A replica that was added later must not make up the number of the founders.
+    // A replica that was added later does not count as a founder.
     const seeds = this.foundingSeeds();
     if (!seeds.includes(this.settings.member.address)) return;
     const founders = hellos.filter(({ member }) => seeds.includes(member.address));
-    const all = [this.ownHello(), ...founders];
-    if (!this.mayFound(all)) return;
-    const begun = all.filter(({ standing }) => standing === 'forming');
-    const fleets = new Set(begun.map(({ fleet }) => fleet));
+    const all = [this.describeSelf(), ...founders];
+    if (!this.canFound(all)) return;
+    const forming = all.filter(({ standing }) => standing === 'forming');
+    const fleets = new Set(forming.map(({ fleet }) => fleet));
     if (fleets.size > 1) {
-      this.log('The founders said yes to different fleets. An operator must empty their folders.');
+      this.log('the founders voted for different fleets; an operator must empty their data folders');
       return;
     }
     const leader = [...all.map(({ keeper }) => keeper)].sort()[0];
     if (leader !== this.core.name) return;
-    const fleet = begun[0]?.fleet ?? this.random.name();
-    const members = begun[0]?.firstMembers ?? Object.fromEntries(all.map(({ keeper, member }) => [keeper, member]));
+    const fleet = forming[0]?.fleet ?? this.random.name();
+    const members = forming[0]?.firstMembers ?? Object.fromEntries(all.map(({ keeper, member }) => [keeper, member]));
     const own = await this.form({ kind: 'form', fleet, members });
     if (own.kind !== 'formingToo') return;
     const answers = await Promise.all(
@@ -74,29 +75,29 @@
       ),
     );
     if (!answers.every((answer) => answer.kind === 'answered' && answer.message.kind === 'formingToo')) return;
-    // Only now: all these founders have it on disk, so no other majority of the seeds can found another fleet.
-    if ((await this.core.ledger.write([{ kind: 'formed' }])) === 'synced') this.log(`A new fleet ${fleet} is founded.`);
+    // The fleet is founded only now: all these founders have stored their votes, so no other majority of the seeds can found another fleet.
+    if ((await this.core.ledger.write([{ kind: 'formed' }])) === 'synced') this.log(`founded the new fleet ${fleet}`);
   }
 
-  /** The seeds of the first start. Those told later may all be replicas that stand by for a fleet that is out of reach. */
+  /** The seeds of the first start. Seeds configured later may all be standby replicas of a fleet that is unreachable. */
   public foundingSeeds(): readonly string[] {
     const { firstSeeds } = this.core.state;
     return firstSeeds.length > 0 ? firstSeeds : this.settings.seeds;
   }
 
   /**
-   * Each seed says yes to one fleet, on its disk. Any two majorities of the seeds share one, so two fleets cannot both be
-   * founded, as long as a disk that was lost says yes no more: a disk without the mark of the first start does not count.
+   * Whether these seeds suffice to found a fleet. A majority suffices only if each of its disks records the first start: a seed that lost
+   * its disk may have forgotten a vote, so it does not count.
    */
-  private mayFound(all: readonly Hello[]): boolean {
+  private canFound(hellos: readonly Hello[]): boolean {
     const { founders, joins, foundingPatienceMicroseconds } = this.settings;
-    const names = new Set(all.map(({ keeper }) => keeper));
-    if (names.size !== all.length) return false;
-    if (!all.every(({ standing }) => standing === 'empty' || standing === 'forming')) return false;
+    const names = new Set(hellos.map(({ keeper }) => keeper));
+    if (names.size !== hellos.length) return false;
+    if (!hellos.every(({ standing }) => standing === 'empty' || standing === 'forming')) return false;
     const isOfFirstStart = ({ standing, isFirstStart }: Hello): boolean => standing === 'forming' || isFirstStart;
-    // Empty disks that nobody told of a first start belong to a fleet that stands elsewhere.
-    if (names.size === founders) return all.some(isOfFirstStart);
-    if (joins !== 'asks' || names.size < Stamps.majority(founders) || !all.every(isOfFirstStart)) return false;
+    // If all disks are empty and none records a first start, the fleet exists elsewhere.
+    if (names.size === founders) return hellos.some(isOfFirstStart);
+    if (joins !== 'asks' || names.size < Stamps.majority(founders) || !hellos.every(isOfFirstStart)) return false;
     const now = this.core.clock.nowMicroseconds();
     this.majoritySince ??= now;
     return now - this.majoritySince >= foundingPatienceMicroseconds;
--- a/source/core-keeper/standing/leaderWatch.ts
+++ b/source/core-keeper/standing/leaderWatch.ts
@@ -1,8 +1,3 @@
-/**
- * Whom a replica takes for the leader of each key. A leader is known by its heartbeats and by the rounds it asks this replica to
- * accept, whichever came last; one that says nothing for the whole silence, or no longer names the key, is none. A promise
- * given to a candidate counts for as long: an election under way is left to end before another one begins.
- */
 import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Epochs, type Epoch } from '../../shared/register/types';
@@ -12,58 +7,64 @@
   leader: string;
   epoch: Epoch;
   atMicroseconds: number;
-  /** What it last announced as decided; undefined before its first heartbeat. */
+  /** The last heartbeat's statement on this key; undefined before the first heartbeat. */
   announced: OwnerWord | undefined;
 }>;
 
+/** A leader and its last statement on the key, if a heartbeat has arrived. */
 export type KnownLeader = Readonly<{ leader: string; announced: OwnerWord | undefined }>;
 
+/**
+ * Tracks the leader of each key as this replica sees it. Heartbeats and accept requests identify a leader. It is dropped when it is silent for
+ * the timeout or when its heartbeat no longer lists the key. A promise to a candidate blocks others for the same time, so that an election
+ * under way can finish before another one starts.
+ */
 export class LeaderWatch {
   private readonly contacts = new Map<DocumentKey, Contact>();
   private readonly promises = new Map<DocumentKey, Readonly<{ candidate: string; atMicroseconds: number }>>();
 
   public constructor(
     private readonly clock: Clock,
-    private readonly silenceMicroseconds: number,
+    private readonly timeoutMicroseconds: number,
   ) {}
 
-  /** All that a node says it leads. Gives the statements that are not older than what was known. */
-  public heartbeat(leader: string, words: readonly OwnerWord[]): readonly OwnerWord[] {
+  /** Processes a heartbeat, which lists all keys that a node leads. Returns the statements that are not outdated. */
+  public heartbeat(leader: string, statements: readonly OwnerWord[]): readonly OwnerWord[] {
     for (const key of DocumentKeys) {
       const contact = this.contacts.get(key);
-      const isGivenUp = contact?.leader === leader && contact.announced !== undefined;
-      if (isGivenUp && !words.some((word) => word.key === key)) this.contacts.delete(key);
+      const hasAnnounced = contact?.leader === leader && contact.announced !== undefined;
+      if (hasAnnounced && !statements.some((statement) => statement.key === key)) this.contacts.delete(key);
     }
-    return words.filter((word) => this.hear(word.key, leader, word.epoch, word));
+    return statements.filter((statement) => this.recordContact(statement.key, leader, statement.epoch, statement));
   }
 
-  /** A leader asked this replica to accept under its epoch, which names it. */
+  /** Records an accept request; its epoch names the leader. */
   public accepted(key: DocumentKey, epoch: Epoch): void {
-    this.hear(key, epoch.keeper, epoch, undefined);
+    this.recordContact(key, epoch.keeper, epoch, undefined);
   }
 
-  /** This replica promised an epoch to a candidate. */
+  /** Records that this replica promised an epoch to a candidate. */
   public promised(key: DocumentKey, epoch: Epoch): void {
     this.promises.set(key, { candidate: epoch.keeper, atMicroseconds: this.clock.nowMicroseconds() });
   }
 
-  /** A node that stops leads nothing any more. */
+  /** Drops a node that stops as the leader of all its keys. */
   public forget(leader: string): void {
     for (const [key, contact] of this.contacts) if (contact.leader === leader) this.contacts.delete(key);
   }
 
-  /** The leader of a key that was heard within the silence. */
+  /** The leader of a key, if it was in contact within the timeout. */
   public leader(key: DocumentKey): KnownLeader | undefined {
     const contact = this.contacts.get(key);
     return contact !== undefined && this.isRecent(contact.atMicroseconds) ? contact : undefined;
   }
 
-  /** Who led a key when it was last heard, however long ago; empty: nobody yet. */
+  /** The last known leader of a key, however old; empty if there was none. */
   public lastLeader(key: DocumentKey): string {
     return this.contacts.get(key)?.leader ?? '';
   }
 
-  /** Whether a candidate would depose somebody: a leader, or a candidate that was promised a moment ago. */
+  /** Whether an election by this candidate would interrupt a current leader or another candidate with a recent promise. */
   public wouldDepose(key: DocumentKey, candidate: string): boolean {
     const leader = this.leader(key);
     if (leader !== undefined && leader.leader !== candidate) return true;
@@ -71,7 +72,7 @@
     return promise !== undefined && promise.candidate !== candidate && this.isRecent(promise.atMicroseconds);
   }
 
-  private hear(key: DocumentKey, leader: string, epoch: Epoch, announced: OwnerWord | undefined): boolean {
+  private recordContact(key: DocumentKey, leader: string, epoch: Epoch, announced: OwnerWord | undefined): boolean {
     const known = this.contacts.get(key);
     if (known !== undefined && Epochs.compare(known.epoch, epoch) > 0) return false;
     const isSame = known?.leader === leader;
@@ -86,6 +87,6 @@
   }
 
   private isRecent(atMicroseconds: number): boolean {
-    return this.clock.nowMicroseconds() - atMicroseconds <= this.silenceMicroseconds;
+    return this.clock.nowMicroseconds() - atMicroseconds <= this.timeoutMicroseconds;
   }
 }
--- a/source/core-keeper/standing/learnerProgress.ts
+++ b/source/core-keeper/standing/learnerProgress.ts
@@ -1,43 +1,43 @@
-/** When the newcomer of a changed list of members, and the new list as a whole, hold all that was committed. */
 import { DocumentKeys } from '../../shared/blueprint/types';
 import { Epochs, Stamps, type KeyWord, type Stamp } from '../../shared/register/types';
 import type { MemberView } from '../register/keeperCore';
 
-/** What one voting member holds of each key. */
+/** The last accepted value of each key, as one voting member reports it. */
 export type MemberHoldings = Readonly<{ stamp: Stamp; membersRevision: number; words: readonly KeyWord[] }>;
 
-const isBelow = (left: KeyWord, right: KeyWord): boolean => {
+const isOlder = (left: KeyWord, right: KeyWord): boolean => {
   const order = Epochs.compare(left.epoch, right.epoch);
   return order < 0 || (order === 0 && left.revision < right.revision);
 };
 
-/** The newest accepted value of each key stands on a majority of `list`, among members that answered. */
-const isHeldBy = (list: readonly string[], held: readonly MemberHoldings[]): boolean =>
+/** Whether a majority of `list` holds the newest value of each key that the answering members accepted. */
+const isHeldBy = (list: readonly string[], memberReports: readonly MemberHoldings[]): boolean =>
   DocumentKeys.every((key) => {
-    const ofKey = held.flatMap(({ stamp, words }) =>
+    const reports = memberReports.flatMap(({ stamp, words }) =>
       words.filter((word) => word.key === key).map((word) => ({ keeper: stamp.keeper, word })),
     );
-    const newest = ofKey.reduce<KeyWord | undefined>(
-      (best, { word }) => (best === undefined || isBelow(best, word) ? word : best),
+    const newest = reports.reduce<KeyWord | undefined>(
+      (newestSoFar, { word }) => (newestSoFar === undefined || isOlder(newestSoFar, word) ? word : newestSoFar),
       undefined,
     );
-    const holders = ofKey.filter(({ word }) => newest !== undefined && !isBelow(word, newest));
+    const holders = reports.filter(({ word }) => newest !== undefined && !isOlder(word, newest));
     return Stamps.reached(
       [list],
       holders.map(({ keeper }) => keeper),
     );
   });
 
+/** Checks, as pure functions, whether a member list being changed, and its new member, have caught up. */
 export const LearnerProgress = {
-  /** A pure function. The new list stands first in the view; a majority of both lists must have said what it holds. */
-  isNewListReady: (view: MemberView, said: readonly MemberHoldings[]): boolean => {
-    const sound = Stamps.sound(said).filter(({ membersRevision }) => membersRevision >= view.revision);
+  /** Whether the new list, the first in the view, holds every committed value. A majority of both lists must have reported. */
+  isNewListReady: (view: MemberView, memberReports: readonly MemberHoldings[]): boolean => {
+    const sound = Stamps.sound(memberReports).filter(({ membersRevision }) => membersRevision >= view.revision);
     const [next] = view.sets;
     const answering = sound.map(({ stamp }) => stamp.keeper);
     return next !== undefined && Stamps.reached(view.sets, answering) && isHeldBy(next, sound);
   },
 
-  /** The learner votes, and under the changed list. */
-  isLearnerIn: (learner: string, view: MemberView, said: readonly MemberHoldings[]): boolean =>
-    said.some(({ stamp, membersRevision }) => stamp.keeper === learner && membersRevision >= view.revision),
+  /** Whether the new member reports as a voter under the changed list. */
+  isLearnerIn: (learner: string, view: MemberView, memberReports: readonly MemberHoldings[]): boolean =>
+    memberReports.some(({ stamp, membersRevision }) => stamp.keeper === learner && membersRevision >= view.revision),
 } as const;
--- a/source/core-keeper/standing/memberChanges.ts
+++ b/source/core-keeper/standing/memberChanges.ts
@@ -1,7 +1,3 @@
-/**
- * Changes of the list of members, as one member carries them out: who gets a place, when a changed list stands alone, and
- * how a member that stops for good hands its place over before it goes.
- */
 import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Answer, Message, Transport } from '../../shared/effects/transport/transport';
@@ -14,18 +10,19 @@
 import { MemberPlans, type MemberHealth } from './memberPlan';
 import type { MemberWatch } from './memberWatch';
 
+/** Settings of member changes. */
 export type MemberChangeSettings = Readonly<{
-  /** named: members change by name only. asks: a replica without a place asks for one. */
+  /** `named`: a replica joins only by naming the member that it replaces. `asks`: a replica that is no member asks to be added. */
   joins: 'named' | 'asks';
   membersWanted: number;
   askMicroseconds: number;
-  /** How long a changed list waits for its learner before it stands alone without it. */
+  /** How long a changed list waits for its learner to catch up before it takes effect without it. */
   learnerMicroseconds: number;
-  /** How long a member that stops goes on voting for its successor to catch up. */
+  /** How long a member that stops keeps voting while its successor catches up. */
   handOverMicroseconds: number;
 }>;
 
-/** What a change of members asks of the register. */
+/** The operations of the replicated register that member changes use. */
 export type MemberRegister = Readonly<{
   leadership: () => Ownership;
   words: () => readonly KeyWord[];
@@ -36,23 +33,30 @@
 }>;
 
 type Members = Readonly<Record<string, CoreMember>>;
-/** hasSuccessor: somebody waits for the place of a member that leaves. free: nobody does, and all others answered. */
+/**
+ * The answers to a member's announcement that it leaves. `hasSuccessor`: a standby replica can replace it. `free`: none can, and all other
+ * members answered. `unsure`: some did not answer.
+ */
 type LeaveAnswer = 'hasSuccessor' | 'free' | 'unsure';
-type ListChange = Readonly<{ gone: string; id: string }>;
+type MemberListChange = Readonly<{ gone: string; id: string }>;
 
-/** A replica that asked for a place so recently stands by; it asks two or three times a second. */
-const standbyMicroseconds = 2_000_000;
-/** For so long a member that said it stops may lose its place to one that stands by. */
-const leavingMicroseconds = 6_000_000;
-const handOverLookMicroseconds = 100_000;
+/** A replica counts as standby for this time after its last request to join; it sends two or three requests a second. */
+const standbyTimeoutMicroseconds = 2_000_000;
+/** For this time after a member announces that it leaves, a standby replica may replace it. */
+const leavingTimeoutMicroseconds = 6_000_000;
+const handOverPollMicroseconds = 100_000;
 
 const refusal: Message = { kind: 'noVote' };
 
+/**
+ * Changes of the member list, as one member performs them: it decides which replica joins and when a changed list takes effect, and hands
+ * over its place before it stops for good.
+ */
 export class MemberChanges {
   private isChanging = false;
   private readonly standbys = new Map<string, number>();
   private readonly leaving = new Map<string, number>();
-  private waitingFor: Readonly<{ revision: number; sinceMicroseconds: number }> | undefined;
+  private pendingChange: Readonly<{ revision: number; sinceMicroseconds: number }> | undefined;
 
   public constructor(
     private readonly core: KeeperCore,
@@ -63,7 +67,7 @@
     private readonly settings: MemberChangeSettings,
   ) {}
 
-  /** A newcomer whose settings name the member that it replaces. */
+  /** Adds a replica whose settings name the member that it replaces. */
   public replace(gone: string, name: string, member: CoreMember): Promise<Message> {
     return this.changeList(name, member, (members) =>
       members[gone] === undefined ? undefined : { gone, id: `replace ${gone} by ${name}` },
@@ -77,69 +81,69 @@
     if (this.isChanging) return refusal;
     this.isChanging = true;
     try {
-      return await this.planPlace(name, member);
+      return await this.planJoin(name, member);
     } finally {
       this.isChanging = false;
     }
   }
 
-  /** A member says that it is about to stop. It is told whether anybody stands by for its place. */
+  /** Records that a member is about to stop, and answers whether a standby replica can replace it. */
   public hearLeaving(name: string): Message {
     this.leaving.set(name, this.clock.nowMicroseconds());
     return { kind: 'heard', hasStandby: this.hasStandby() };
   }
 
   /**
-   * A planned stop: this member votes on until its successor has caught up, since it may hold one of only two copies of what was
-   * accepted last. It ends at once where nobody waits for a place and all other members answer, and at the latest after the limit. Why
-   * it waits for a member that says nothing: that one may hold the other copy, and come back without its disk.
+   * Hands over at a planned stop: this member keeps voting until its successor has caught up, since it may hold one of only two copies of
+   * the last accepted value. It returns at once if there is no standby replica and all other members answer, and at the latest after the
+   * limit. It waits for a silent member because that one may hold the other copy and return without its disk.
    */
-  public async handOver(look: () => Promise<void>): Promise<void> {
+  public async handOver(refresh: () => Promise<void>): Promise<void> {
     if (this.settings.joins !== 'asks') return;
     const until = this.clock.nowMicroseconds() + this.settings.handOverMicroseconds;
-    let heard: LeaveAnswer = 'unsure';
+    let leaveAnswer: LeaveAnswer = 'unsure';
     while (this.core.votes() && this.clock.nowMicroseconds() < until) {
-      if (heard !== 'hasSuccessor') heard = await this.sayLeaving();
-      if (heard === 'free') return;
-      await Clocks.wait(this.clock, handOverLookMicroseconds);
-      await look();
+      if (leaveAnswer !== 'hasSuccessor') leaveAnswer = await this.announceLeaving();
+      if (leaveAnswer === 'free') return;
+      await Clocks.wait(this.clock, handOverPollMicroseconds);
+      await refresh();
     }
   }
 
-  private async sayLeaving(): Promise<LeaveAnswer> {
+  private async announceLeaving(): Promise<LeaveAnswer> {
     this.leaving.set(this.core.name, this.clock.nowMicroseconds());
     const message = { kind: 'memberLeaves', keeper: this.core.name, fleet: this.core.state.fleet };
     const answers = await this.askOthers(message);
-    const heard = answers.flatMap((answer) => Answers.read(answer, 'heard') ?? []);
-    if (this.hasStandby() || heard.some(({ hasStandby }) => hasStandby === true)) return 'hasSuccessor';
-    return heard.length === this.core.others().length ? 'free' : 'unsure';
+    const responses = answers.flatMap((answer) => Answers.read(answer, 'heard') ?? []);
+    if (this.hasStandby() || responses.some(({ hasStandby }) => hasStandby === true)) return 'hasSuccessor';
+    return responses.length === this.core.others().length ? 'free' : 'unsure';
   }
 
-  /** One step of a change that waits for its learner, taken by whoever leads the list of members. */
+  /** Advances a change that waits for its learner; only the leader of the member list does this. */
   public async step(): Promise<void> {
     const { state } = this.register.leadership();
     if (state.kind !== 'owning' || state.entry.base === undefined) {
-      this.waitingFor = undefined;
+      this.pendingChange = undefined;
       return;
     }
     const { revision, learner } = state.entry;
-    if (this.waitingFor?.revision !== revision)
-      this.waitingFor = { revision, sinceMicroseconds: this.clock.nowMicroseconds() };
-    if (learner === undefined || (await this.isReady(learner, this.waitingFor.sinceMicroseconds)))
+    if (this.pendingChange?.revision !== revision)
+      this.pendingChange = { revision, sinceMicroseconds: this.clock.nowMicroseconds() };
+    if (learner === undefined || (await this.isChangeReady(learner, this.pendingChange.sinceMicroseconds)))
       await this.register.leadership().settleMemberChange();
   }
 
-  private async isReady(learner: string, sinceMicroseconds: number): Promise<boolean> {
+  private async isChangeReady(learner: string, sinceMicroseconds: number): Promise<boolean> {
     const view = this.core.members();
-    const said = await this.holdings();
-    if (!LearnerProgress.isNewListReady(view, said)) return false;
+    const reports = await this.collectReports();
+    if (!LearnerProgress.isNewListReady(view, reports)) return false;
     return (
-      LearnerProgress.isLearnerIn(learner, view, said) ||
+      LearnerProgress.isLearnerIn(learner, view, reports) ||
       this.clock.nowMicroseconds() - sinceMicroseconds >= this.settings.learnerMicroseconds
     );
   }
 
-  private async holdings(): Promise<readonly MemberHoldings[]> {
+  private async collectReports(): Promise<readonly MemberHoldings[]> {
     const own: MemberHoldings = {
       stamp: this.core.stamp(),
       membersRevision: this.core.members().revision,
@@ -156,33 +160,33 @@
   }
 
   private hasStandby(): boolean {
-    const since = this.clock.nowMicroseconds() - standbyMicroseconds;
+    const since = this.clock.nowMicroseconds() - standbyTimeoutMicroseconds;
     const { members } = this.core.members();
     return [...this.standbys].some(([name, at]) => at >= since && members[name] === undefined);
   }
 
   private isLeaving(name: string): boolean {
     const at = this.leaving.get(name);
-    return at !== undefined && this.clock.nowMicroseconds() - at <= leavingMicroseconds;
+    return at !== undefined && this.clock.nowMicroseconds() - at <= leavingTimeoutMicroseconds;
   }
 
-  private async planPlace(name: string, member: CoreMember): Promise<Message> {
-    const health = await this.health(name);
-    if (health === undefined) return refusal;
-    // The same machine under a new address keeps its own place.
+  private async planJoin(name: string, member: CoreMember): Promise<Message> {
+    const memberHealth = await this.memberHealth(name);
+    if (memberHealth === undefined) return refusal;
+    // A member that returns under a new address replaces itself.
     if (this.core.members().members[name] !== undefined)
       return this.changeList(name, member, () => ({ gone: name, id: `move ${name} to ${member.address}` }));
-    const planned = MemberPlans.next(health, this.settings.membersWanted);
+    const planned = MemberPlans.next(memberHealth, this.settings.membersWanted);
     if (planned.kind === 'wait') return refusal;
     const gone = planned.kind === 'replace' ? planned.gone : '';
     return this.changeList(name, member, () => ({ gone, id: `take in ${name} for ${gone}` }));
   }
 
-  /** One change of the list: `gone` leaves it, or nobody where it is empty, and the newcomer gets in as a learner. */
+  /** Changes the list once: removes `gone`, unless it is empty, and adds the new member as a learner. */
   private async changeList(
     name: string,
     member: CoreMember,
-    plan: (members: Members) => ListChange | undefined,
+    plan: (members: Members) => MemberListChange | undefined,
   ): Promise<Message> {
     const read = await this.register.read('core-members');
     if (read.kind !== 'read') return refusal;
@@ -202,28 +206,28 @@
     return { kind: 'changed', outcome };
   }
 
-  /** How the members are, by what a majority of them says; undefined while a change of the list is under way. */
-  private async health(newcomer: string): Promise<Readonly<Record<string, MemberHealth>> | undefined> {
+  /** The state of each member, from the reports of the members; undefined while a change of the list is under way. */
+  private async memberHealth(joining: string): Promise<Readonly<Record<string, MemberHealth>> | undefined> {
     const view = this.core.members();
     if (view.sets.length !== 1) return undefined;
     const names = Object.keys(view.members);
-    const answers = await Promise.all(this.core.others().map(([name, { address }]) => this.examine(name, address)));
-    const said = [
+    const answers = await Promise.all(this.core.others().map(([name, { address }]) => this.checkMember(name, address)));
+    const reports = [
       { silent: this.watch.silent() },
       ...answers.flatMap(({ silent }) => (silent === undefined ? [] : [{ silent }])),
     ];
     const healthOf = (name: string): MemberHealth => {
       if (name === this.core.name) return this.isLeaving(name) ? 'leaving' : 'voting';
       const hello = answers.find((answer) => answer.name === name)?.hello;
-      if (hello === undefined) return MemberPlans.isSilent(names, name, said) ? 'silent' : 'doubtful';
+      if (hello === undefined) return MemberPlans.isSilent(names, name, reports) ? 'silent' : 'doubtful';
       if (hello.keeper !== name || hello.fleet !== this.core.state.fleet) return 'doubtful';
-      if (hello.standing !== 'voting') return 'voiceless';
+      if (hello.standing !== 'voting') return 'nonvoting';
       return this.isLeaving(name) ? 'leaving' : 'voting';
     };
-    return Object.fromEntries(names.filter((name) => name !== newcomer).map((name) => [name, healthOf(name)]));
+    return Object.fromEntries(names.filter((name) => name !== joining).map((name) => [name, healthOf(name)]));
   }
 
-  private async examine(
+  private async checkMember(
     name: string,
     address: string,
   ): Promise<Readonly<{ name: string; hello: AnswerOf<'hello'> | undefined; silent: readonly string[] | undefined }>> {
--- a/source/core-keeper/standing/memberPlan.ts
+++ b/source/core-keeper/standing/memberPlan.ts
@@ -1,32 +1,35 @@
 /**
- * What is known of one member: it votes, it votes and is about to stop for good, it is there without a vote, it is silent
- * beyond doubt, or nothing is sure.
+ * What is known of one member. `leaving`: it votes, but is about to stop for good. `nonvoting`: it answers, but does not vote. `silent`: a
+ * majority confirms that it does not answer. `doubtful`: none of these is certain.
  */
-export type MemberHealth = 'voting' | 'leaving' | 'voiceless' | 'silent' | 'doubtful';
+export type MemberHealth = 'voting' | 'leaving' | 'nonvoting' | 'silent' | 'doubtful';
 
+/** How the member list changes when a replica asks to join. */
 export type MemberPlan =
   Readonly<{ kind: 'add' }> | Readonly<{ kind: 'replace'; gone: string }> | Readonly<{ kind: 'wait' }>;
 
-const isSure = (health: MemberHealth | undefined): boolean =>
+const isCertain = (health: MemberHealth | undefined): boolean =>
   health === 'voting' || health === 'leaving' || health === 'silent';
 
+/** Pure functions that plan changes of the member list. */
 export const MemberPlans = {
   /**
-   * What a newcomer does to the list of members. A pure function. One at a time, and only while all others vote: each
-   * newcomer must have read what stands before the next change, or a majority could miss what was accepted.
+   * How the list changes for a replica that asks to join. Members change one at a time, and only while no other member's state is in
+   * doubt: each new member must have read the current state before the next change, or a majority could miss an accepted value.
    */
-  next: (health: Readonly<Record<string, MemberHealth>>, wanted: number): MemberPlan => {
+  next: (health: Readonly<Record<string, MemberHealth>>, wantedCount: number): MemberPlan => {
     const names = Object.keys(health).sort();
-    if (!names.every((name) => isSure(health[name]))) return { kind: 'wait' };
+    if (!names.every((name) => isCertain(health[name]))) return { kind: 'wait' };
     const gone = names.find((name) => health[name] === 'silent') ?? names.find((name) => health[name] === 'leaving');
     if (gone !== undefined) return { kind: 'replace', gone };
-    return names.length < wanted ? { kind: 'add' } : { kind: 'wait' };
+    return names.length < wantedCount ? { kind: 'add' } : { kind: 'wait' };
   },
 
-  /** Beyond doubt: a majority of the members says so, and none that answers says otherwise. */
+  /** Whether a majority of the members reports this member as silent and no report contradicts it. */
   isSilent: (
     members: readonly string[],
     name: string,
-    said: readonly Readonly<{ silent: readonly string[] }>[],
-  ): boolean => said.every(({ silent }) => silent.includes(name)) && said.length >= Math.floor(members.length / 2) + 1,
+    reports: readonly Readonly<{ silent: readonly string[] }>[],
+  ): boolean =>
+    reports.every(({ silent }) => silent.includes(name)) && reports.length >= Math.floor(members.length / 2) + 1,
 } as const;
--- a/source/core-keeper/standing/memberWatch.ts
+++ b/source/core-keeper/standing/memberWatch.ts
@@ -1,27 +1,28 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { KeeperCore } from '../register/keeperCore';
 
-/** When each other member was last heard by this keeper. */
+/** Detects members that are silent, by the time of the last message from each. */
 export class MemberWatch {
-  private readonly heard = new Map<string, number>();
+  private readonly lastContact = new Map<string, number>();
 
   public constructor(
     private readonly core: KeeperCore,
     private readonly clock: Clock,
-    private readonly silentMicroseconds: number,
+    private readonly timeoutMicroseconds: number,
   ) {}
 
+  /** Records a message from a member. */
   public hear(name: string): void {
-    if (this.core.members().members[name] !== undefined) this.heard.set(name, this.clock.nowMicroseconds());
+    if (this.core.members().members[name] !== undefined) this.lastContact.set(name, this.clock.nowMicroseconds());
   }
 
-  /** Members of whom nothing was heard for the whole span, which begins at the earliest when this keeper first looked. */
+  /** Members without a message for the whole timeout. For a member that never sent one, it starts with the first call of this method. */
   public silent(): readonly string[] {
     const now = this.clock.nowMicroseconds();
     return this.core.others().flatMap(([name]) => {
-      const at = this.heard.get(name);
-      if (at === undefined) this.heard.set(name, now);
-      return at !== undefined && now - at > this.silentMicroseconds ? [name] : [];
+      const at = this.lastContact.get(name);
+      if (at === undefined) this.lastContact.set(name, now);
+      return at !== undefined && now - at > this.timeoutMicroseconds ? [name] : [];
     });
   }
 }
--- a/source/core-keeper/standing/standing.ts
+++ b/source/core-keeper/standing/standing.ts
@@ -12,23 +12,24 @@
 import type { KeeperCore, MemberView } from '../register/keeperCore';
 
 /**
- * What a control node says of itself to others: `isFirstStart`, whether it was told that the whole system starts for the first time;
- * `led`, where it knows members to be, if it has no vote itself.
+ * What a replica reports about itself. `isFirstStart`: its settings or its disk record the first start of the whole system. `led`: the
+ * addresses of members that it knows, if it does not vote itself.
  */
 export type Hello = AnswerOf<'hello'>;
 
+/** `replaces`: the name of the member that this replica replaces; empty if there is none. */
 export type StandingSettings = FoundingSettings &
   Readonly<{
     replaces: string;
     isFirstStart: boolean;
-    /** No address here ever belongs to another fleet. */
+    /** No configured address ever belongs to another fleet. */
     isOnlyFleet: boolean;
   }>;
 
-/** How a keeper without a voice gets one: by founding a fleet with all seeds, or by reading frames of a majority. */
+/** Makes this replica a voting member: it founds a fleet with the other seeds, or joins one by copying the state of a majority. */
 export class StandingKeeper {
-  /** The voting keeper that was followed last, while this one has no voice. */
-  private led: Hello | undefined;
+  /** The voting replica that this one last followed while it did not vote. */
+  private followed: Hello | undefined;
   private seeds: readonly string[];
   private readonly founding: Founding;
 
@@ -38,17 +39,18 @@
     random: Random,
     private readonly settings: StandingSettings,
     private readonly log: Log,
-    private readonly joined: () => void,
+    private readonly onJoined: () => void,
   ) {
     this.seeds = settings.seeds;
     this.founding = new Founding(core, transport, random, settings, log, () => this.hello(core.name));
   }
 
-  /** Other first contacts than those that were told at the start. */
+  /** Replaces the configured seeds. */
   public seedsAre(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
+  /** This replica's report about itself, as an answer to `asker`. */
   public hello(asker: string): Hello {
     const { standing, fleet, firstMembers, known } = this.core.state;
     return {
@@ -65,73 +67,73 @@
     };
   }
 
-  /** The fleet that this keeper belongs to or stands by for. */
+  /** The fleet that this replica belongs to or is a standby for; empty if it knows none. */
   public fleet(): string {
-    return this.core.state.fleet === '' ? (this.led?.fleet ?? '') : this.core.state.fleet;
+    return this.core.state.fleet === '' ? (this.followed?.fleet ?? '') : this.core.state.fleet;
   }
 
-  /** Members of the fleet that a keeper without a voice stands by for. */
+  /** Members of the fleet that this replica follows while it does not vote. */
   public ledMembers(): readonly CoreMember[] {
-    return this.core.votes() ? [] : Object.values(this.led?.view?.members ?? {});
+    return this.core.votes() ? [] : Object.values(this.followed?.view?.members ?? {});
   }
 
-  /** One step towards a voice; called again until there is one. */
+  /** One attempt to become a voting member; a voting member only checks whether it was removed. */
   public async step(): Promise<void> {
     const { standing } = this.core.state;
-    if (standing === 'voting') return this.settings.joins === 'asks' ? this.lookForNewerList() : undefined;
+    if (standing === 'voting') return this.settings.joins === 'asks' ? this.checkRemoval() : undefined;
     if (standing === 'replaced' && this.settings.joins !== 'asks') return;
-    const hellos = await this.helloKnown();
+    const hellos = await this.askKnown();
     const voting = this.voterToFollow(hellos);
     if (voting !== undefined) {
-      this.led = voting;
-      return this.followVoting(voting);
+      this.followed = voting;
+      return this.join(voting);
     }
     if (standing === 'empty' || standing === 'forming') await this.founding.found(hellos);
   }
 
-  /** Seeds, and whoever was a member as far as this keeper knows: a seed address may be gone for good. */
+  /** Addresses of the seeds and of all known members, since a seed address may no longer exist. */
   private knownAddresses(): readonly string[] {
     const members = [...Object.values(this.core.members().members), ...this.ledMembers()];
     const addresses = new Set([...this.seeds, ...this.core.state.firstSeeds, ...members.map(({ address }) => address)]);
     return [...addresses].filter((address) => address !== this.settings.member.address);
   }
 
-  /** All seeds and members that this replica knows of, and whoever those that stand by lead to. */
-  private async helloKnown(): Promise<readonly Hello[]> {
+  /** Asks all known seeds and members, and the further members that the standby replicas among them know. */
+  private async askKnown(): Promise<readonly Hello[]> {
     const addresses = this.knownAddresses();
-    const hellos = await this.helloAll(addresses);
+    const hellos = await this.askAll(addresses);
     const further = [...new Set(hellos.flatMap(({ led }) => led))].filter(
       (address) => !addresses.includes(address) && address !== this.settings.member.address,
     );
-    return further.length === 0 ? hellos : [...hellos, ...(await this.helloAll(further))];
+    return further.length === 0 ? hellos : [...hellos, ...(await this.askAll(further))];
   }
 
-  /** Why: nobody tells a member that it was taken out while it was away, since it is on no list any more. */
-  private async lookForNewerList(): Promise<void> {
-    const hellos = await this.helloAll(this.core.others().map(([, member]) => member.address));
+  /** Checks whether this member was removed while it was away. The members do not notify it, since their list no longer contains it. */
+  private async checkRemoval(): Promise<void> {
+    const hellos = await this.askAll(this.core.others().map(([, member]) => member.address));
     const own = this.core.members().revision;
-    const isOut = hellos.some(
+    const isRemoved = hellos.some(
       ({ standing, fleet, view }) =>
         standing === 'voting' &&
         fleet === this.core.state.fleet &&
         view !== null &&
         view.revision > own &&
-        // Why only a list of one set: it is settled, so a majority of the list before has agreed.
+        // Only a list of one set counts: its change is complete, so a majority of the previous list has accepted it.
         view.sets.length === 1 &&
         view.members[this.core.name] === undefined,
     );
-    if (isOut) await this.core.ledger.write([{ kind: 'replaced' }]);
+    if (isRemoved) await this.core.ledger.write([{ kind: 'replaced' }]);
   }
 
-  /** Said by the one who founds. */
+  /** Answers a founder's request for a vote. */
   public form(ask: Ask<'form'>): Promise<Message> {
     return this.founding.form(ask);
   }
 
-  /** Hands out a frame, once the asker's new incarnation is on this disk: its earlier words no longer count. */
+  /** Sends the state to a joining replica, once its new incarnation is on this disk, so that answers of its earlier one no longer count. */
   public async frame({ keeper, incarnation, fleet, membersRevision }: Ask<'frame'>): Promise<Message> {
     if (!this.core.votes() || fleet !== this.core.state.fleet) return { kind: 'noVote' };
-    // Why: under an older list this keeper could still help to decide what the frame then does not hold.
+    // Refused: under an older member list this replica could still accept a value that the transferred state would lack.
     if (this.core.members().revision < membersRevision) return { kind: 'noVote' };
     if ((this.core.state.known[keeper] ?? 0) >= incarnation) return { kind: 'noVote' };
     const written = await this.core.ledger.write([{ kind: 'knew', keeper, incarnation }]);
@@ -141,25 +143,27 @@
     return { kind: 'frame', frame };
   }
 
-  /** The voting keeper with the newest list, of the fleet that this keeper belongs to as far as can be told. */
+  /** The voting replica with the newest member list, in the fleet that this replica belongs to as far as it knows. */
   private voterToFollow(hellos: readonly Hello[]): Hello | undefined {
     const voting = hellos.filter((hello) => hello.standing === 'voting' && hello.view !== null);
     const fleet = this.fleetToFollow(voting);
-    // Why the newest list: a replaced keeper that came back still shows the one it knew.
+    // The newest list is taken because a replaced member that came back still reports its old one.
     return voting
       .filter((hello) => hello.fleet === fleet)
       .reduce<Hello | undefined>(
-        (best, hello) =>
-          best === undefined || (hello.view?.revision ?? 0) > (best.view?.revision ?? 0) ? hello : best,
+        (newestSoFar, hello) =>
+          newestSoFar === undefined || (hello.view?.revision ?? 0) > (newestSoFar.view?.revision ?? 0)
+            ? hello
+            : newestSoFar,
         undefined,
       );
   }
 
   private fleetToFollow(voting: readonly Hello[]): string {
     const { standing, fleet } = this.core.state;
-    if (standing === 'empty') return this.fleetOf(voting);
+    if (standing === 'empty') return this.fleetOfEmptyDisk(voting);
     if (standing !== 'forming') return fleet;
-    // What it once said yes to can no longer be founded, since a majority of the seeds votes in another fleet.
+    // The fleet that this seed voted for can no longer be founded once a majority of the seeds votes in another fleet.
     const seeds = voting.filter(
       (hello) => hello.fleet !== fleet && this.founding.foundingSeeds().includes(hello.member.address),
     );
@@ -168,22 +172,22 @@
     return isFounded && seeds.length >= Stamps.majority(this.settings.founders) ? other.fleet : fleet;
   }
 
-  /** For a keeper without a file. A seed address may by now belong to another fleet, and an empty disk does not know. */
-  private fleetOf(voting: readonly Hello[]): string {
+  /** The fleet to join for a replica without a log. A seed address may now belong to another fleet, which an empty disk cannot tell. */
+  private fleetOfEmptyDisk(voting: readonly Hello[]): string {
     const listing = voting.filter(
       ({ view }) => view?.members[this.core.name]?.address === this.settings.member.address,
     );
     const fleets = new Set(listing.map(({ fleet }) => fleet));
-    // Why first: a fleet that lists this very keeper at this very address is its own.
+    // A fleet that lists this replica at its current address takes precedence.
     if (fleets.size === 1) return listing[0]?.fleet ?? '';
-    // Why one less: its own seed says nothing.
+    // Its own seed address does not count as a vote.
     const others = this.seeds.filter((seed) => seed !== this.settings.member.address).length;
     if (fleets.size > 1) return '';
-    const said = voting.map(({ fleet }) => fleet);
-    return this.settings.isOnlyFleet ? FleetVotes.judgeOnly(said) : FleetVotes.judge(said, others);
+    const fleetVotes = voting.map(({ fleet }) => fleet);
+    return this.settings.isOnlyFleet ? FleetVotes.judgeOnly(fleetVotes) : FleetVotes.judge(fleetVotes, others);
   }
 
-  private async helloAll(addresses: readonly string[]): Promise<readonly Hello[]> {
+  private async askAll(addresses: readonly string[]): Promise<readonly Hello[]> {
     const answers = await Promise.all(
       addresses.map((address) =>
         this.transport.ask(address, { kind: 'hello', asker: this.core.name }, this.settings.askMicroseconds),
@@ -192,24 +196,25 @@
     return answers.flatMap((answer) => Answers.read(answer, 'hello') ?? []);
   }
 
-  private async followVoting(voting: Hello): Promise<void> {
+  private async join(voting: Hello): Promise<void> {
     const { standing } = this.core.state;
     if (standing === 'forming' && voting.fleet === this.core.state.fleet) {
-      // Why no frame: a founder that never voted has promised nothing.
-      if ((await this.core.ledger.write([{ kind: 'formed' }])) === 'synced') this.joined();
+      // No state transfer is needed: a founder that never voted has promised nothing.
+      if ((await this.core.ledger.write([{ kind: 'formed' }])) === 'synced') this.onJoined();
       return;
     }
     const view = voting.view;
     if (view === null) return;
-    const listed = view.members[this.core.name];
-    if (listed === undefined || listed.address !== this.settings.member.address) return this.askForPlace(voting);
+    const listedSelf = view.members[this.core.name];
+    if (listedSelf === undefined || listedSelf.address !== this.settings.member.address)
+      return this.requestMembership(voting);
     const others = Object.entries(view.members).filter(([name]) => name !== this.core.name);
-    const hellos = await this.helloAll(others.map(([, member]) => member.address));
+    const hellos = await this.askAll(others.map(([, member]) => member.address));
     const sound = hellos.filter((hello) => hello.standing === 'voting' && hello.fleet === voting.fleet);
     if (!this.isMajority(view, sound)) return;
     const newer = sound.find((hello) => (hello.view?.revision ?? 0) > view.revision);
-    // Why again: what a majority of an older list holds may not be all.
-    if (newer !== undefined) return this.followVoting(newer);
+    // It starts over with the newer list, since a majority of an older list may lack committed values.
+    if (newer !== undefined) return this.join(newer);
     const incarnation =
       Math.max(this.core.state.incarnation, ...sound.map(({ knownIncarnation }) => knownIncarnation)) + 1;
     if ((await this.core.ledger.write([{ kind: 'joining', fleet: voting.fleet, incarnation }])) !== 'synced') return;
@@ -220,43 +225,43 @@
       fleet: voting.fleet,
       membersRevision: view.revision,
     };
-    const given = await Promise.all(
+    const responses = await Promise.all(
       sound.map(async ({ keeper, member }) => {
         const answer = await this.transport.ask(member.address, order, this.settings.askMicroseconds * 4);
-        const given = Answers.read(answer, 'frame');
-        return given === undefined ? [] : [{ keeper, frame: given.frame }];
+        const response = Answers.read(answer, 'frame');
+        return response === undefined ? [] : [{ keeper, frame: response.frame }];
       }),
     );
-    const frames = given.flat();
+    const frames = responses.flat();
     if (!this.isMajority(view, frames)) return;
     const newestList = Math.max(
       ...frames.map(({ frame }) => frame.cells['core-members']?.accepted?.entry.revision ?? 0),
     );
-    // Why: the list changed while the frames were read, and the majority that was asked may be the wrong one.
+    // The list changed during the transfer, so the answers may come from the wrong majority.
     if (newestList > view.revision) return;
     if ((await this.core.ledger.write([{ kind: 'joined', frames: frames.map(({ frame }) => frame) }])) !== 'synced')
       return;
-    this.log(`Caught up from ${frames.length} others as incarnation ${incarnation}.`);
-    this.joined();
+    this.log(`joined as incarnation ${incarnation} with the state of ${frames.length} other members`);
+    this.onJoined();
   }
 
   /**
-   * A majority of each list, made up of others alone: it meets every majority in which this keeper once had a part, so
-   * somebody holds whatever it promised and has forgotten. The proof is in docs/notes/ownership.md.
+   * Whether the answers come from a majority of each list, counting other members only. Such a majority overlaps with every majority that
+   * this replica was ever part of, so some member holds whatever it promised and lost. The proof is in docs/notes/ownership.md.
    */
   private isMajority(view: MemberView, from: readonly Readonly<{ keeper: string }>[]): boolean {
     const [next, before] = view.sets;
     const isLearner =
       next !== undefined && before !== undefined && next.includes(this.core.name) && !before.includes(this.core.name);
-    // A learner asks the list before: until the new one stands alone, whatever was decided stands on a majority of that one.
+    // A learner asks the previous list: until the new list takes effect, a majority of the previous one holds every decided value.
     return (isLearner ? [before] : view.sets).every((set) => {
       const others = set.filter((name) => name !== this.core.name);
-      const there = others.filter((name) => from.some(({ keeper }) => keeper === name));
-      return there.length >= Math.min(others.length, Stamps.majority(set.length));
+      const answering = others.filter((name) => from.some(({ keeper }) => keeper === name));
+      return answering.length >= Math.min(others.length, Stamps.majority(set.length));
     });
   }
 
-  private async askForPlace(voting: Hello): Promise<void> {
+  private async requestMembership(voting: Hello): Promise<void> {
     const { member, replaces, joins, askMicroseconds } = this.settings;
     if (replaces !== '') {
       const order = { kind: 'replace', gone: replaces, name: this.core.name, member };
@@ -270,8 +275,9 @@
   }
 }
 
+/** Detects that this replica was removed from the member list. */
 export const Replaced = {
-  /** A keeper that sees itself left out of a settled list stops voting for good. */
+  /** Whether a completed list no longer contains this replica, which then stops voting for good. */
   isOut: (core: KeeperCore): boolean => {
     const accepted = KeeperStates.cell(core.state, 'core-members').accepted;
     return (
--- a/tests/control-members.test.ts
+++ b/tests/control-members.test.ts
@@ -115,7 +115,7 @@
     const plan = MemberPlans.next;
     assert.deepEqual(plan({ a: 'voting', b: 'voting', c: 'silent' }, 3), { kind: 'replace', gone: 'c' });
     assert.deepEqual(plan({ a: 'voting', b: 'voting', c: 'doubtful' }, 5), { kind: 'wait' });
-    assert.deepEqual(plan({ a: 'voting', b: 'voiceless', c: 'silent' }, 5), { kind: 'wait' });
+    assert.deepEqual(plan({ a: 'voting', b: 'nonvoting', c: 'silent' }, 5), { kind: 'wait' });
     assert.deepEqual(plan({ a: 'voting', b: 'voting', c: 'voting' }, 5), { kind: 'add' });
     assert.deepEqual(plan({ a: 'voting', b: 'voting', c: 'voting' }, 3), { kind: 'wait' });
     assert.equal(MemberPlans.isSilent(['a', 'b', 'c'], 'c', [{ silent: ['c'] }]), false);
--- a/tests/lease-model.test.ts
+++ b/tests/lease-model.test.ts
@@ -57,8 +57,8 @@
     what: 'a voter that grants a term twice',
     scope: 'two candidates at once, messages and power lost',
     cuts: [
-      ['core-keeper/duties/dutyVoter.ts', 'if (ballot.term <= stored.term) return no(0);', ''],
-      ['core-keeper/duties/dutyVoter.ts', 'if (after?.term !== ballot.term) return no(0);', ''],
+      ['core-keeper/duties/dutyVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
+      ['core-keeper/duties/dutyVoter.ts', 'if (after?.term !== request.term) return refuse(0);', ''],
     ],
     sees: /two had one fence|two hold|a fence fell/,
   },
--- a/tests/model-checker.test.ts
+++ b/tests/model-checker.test.ts
@@ -76,8 +76,8 @@
     cuts: [
       [
         'core-keeper/ledger/ledger.ts',
-        '      await file.sync();\n    } catch (error) {\n      // Why end',
-        '    } catch (error) {\n      // Why end',
+        '      await file.sync();\n    } catch (error) {\n      // The log stops',
+        '    } catch (error) {\n      // The log stops',
       ],
     ],
     sees: /no majority|a later read/,
@@ -88,8 +88,8 @@
     cuts: [
       [
         'core-keeper/standing/standing.ts',
-        'return there.length >= Math.min(others.length, Stamps.majority(set.length));',
-        'return there.length > 0;',
+        'return answering.length >= Math.min(others.length, Stamps.majority(set.length));',
+        'return answering.length > 0;',
       ],
     ],
     sees: /a later read/,
@@ -137,13 +137,13 @@
   {
     what: 'a seed that lost its disk founds a fleet again',
     scope: 'two seeds found a fleet without the third; one of them loses its disk and meets the third alone',
-    cuts: [['core-keeper/standing/founding.ts', '!all.every(isOfFirstStart)', 'false']],
+    cuts: [['core-keeper/standing/founding.ts', '!hellos.every(isOfFirstStart)', 'false']],
     sees: /two fleets/,
   },
   {
     what: 'a member that leaves does not wait for its successor',
     scope: 'a member leaves that holds one of two copies, and the other copy is lost',
-    cuts: [['core-keeper/standing/memberChanges.ts', "if (heard === 'free') return;", 'return;']],
+    cuts: [['core-keeper/standing/memberChanges.ts', "if (leaveAnswer === 'free') return;", 'return;']],
     sees: /no majority|a later read/,
   },
   {
@@ -152,8 +152,8 @@
     cuts: [
       [
         'core-keeper/standing/standing.ts',
-        'return there.length >= Math.min(others.length, Stamps.majority(set.length));',
-        'return there.length > 0;',
+        'return answering.length >= Math.min(others.length, Stamps.majority(set.length));',
+        'return answering.length > 0;',
       ],
     ],
     sees: /a later read|two changes on one base|no majority/,
@@ -178,8 +178,8 @@
     cuts: [
       [
         'core-keeper/ledger/ledger.ts',
-        '    this.file = await this.disk.open(fileName);\n    await old?.close();',
-        '    void old;',
+        '    this.file = await this.disk.open(fileName);\n    await oldFile?.close();',
+        '    void oldFile;',
       ],
     ],
     sees: /a later read|no majority|two changes on one base/,
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -210,8 +210,8 @@
     cuts: [
       [
         'core-keeper/ledger/ledger.ts',
-        '      await file.sync();\n    } catch (error) {\n      // Why end',
-        '      await Promise.resolve();\n    } catch (error) {\n      // Why end',
+        '      await file.sync();\n    } catch (error) {\n      // The log stops',
+        '      await Promise.resolve();\n    } catch (error) {\n      // The log stops',
       ],
     ],
   },
@@ -279,14 +279,14 @@
     cuts: [
       [
         'core-keeper/duties/dutyVoter.ts',
-        'if (lease !== undefined && lease.holder !== ballot.candidate && lease.untilMicroseconds > now) return',
+        'if (lease !== undefined && lease.holder !== request.candidate && lease.untilMicroseconds > now) return',
         'if (lease !== undefined && lease.untilMicroseconds < 0) return',
       ],
-      ['core-keeper/duties/dutyVoter.ts', 'if (ballot.term <= stored.term) return no(0);', ''],
+      ['core-keeper/duties/dutyVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
       [
         'core-keeper/duties/dutyVoter.ts',
-        'if (after?.term !== ballot.term) return no(0);',
-        'if (after === undefined) return no(0);',
+        'if (after?.term !== request.term) return refuse(0);',
+        'if (after === undefined) return refuse(0);',
       ],
     ],
   },
@@ -415,8 +415,8 @@
     cuts: [
       [
         'core-keeper/ledger/ledger.ts',
-        '      await file.sync();\n    } catch (error) {\n      // Why end',
-        '      await Promise.resolve();\n    } catch (error) {\n      // Why end',
+        '      await file.sync();\n    } catch (error) {\n      // The log stops',
+        '      await Promise.resolve();\n    } catch (error) {\n      // The log stops',
       ],
     ],
   },
