--- a/source/core-keeper/standing/standing.ts
+++ b/source/core-keeper/standing/standing.ts
@@ -241,7 +241,7 @@
     if (newestList > view.revision) return;
     if ((await this.core.ledger.write([{ kind: 'joined', frames: frames.map(({ frame }) => frame) }])) !== 'synced')
       return;
-    this.log(`joined as incarnation ${incarnation} with the state of ${frames.length} other members`);
+    this.log(`joined with the state of ${frames.length} other members as incarnation ${incarnation}`);
     this.onJoined();
   }
 
--- a/tests/control-leave-while-silent.test.ts
+++ b/tests/control-leave-while-silent.test.ts
@@ -1,7 +1,8 @@
 /**
- * Found by the model checker. A change stood on two of three members. One of them lost its disk at the moment when the other was stopped
- * for good: the one that stopped asked who would take its place, heard no from the third, nothing from the lost one, and went with the
- * only copy that was left. The evidence: the model's history ends in a read that finds no majority.
+ * Guards against the loss of a committed change when a member stops for good while another one is silent; found by the model checker. Two of
+ * three members hold the change. One of them loses its disk while the other one asks for a successor: the third member answers that there
+ * is none, the silent one does not answer, and the leaving member must not stop, since it holds the only copy left. The model's history
+ * ended in a read without a majority.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -15,11 +16,11 @@
   return { key: 'blueprint', form: 'whole', text, ifMatch: version - 1, id: `put ${version}` };
 };
 
-/** Longer than one ask, so that the member that leaves does not hear the other one; shorter than it may wait. */
+/** Longer than one request timeout, so that the restarting member does not answer; shorter than the limit of the handover. */
 const restartMicroseconds = 1_000_000;
 
-describe('a member is stopped for good while another one says nothing', () => {
-  test('it stays until that one is back, and takes no only copy with it, 4 seeds', async () => {
+describe('a member stops for good while another one is silent', () => {
+  test('waits until the silent member is back and keeps the only copy until then, 4 seeds', async () => {
     for (const seed of [901, 902, 903, 904]) {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
@@ -28,14 +29,14 @@
       const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
       const [leaving, behind] = fleet.machines.filter((machine) => machine !== leader);
       assert.ok(leader !== undefined && leaving !== undefined && behind !== undefined);
-      const mends = [leader, leaving].flatMap(({ machine }) => [
+      const restoreLinks = [leader, leaving].flatMap(({ machine }) => [
         fleet.network.cut(machine, behind.machine),
         fleet.network.cut(behind.machine, machine),
       ]);
       assert.equal((await fleet.change(leader, put(2)))?.kind, 'taken');
       leader.kill(true);
       leader.disk.wipe();
-      for (const mend of mends) mend();
+      for (const restore of restoreLinks) restore();
       fleet.world.plan(restartMicroseconds, () => leader.start());
       await fleet.leave(leaving, 8_000_000);
       await fleet.world.runFor(2_000_000);
--- a/tests/lease-model.test.ts
+++ b/tests/lease-model.test.ts
@@ -13,7 +13,7 @@
   new Explorer(() => module.LeaseModel.begin(module.leaseScopes[name]), { ...bounds, mostStates: most }).explore();
 
 describe('leases: all histories within a bound', () => {
-  test('in the usual history the lease is held, and passes on', async () => {
+  test('in the usual history one candidate holds the lease, it expires, and the other one gets it', async () => {
     const model = await LeaseModel.begin(leaseScopes['a lease runs out while another candidate asks']);
     const holders: (string | undefined)[] = [];
     for (let next = model.choices()[0]; next !== undefined; next = model.choices()[0]) {
@@ -42,19 +42,19 @@
 
 const mutations: readonly Mutation[] = [
   {
-    what: 'a holder that uses its lease to the end',
+    what: 'a holder uses its lease to the end, without a margin for clock drift',
     scope: 'a lease runs out while another candidate asks',
     cuts: [['edge-agent/stewards/dutyHolder.ts', 'unusedPerMille = 11', 'unusedPerMille = 0']],
     sees: /two hold/,
   },
   {
-    what: 'a voter that votes at once after a restart',
+    what: 'a voter grants leases at once after a restart',
     scope: 'voters restart while a lease runs',
     cuts: [['core-keeper/duties/dutyVoter.ts', 'if (now < this.votesFromMicroseconds && !renewal)', 'if (false)']],
     sees: /two hold/,
   },
   {
-    what: 'a voter that grants a term twice',
+    what: 'a voter grants a term twice',
     scope: 'two candidates at once, messages and power lost',
     cuts: [
       ['core-keeper/duties/dutyVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
@@ -63,14 +63,14 @@
     sees: /two had one fence|two hold|a fence fell/,
   },
   {
-    what: 'a renewal that brings a lease back to life',
+    what: 'a late renewal restores a released lease',
     scope: 'a lease given back while its renewal is on its way',
     cuts: [['edge-agent/stewards/dutyHolder.ts', 'if (this.givenBack.get(duty) === term) continue;', '']],
     sees: /two hold/,
   },
 ];
 
-describe('leases: the checker sees each mechanism cut out', () => {
+describe('leases: the model checker finds a violation for each removed safeguard', () => {
   for (const { what, scope, cuts, sees } of mutations)
     test(what, async () => {
       const { module, cut, end } = await loadWithout<typeof LeaseModule>('tests/support/model/leaseModel.ts', cuts);
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -18,11 +18,11 @@
   epoch: { number, keeper: 'k' },
 });
 
-test('records: cut anywhere, a file gives back a whole prefix of what was written, never anything else', () => {
+test('records: a file cut at any byte yields only a prefix of the written records', () => {
   fc.assert(
-    fc.property(fc.array(fc.string({ maxLength: 40 }), { minLength: 1, maxLength: 8 }), fc.nat(), (texts, place) => {
+    fc.property(fc.array(fc.string({ maxLength: 40 }), { minLength: 1, maxLength: 8 }), fc.nat(), (texts, position) => {
       const whole = Buffer.concat(texts.map((text) => Records.make([text])));
-      const cutAt = place % (whole.length + 1);
+      const cutAt = position % (whole.length + 1);
       const read = Records.read(whole.subarray(0, cutAt));
       assert.equal(read.kind, 'sound');
       if (read.kind !== 'sound') return;
@@ -36,17 +36,17 @@
   );
 });
 
-test('records: a flipped byte before the last record is a refusal, in the last one a cut, never silent loss', () => {
+test('records: a damaged byte in the last record drops it, and a damaged byte before that is reported as corruption', () => {
   fc.assert(
     fc.property(
       fc.array(fc.string({ maxLength: 40 }), { minLength: 2, maxLength: 6 }),
       fc.nat(),
       fc.integer({ min: 1, max: 255 }),
-      (texts, place, flip) => {
+      (texts, position, flip) => {
         const parts = texts.map((text) => Records.make([text]));
         const whole = Buffer.concat(parts);
         const lastStart = whole.length - (parts.at(-1)?.length ?? 0);
-        const at = place % whole.length;
+        const at = position % whole.length;
         whole[at] = (whole[at] ?? 0) ^ flip;
         const read = Records.read(whole);
         if (at < lastStart) assert.equal(read.kind, 'corrupt');
@@ -57,7 +57,7 @@
   );
 });
 
-const opened = async (
+const openLog = async (
   world: World,
   disk: SimDisk,
   rewriteBytes = 1_000_000,
@@ -72,50 +72,53 @@
   return { ledger, process, kind };
 };
 
-test('ledger: what was answered synced is there after a loss of power, at whatever moment it comes', async () => {
+test('log: writes reported as synced survive a power failure at any time', async () => {
   for (let seed = 1; seed <= 40; seed += 1) {
     const world = new World(seed);
     const disk = new SimDisk(world);
-    const { ledger, process } = await opened(world, disk, 3000);
-    let answered = 0;
+    const { ledger, process } = await openLog(world, disk, 3000);
+    let syncedNumber = 0;
     let next = 0;
-    const more = (): void => {
+    const writeNext = (): void => {
       next += 1;
       const number = next;
       void ledger.write([promise(number)]).then((written) => {
-        if (written === 'synced') answered = Math.max(answered, number);
+        if (written === 'synced') syncedNumber = Math.max(syncedNumber, number);
       });
-      world.plan(Math.floor(world.random.fraction() * 200), more);
+      world.plan(Math.floor(world.random.fraction() * 200), writeNext);
     };
-    more();
+    writeNext();
     await world.runFor(2000 + Math.floor(world.random.fraction() * 8000));
     process.kill();
     disk.losePower();
-    const told = answered;
-    const again = await opened(world, disk);
+    const acknowledgedNumber = syncedNumber;
+    const again = await openLog(world, disk);
     assert.equal(again.kind, 'opened', `seed ${seed}`);
     const found = KeeperStates.cell(again.ledger.synced, 'blueprint').promised.number;
-    assert.ok(found >= told && found <= next, `seed ${seed}: found ${found}, told ${told}, written ${next}`);
+    assert.ok(
+      found >= acknowledgedNumber && found <= next,
+      `seed ${seed}: found ${found}, acknowledged ${acknowledgedNumber}, written ${next}`,
+    );
   }
 });
 
-test('ledger: rewritten when long, it stays short and keeps its state', async () => {
+test('log: rewriting a long log bounds its size and keeps the state', async () => {
   const world = new World(5);
   const disk = new SimDisk(world);
-  const { ledger } = await opened(world, disk, 2000);
+  const { ledger } = await openLog(world, disk, 2000);
   for (let number = 1; number <= 300; number += 1) {
     void ledger.write([promise(number)]);
     await world.runFor(1000);
   }
   assert.ok(disk.length('keeper.ledger') < 8000, `length ${disk.length('keeper.ledger')}`);
-  const again = await opened(world, disk);
+  const again = await openLog(world, disk);
   assert.equal(KeeperStates.cell(again.ledger.synced, 'blueprint').promised.number, 300);
 });
 
-test('ledger: a full disk refuses and goes on later; what it refused is not there', async () => {
+test('log: a full disk refuses writes without storing them, and accepts later writes', async () => {
   const world = new World(6);
   const disk = new SimDisk(world);
-  const { ledger } = await opened(world, disk);
+  const { ledger } = await openLog(world, disk);
   const write = async (number: number): Promise<string> => {
     let written = '';
     void ledger.write([promise(number)]).then((result) => {
@@ -130,14 +133,14 @@
   assert.equal(KeeperStates.cell(ledger.pending, 'blueprint').promised.number, 1);
   disk.faults.full = false;
   assert.equal(await write(3), 'synced');
-  const again = await opened(world, disk);
+  const again = await openLog(world, disk);
   assert.equal(KeeperStates.cell(again.ledger.synced, 'blueprint').promised.number, 3);
 });
 
-test('ledger: after a failed sync it never writes again and says that it is broken', async () => {
+test('log: after a failed sync it refuses all writes and reports itself broken', async () => {
   const world = new World(7);
   const disk = new SimDisk(world);
-  const { ledger } = await opened(world, disk);
+  const { ledger } = await openLog(world, disk);
   let broken = '';
   ledger.news.on('broken', (text) => {
     broken = text;
@@ -153,34 +156,34 @@
   assert.match(broken, /sync failed/);
 });
 
-test('ledger: a damaged middle is a refusal to start', async () => {
+test('log: damage before the last record is reported as corruption at the start', async () => {
   const world = new World(8);
   const disk = new SimDisk(world);
-  const { ledger } = await opened(world, disk);
+  const { ledger } = await openLog(world, disk);
   for (let number = 1; number <= 5; number += 1) {
     void ledger.write([promise(number)]);
     await world.runFor(2000);
   }
   disk.corrupt('keeper.ledger', 20);
-  assert.equal((await opened(world, disk)).kind, 'corrupt');
+  assert.equal((await openLog(world, disk)).kind, 'corrupt');
 });
 
-test('a planned stop in the midst of a write is no failure of the disk: what was said to be synced is', async () => {
+test('log: closing during a write reports no disk failure, and writes reported as synced are on disk', async () => {
   for (let turns = 0; turns <= 12; turns += 1) {
     const world = new World(1);
-    const later = async (count: number): Promise<void> => {
+    const afterTurns = async (count: number): Promise<void> => {
       for (let turn = 0; turn < count; turn += 1) await Promise.resolve();
     };
     let [closed, synced, appended] = [false, 0, 0];
-    const soundly = async (act: () => void): Promise<void> => {
-      await later(3);
+    const whileOpen = async (act: () => void): Promise<void> => {
+      await afterTurns(3);
       if (closed) throw new Error('file closed');
       act();
     };
     const file: DiskFile = {
-      append: () => soundly(() => (appended += 1)),
-      sync: () => soundly(() => (synced = appended)),
-      truncate: () => soundly(() => undefined),
+      append: () => whileOpen(() => (appended += 1)),
+      sync: () => whileOpen(() => (synced = appended)),
+      truncate: () => whileOpen(() => undefined),
       close: () => {
         closed = true;
         return Promise.resolve();
@@ -195,15 +198,15 @@
     const broken: string[] = [];
     ledger.news.on('broken', (text) => void broken.push(text));
     await ledger.open();
-    const said = [ledger.write([promise(1)]), ledger.write([promise(2)])];
-    await later(turns);
-    said.push(ledger.write([promise(3)]));
+    const outcomesOfWrites = [ledger.write([promise(1)]), ledger.write([promise(2)])];
+    await afterTurns(turns);
+    outcomesOfWrites.push(ledger.write([promise(3)]));
     await ledger.close();
-    const outcomes = await Promise.all(said);
-    await later(10);
+    const outcomes = await Promise.all(outcomesOfWrites);
+    await afterTurns(10);
     assert.deepEqual(broken, [], `closed after ${turns} turns`);
     assert.ok(outcomes.every((outcome) => outcome === 'synced' || outcome === 'lost'));
-    assert.equal(outcomes[0], 'synced', 'what was being written is finished');
+    assert.equal(outcomes[0], 'synced', 'the write under way is completed');
     assert.equal(synced, appended);
     assert.equal(await ledger.write([promise(4)]), 'lost');
   }
--- a/tests/support/model/leaseModel.ts
+++ b/tests/support/model/leaseModel.ts
@@ -1,7 +1,3 @@
-/**
- * Leases under the explorer's hand: three voters with disks, two candidates, clocks that run apart as far as is allowed, and time that
- * passes in steps. At most one candidate holds the lease at any moment, and each later holder has a higher fence.
- */
 import { DutyVoter, type Ballot } from '../../../source/core-keeper/duties/dutyVoter';
 import { Ledger } from '../../../source/core-keeper/ledger/ledger';
 import { KeeperCore } from '../../../source/core-keeper/register/keeperCore';
@@ -12,12 +8,14 @@
 import type { Choice, ModelRun } from './explorer';
 import { ModelDisk } from './modelDisk';
 
+/** One step of a scenario's script. */
 export type LeaseCall =
   | Readonly<{ kind: 'ballot' | 'giveBack'; by: string }>
-  /** So many quarters of a lease pass. */
+  /** This many quarters of a lease term pass. */
   | Readonly<{ kind: 'time'; quarters: number }>
   | Readonly<{ kind: 'power'; at: string }>;
 
+/** A scenario for the model checker: a script, and how many messages and power supplies may fail. */
 export type LeaseScope = Readonly<{
   script: readonly LeaseCall[];
   messageLosses: number;
@@ -28,23 +26,27 @@
 const candidateNames = ['x', 'y'];
 const duty = 'engine/one';
 const leaseMicroseconds = 1_000_000;
-/** Clocks run wrong by so much at most; the voters' run fast and the holders' slow, the worst for a lease. */
+/** The greatest clock drift. Clocks of voters run fast and those of holders slow, which is the worst case for a lease. */
 const driftPerMille = 5;
 
-type Voter = { readonly disk: ModelDisk; core: KeeperCore; votes: DutyVoter; life: number };
+type Voter = { readonly disk: ModelDisk; core: KeeperCore; votes: DutyVoter; bootNumber: number };
 type Pending = Readonly<{ label: string; act: () => void; lose?: () => void }>;
 
+/**
+ * A model of leases for the model checker: three voters with disks, two candidates, clocks with the greatest allowed drift, and time that
+ * passes in steps. At most one candidate may hold the lease at any moment, and each later holder must have a higher fencing token.
+ */
 export class LeaseModel implements ModelRun {
   private readonly voters = new Map<string, Voter>();
   private readonly candidates = new Map<string, DutyHolder>();
   private readonly pending: Pending[] = [];
   private readonly holderOfTerm = new Map<number, string>();
-  private readonly heard: string[] = [];
+  private readonly delivered: string[] = [];
   private highestTerm = 0;
-  private isFenceBroken = '';
+  private violation = '';
   private now = 0;
-  private called = 0;
-  private underWay = 0;
+  private nextCall = 0;
+  private runningCalls = 0;
   private messageLosses: number;
   private powerLosses: number;
 
@@ -67,55 +69,55 @@
   }
 
   public choices(): readonly Choice[] {
-    const usual = this.pending.map((event): Choice => ({ label: event.label, act: () => this.happen(event) }));
-    const call = this.scope.script[this.called];
+    const usual = this.pending.map((event): Choice => ({ label: event.label, act: () => this.runEvent(event) }));
+    const call = this.scope.script[this.nextCall];
     const next = call === undefined ? [] : [{ label: JSON.stringify(call), act: () => this.call(call) }];
     const all = [...usual, ...next];
     return all.length === 0 ? [] : [...all, ...this.faults()];
   }
 
   public fingerprint(): string {
-    const voters = [...this.voters].map(([name, { core, votes, life }]) => [
+    const voters = [...this.voters].map(([name, { core, votes, bootNumber }]) => [
       name,
-      life,
+      bootNumber,
       core.ledger.synced.duties,
       core.ledger.pending.duties,
       votes.holders(),
     ]);
     const held = [...this.candidates].map(([name, holder]) => [name, holder.term(duty)]);
     const pending = this.pending.map(({ label }) => label).sort();
-    const left = [this.called, this.underWay, this.messageLosses, this.powerLosses];
-    return JSON.stringify([this.now, voters, held, pending, [...this.heard].sort(), left, this.highestTerm]);
+    const left = [this.nextCall, this.runningCalls, this.messageLosses, this.powerLosses];
+    return JSON.stringify([this.now, voters, held, pending, [...this.delivered].sort(), left, this.highestTerm]);
   }
 
   public broken(): string {
-    this.note();
+    this.checkTerms();
     const held = [...this.candidates].filter(([, holder]) => holder.term(duty) !== undefined);
-    return this.isFenceBroken || (held.length > 1 ? 'two hold one lease' : '');
+    return this.violation || (held.length > 1 ? 'two hold one lease' : '');
   }
 
   public brokenAtEnd(): string {
     return '';
   }
 
-  /** Who holds the lease now. */
+  /** The candidate that holds the lease now. */
   public holder(): string | undefined {
     return [...this.candidates].find(([, holder]) => holder.term(duty) !== undefined)?.[0];
   }
 
-  private note(): void {
+  private checkTerms(): void {
     for (const [name, holder] of this.candidates) {
       const term = holder.term(duty);
       if (term === undefined) continue;
       const before = this.holderOfTerm.get(term);
-      if (before === undefined && term < this.highestTerm) this.isFenceBroken = 'a fence fell';
-      if (before !== undefined && before !== name) this.isFenceBroken = 'two had one fence';
+      if (before === undefined && term < this.highestTerm) this.violation = 'a fence fell';
+      if (before !== undefined && before !== name) this.violation = 'two had one fence';
       this.holderOfTerm.set(term, name);
       this.highestTerm = Math.max(this.highestTerm, term);
     }
   }
 
-  private happen(event: Pending): void {
+  private runEvent(event: Pending): void {
     this.pending.splice(this.pending.indexOf(event), 1);
     event.act();
   }
@@ -146,13 +148,13 @@
   }
 
   private restart(name: string): void {
-    const { disk, life } = this.voter(name);
+    const { disk, bootNumber } = this.voter(name);
     disk.losePower();
-    void this.boot(name, disk, life + 1);
+    void this.boot(name, disk, bootNumber + 1);
   }
 
   private call(call: LeaseCall): void {
-    this.called += 1;
+    this.nextCall += 1;
     if (call.kind === 'time') this.now += (leaseMicroseconds / 4) * call.quarters;
     else if (call.kind === 'power') this.restart(call.at);
     else this.act(call.by, call.kind);
@@ -161,9 +163,9 @@
   private act(name: string, kind: 'ballot' | 'giveBack'): void {
     const holder = this.candidates.get(name);
     if (holder === undefined) throw new Error(`no candidate ${name}`);
-    this.underWay += 1;
+    this.runningCalls += 1;
     const acting = kind === 'ballot' ? holder.ballot([duty]) : holder.giveBack([duty]);
-    void acting.then(() => (this.underWay -= 1));
+    void acting.then(() => (this.runningCalls -= 1));
   }
 
   private voter(name: string): Voter {
@@ -172,16 +174,16 @@
     return found;
   }
 
-  /** As a control node starts: one that finds a file has forgotten which leases it gave. */
-  private async boot(name: string, disk: ModelDisk, life: number): Promise<void> {
+  /** Starts a voter as a control node does: one with an existing log does not know which leases it granted. */
+  private async boot(name: string, disk: ModelDisk, bootNumber: number): Promise<void> {
     const clock = this.clock(1000 + driftPerMille);
-    const isAlive = (): boolean => this.voters.get(name)?.life === life;
+    const isAlive = (): boolean => this.voters.get(name)?.bootNumber === bootNumber;
     const later = (act: () => void, what: string): void =>
       void this.pending.push({ label: `${name} ${what}`, act: () => (isAlive() ? act() : undefined) });
     const ledger = new Ledger(disk.open(later), clock, () => undefined, 1 << 30);
     const core = new KeeperCore(name, ledger, clock);
     const votes = new DutyVoter(core, clock);
-    this.voters.set(name, { disk, core, votes, life });
+    this.voters.set(name, { disk, core, votes, bootNumber });
     const opened = await ledger.open();
     if (opened.kind === 'opened' && !opened.fresh) votes.waitOneLease(leaseMicroseconds);
   }
@@ -217,14 +219,14 @@
         const back = (answer: Message): void => {
           const label = `${to} to ${from}: ${JSON.stringify(answer)}`;
           const arrive = (): void => {
-            this.heard.push(label);
+            this.delivered.push(label);
             resolve({ kind: 'answered', message: answer });
           };
           this.pending.push({ label, act: arrive, lose: silence });
         };
         const arrive = (): void => {
-          const { life } = this.voter(to);
-          const isAlive = (): boolean => this.voter(to).life === life;
+          const { bootNumber } = this.voter(to);
+          const isAlive = (): boolean => this.voter(to).bootNumber === bootNumber;
           void this.answer(to, message).then((answer) => (isAlive() ? back(answer) : silence()));
         };
         this.pending.push({ label: `${from} to ${to}: ${JSON.stringify(message)}`, act: arrive, lose: silence });
@@ -248,6 +250,7 @@
 const ballot = (by: string): LeaseCall => ({ kind: 'ballot', by });
 const time = (quarters: number): LeaseCall => ({ kind: 'time', quarters });
 
+/** The scenarios by name. */
 export const leaseScopes = {
   'two candidates at once, messages and power lost': {
     script: [ballot('x'), ballot('y'), time(2), ballot('x'), ballot('y'), time(3), ballot('y')],
--- a/tests/support/model/modelDisk.ts
+++ b/tests/support/model/modelDisk.ts
@@ -1,38 +1,39 @@
-/**
- * A disk whose syncs and renames complete only when the explorer lets them. A loss of power takes what was not synced, or leaves all or
- * half of it, since a disk may have written it by itself; a rename that was not synced may stand or not.
- */
 import type { Disk, DiskFile } from '../../../source/shared/effects/disk/disk';
 
 type Content = { synced: Buffer; written: Buffer };
 
-/** What a loss of power leaves of what was written and not synced. */
+/** The fate of unsynced data at a power failure: all of it is lost, all is kept, or about half is kept. */
 export type PowerLoss = 'unsynced lost' | 'unsynced kept' | 'unsynced torn';
 
+/** All kinds of power failure. */
 export const powerLosses: readonly PowerLoss[] = ['unsynced lost', 'unsynced kept', 'unsynced torn'];
 
-const left = ({ synced, written }: Content, loss: PowerLoss): Buffer => {
+const remaining = ({ synced, written }: Content, loss: PowerLoss): Buffer => {
   if (loss === 'unsynced lost') return synced;
   if (loss === 'unsynced kept' || written.length <= synced.length) return written;
   return written.subarray(0, synced.length + Math.floor((written.length - synced.length) / 2));
 };
 
+/**
+ * A simulated disk for the model checker, which decides when each sync and rename completes. A power failure drops the unsynced data, or
+ * leaves all or half of it, since a disk may write data before a sync; an unsynced rename may persist or not.
+ */
 export class ModelDisk {
-  /** What processes see; a file that was replaced lives on under the handles that were opened before. */
+  /** The files as processes see them; handles opened before a replacement still refer to the old file. */
   private files = new Map<string, Content>();
-  /** What the folder names after a loss of power. */
+  /** The directory entries that survive a power failure. */
   private durable = new Map<string, Content>();
 
   public losePower(loss: PowerLoss = 'unsynced lost'): void {
     if (loss === 'unsynced lost') this.files = new Map(this.durable);
     else this.durable = new Map(this.files);
     for (const content of this.files.values()) {
-      content.written = left(content, loss);
+      content.written = remaining(content, loss);
       content.synced = content.written;
     }
   }
 
-  /** It was emptied: nothing on it says that the system has started for the first time. */
+  /** Whether the disk was wiped, and with it the record of the first start of the system. */
   public isLost = false;
 
   public wipe(): void {
@@ -41,7 +42,7 @@
     this.durable.clear();
   }
 
-  /** All that a start after a loss of power may find. */
+  /** Everything that a start after a power failure may find. */
   public fingerprint(): string {
     const text = (contents: ReadonlyMap<string, Content>): unknown =>
       [...contents].map(([name, { synced, written }]) => [
@@ -52,15 +53,15 @@
     return JSON.stringify([text(this.files), text(this.durable)]);
   }
 
-  /** `later` delays an act until the explorer chooses it, unless the process died before. */
+  /** `later` delays an operation until the model checker schedules it, and drops it if the process has died before. */
   public open(later: (act: () => void, what: string) => void): Disk {
     const contentOf = (name: string): Content => {
-      const known = this.files.get(name);
-      if (known !== undefined) return known;
-      const made = { synced: Buffer.alloc(0), written: Buffer.alloc(0) };
-      this.files.set(name, made);
-      this.durable.set(name, made);
-      return made;
+      const existing = this.files.get(name);
+      if (existing !== undefined) return existing;
+      const created = { synced: Buffer.alloc(0), written: Buffer.alloc(0) };
+      this.files.set(name, created);
+      this.durable.set(name, created);
+      return created;
     };
     const step = (what: string, act: () => void): Promise<void> =>
       new Promise((resolve) =>
@@ -88,12 +89,12 @@
       read: (name) => Promise.resolve(this.files.get(name)?.written),
       open: (name) => Promise.resolve(file(contentOf(name))),
       replace: async (name, bytes) => {
-        const beside = { synced: Buffer.alloc(0), written: Buffer.from(bytes) };
+        const replacement = { synced: Buffer.alloc(0), written: Buffer.from(bytes) };
         await step('syncs a snapshot', () => {
-          beside.synced = beside.written;
+          replacement.synced = replacement.written;
         });
-        await step('renames a snapshot', () => this.files.set(name, beside));
-        await step('syncs its folder', () => this.durable.set(name, beside));
+        await step('renames a snapshot', () => this.files.set(name, replacement));
+        await step('syncs its folder', () => this.durable.set(name, replacement));
       },
     };
   }
