--- a/source/core-keeper/ledger/ledger.ts
+++ b/source/core-keeper/ledger/ledger.ts
@@ -35,10 +35,10 @@
   private length = 0;
   private snapshotLength = 0;
   private snapshotCount = 0;
-  private queue: QueuedWrite[] = [];
+  private waiting: QueuedWrite[] = [];
   private writingSince: number | undefined;
   private broken = false;
-  private drained: Promise<void> = Promise.resolve();
+  private draining: Promise<void> = Promise.resolve();
   private reportedFull = false;
   private syncedState: KeeperState = KeeperStates.start;
   private pendingState: KeeperState = KeeperStates.start;
@@ -65,7 +65,7 @@
 
   /** The age of the oldest unfinished write; it grows while the disk is stalled. */
   public stalledMicroseconds(): number {
-    const oldest = Math.min(this.writingSince ?? Infinity, this.queue[0]?.sinceMicroseconds ?? Infinity);
+    const oldest = Math.min(this.writingSince ?? Infinity, this.waiting[0]?.sinceMicroseconds ?? Infinity);
     return oldest === Infinity ? 0 : this.clock.nowMicroseconds() - oldest;
   }
 
@@ -97,8 +97,8 @@
     if (this.broken || this.file === undefined) return Promise.resolve('lost');
     this.pendingState = events.reduce(KeeperStates.reduce, this.pendingState);
     return new Promise((resolve) => {
-      this.queue.push({ events, complete: resolve, sinceMicroseconds: this.clock.nowMicroseconds() });
-      if (this.writingSince === undefined) this.drained = this.drain();
+      this.waiting.push({ events, complete: resolve, sinceMicroseconds: this.clock.nowMicroseconds() });
+      if (this.writingSince === undefined) this.draining = this.drain();
     });
   }
 
@@ -106,22 +106,22 @@
   public async close(): Promise<void> {
     this.broken = true;
     // Closing the file during a sync would look like a disk failure.
-    await this.drained;
-    for (const { complete } of this.queue.splice(0)) complete('lost');
+    await this.draining;
+    for (const { complete } of this.waiting.splice(0)) complete('lost');
     await this.file?.close();
   }
 
   private async drain(): Promise<void> {
-    while (this.queue.length > 0 && !this.broken) {
-      const batch = this.queue;
-      this.queue = [];
+    while (this.waiting.length > 0 && !this.broken) {
+      const batch = this.waiting;
+      this.waiting = [];
       this.writingSince = this.clock.nowMicroseconds();
       const written = await this.writeBatch(batch.flatMap(({ events }) => events));
       this.writingSince = undefined;
       if (written !== 'synced') {
         // Later writes are dropped too: they were decided on a pending state that was never written.
-        const later = this.queue;
-        this.queue = [];
+        const later = this.waiting;
+        this.waiting = [];
         this.pendingState = this.syncedState;
         for (const { complete } of [...batch, ...later]) complete(written);
       } else for (const { complete } of batch) complete('synced');
--- a/source/core-keeper/standing/memberWatch.ts
+++ b/source/core-keeper/standing/memberWatch.ts
@@ -8,7 +8,7 @@
   public constructor(
     private readonly core: KeeperCore,
     private readonly clock: Clock,
-    private readonly timeoutMicroseconds: number,
+    private readonly silentMicroseconds: number,
   ) {}
 
   /** Records a message from a member. */
@@ -22,7 +22,7 @@
     return this.core.others().flatMap(([name]) => {
       const at = this.lastContact.get(name);
       if (at === undefined) this.lastContact.set(name, now);
-      return at !== undefined && now - at > this.timeoutMicroseconds ? [name] : [];
+      return at !== undefined && now - at > this.silentMicroseconds ? [name] : [];
     });
   }
 }
--- a/source/core-keeper/standing/standing.ts
+++ b/source/core-keeper/standing/standing.ts
@@ -225,14 +225,14 @@
       fleet: voting.fleet,
       membersRevision: view.revision,
     };
-    const responses = await Promise.all(
+    const received = await Promise.all(
       sound.map(async ({ keeper, member }) => {
         const answer = await this.transport.ask(member.address, order, this.settings.askMicroseconds * 4);
-        const response = Answers.read(answer, 'frame');
-        return response === undefined ? [] : [{ keeper, frame: response.frame }];
+        const received = Answers.read(answer, 'frame');
+        return received === undefined ? [] : [{ keeper, frame: received.frame }];
       }),
     );
-    const frames = responses.flat();
+    const frames = received.flat();
     if (!this.isMajority(view, frames)) return;
     const newestList = Math.max(
       ...frames.map(({ frame }) => frame.cells['core-members']?.accepted?.entry.revision ?? 0),
--- a/tests/duties-forgotten.test.ts
+++ b/tests/duties-forgotten.test.ts
@@ -209,17 +209,17 @@
   });
 
   test('logs the expired duties once, in one line, without those that it released', async () => {
-    let isUnanswered = false;
+    let isSilent = false;
     const { world, holder, logged } = await createHolder((duty, term) =>
-      isUnanswered ? undefined : answer(duty, term, 0),
+      isSilent ? undefined : answer(duty, term, 0),
     );
     const names = Array.from({ length: 8 }, (_, number) => `engine/${number}`);
     await Promise.all([holder.ballot([...names, 'list']), world.runFor(200_000)]);
     await Promise.all([holder.giveBack(['list']), world.runFor(200_000)]);
-    isUnanswered = true;
+    isSilent = true;
     for (let turn = 0; turn < 12; turn += 1) await Promise.all([holder.ballot(names), world.runFor(400_000)]);
     assert.deepEqual(logged, [`Duties lapsed without renewal: ${names.slice(0, 6).join(', ')} and 2 more.`]);
-    isUnanswered = false;
+    isSilent = false;
     for (let turn = 0; turn < 12; turn += 1) await Promise.all([holder.ballot(names), world.runFor(400_000)]);
     assert.equal(logged.length, 1);
     assert.equal(holder.held().length, 8);
