--- a/tests/duties-forgotten.test.ts
+++ b/tests/duties-forgotten.test.ts
@@ -159,7 +159,7 @@
 });
 
 describe('the lease holder', () => {
-  const createHolder = async (
+  const setUp = async (
     vote: (duty: string, term: number) => BallotAnswer | undefined,
   ): Promise<Readonly<{ world: World; holder: DutyHolder; logged: string[]; rounds: () => number }>> => {
     const world = new World(4);
@@ -201,7 +201,7 @@
   });
 
   test('learns the floor from its first request and starts above it for every other duty', async () => {
-    const { world, holder, rounds } = await createHolder((duty, term) => answer(duty, term, 40));
+    const { world, holder, rounds } = await setUp((duty, term) => answer(duty, term, 40));
     await Promise.all([holder.ballot(['engine/a']), world.runFor(200_000)]);
     assert.deepEqual([holder.term('engine/a'), rounds()], [41, 2]);
     await Promise.all([holder.ballot(['engine/a', 'engine/b']), world.runFor(200_000)]);
@@ -210,9 +210,7 @@
 
   test('logs the expired duties once, in one line, without those that it released', async () => {
     let isSilent = false;
-    const { world, holder, logged } = await createHolder((duty, term) =>
-      isSilent ? undefined : answer(duty, term, 0),
-    );
+    const { world, holder, logged } = await setUp((duty, term) => (isSilent ? undefined : answer(duty, term, 0)));
     const names = Array.from({ length: 8 }, (_, number) => `engine/${number}`);
     await Promise.all([holder.ballot([...names, 'list']), world.runFor(200_000)]);
     await Promise.all([holder.giveBack(['list']), world.runFor(200_000)]);
