--- a/source/edge-proxy/fence/fence.ts
+++ b/source/edge-proxy/fence/fence.ts
@@ -3,21 +3,23 @@
 import type { Freshness } from '../../shared/freshness/freshness';
 import { WeightsClocks } from '../../shared/weights/weightsClocks';
 
+/** `untilChanged`: previous weights, allowed until the cutoff after the change. */
 export type WeightsWord = 'intended' | 'untilChanged' | 'forbidden';
 
-/** Whether this proxy may act on what it knows: the fence behind every must-never with a clock. */
+/** Decides by the age of the applied configuration whether this proxy may still act on it. */
 export class Fence {
   public constructor(
     private readonly freshness: Freshness,
     private readonly clock: Clock,
-    /** Beyond this age nothing is taken; Infinity: what is known is acted on, however old. */
+    /** From this age on no request is accepted; Infinity: the configuration is used however old it is. */
     private freshMicroseconds: number,
+    /** Time after a change of weights during which engines on the previous weights may still be used. */
     private weightsCutMicroseconds: number = WeightsClocks.cutMicroseconds,
-    /** Beyond this age a key or path that is not known may have been added meanwhile. */
+    /** From this age on an unknown key or path is not denied, because a newer configuration may contain it. */
     private denialMicroseconds: number = Infinity,
   ) {}
 
-  /** Other bounds than those at the start; they count for whatever is asked next. */
+  /** Replaces the bounds; they apply from the next check on. */
   public boundsAre(
     freshMicroseconds: number,
     weightsCutMicroseconds: number,
@@ -28,34 +30,36 @@
     this.denialMicroseconds = denialMicroseconds;
   }
 
+  /** Whether the configuration was confirmed recently enough to act on it. */
   public fresh(): boolean {
     return this.freshness.ageMicroseconds() < this.freshMicroseconds;
   }
 
-  /** Whether what the applied blueprint does not allow is certain not to be allowed. */
+  /** Whether the applied configuration is recent enough to deny what it does not allow. */
   public mayDeny(): boolean {
     return this.fresh() && this.freshness.ageMicroseconds() < this.denialMicroseconds;
   }
 
+  /** The applied configuration. */
   public get blueprint(): Blueprint | undefined {
     return this.freshness.blueprint;
   }
 
-  /** Whether an engine on these weights may be sent to, or still be answering, at this moment. */
+  /** Whether requests may be sent to an engine with these weights, or still be answered by it, at this moment. */
   public weights(service: string, weights: string): WeightsWord {
     const pool = this.freshness.blueprint?.services[service];
     if (pool?.kind !== 'pool') return 'forbidden';
     if (pool.weights === weights) return 'intended';
-    const since = this.freshness.weightsSince(service);
-    // Why so strict: the weights before are only good while it is known for how long.
+    const change = this.freshness.weightsSince(service);
+    // Previous weights are allowed only while the time of the change is known, because their cutoff counts from it.
     if (
-      since === undefined ||
-      since.weights !== pool.weights ||
-      since.previous !== weights ||
-      since.sinceMicroseconds === null
+      change === undefined ||
+      change.weights !== pool.weights ||
+      change.previous !== weights ||
+      change.sinceMicroseconds === null
     )
       return 'forbidden';
-    return this.clock.nowMicroseconds() - since.sinceMicroseconds < this.weightsCutMicroseconds
+    return this.clock.nowMicroseconds() - change.sinceMicroseconds < this.weightsCutMicroseconds
       ? 'untilChanged'
       : 'forbidden';
   }
--- a/source/edge-proxy/fence/identify.ts
+++ b/source/edge-proxy/fence/identify.ts
@@ -5,50 +5,54 @@
 import type { Fence } from './fence';
 import { Shares } from './shares';
 
-/** The mappings of one host: whole paths with a model, and beginnings of paths. */
-type HostIndex = Readonly<{ whole: ReadonlyMap<string, string>; beginnings: ReadonlyMap<string, string> }>;
+/** The mapping names of one host: by exact path and model, and by path prefix. */
+type HostIndex = Readonly<{ whole: ReadonlyMap<string, string>; byPrefix: ReadonlyMap<string, string> }>;
 
+/** Lookup tables built from one configuration. */
 type Index = Readonly<{
   sharedDomain: string;
   paths: ReadonlySet<string>;
+  /** The configuration that the tables were built from. */
   of: Blueprint;
+  /** Tenant by API key. */
   tenants: ReadonlyMap<string, string>;
   hosts: ReadonlyMap<string, HostIndex>;
 }>;
 
-const place = (path: string, model: string): string => `${path}\u0000${model}`;
+/** Key of a path and a model in `HostIndex.whole`. */
+const mappingKey = (path: string, model: string): string => `${path}\u0000${model}`;
 
-/** A host as mappings name it: without the port, in small letters. */
-const hostOf = (host: string | undefined): string => (host ?? '').replace(/:\d+$/, '').toLowerCase();
+/** The host name without the port, in lower case, as mappings spell it. */
+const normalizedHost = (host: string | undefined): string => (host ?? '').replace(/:\d+$/, '').toLowerCase();
 
 const indexHosts = (mappings: Blueprint['mappings']): ReadonlyMap<string, HostIndex> => {
-  const hosts = new Map<string, { whole: Map<string, string>; beginnings: Map<string, string> }>();
+  const hosts = new Map<string, { whole: Map<string, string>; byPrefix: Map<string, string> }>();
   for (const [name, mapping] of Object.entries(mappings)) {
-    const host = hostOf(mapping.host);
-    const index = hosts.get(host) ?? { whole: new Map<string, string>(), beginnings: new Map<string, string>() };
+    const host = normalizedHost(mapping.host);
+    const index = hosts.get(host) ?? { whole: new Map<string, string>(), byPrefix: new Map<string, string>() };
     hosts.set(host, index);
-    if (mapping.prefix === true) index.beginnings.set(mapping.path, name);
-    else index.whole.set(place(mapping.path, mapping.model), name);
+    if (mapping.prefix === true) index.byPrefix.set(mapping.path, name);
+    else index.whole.set(mappingKey(mapping.path, mapping.model), name);
   }
   return hosts;
 };
 
-/** The mapping whose beginning of a path is the longest; beginnings end with a slash. */
-const longest = (beginnings: ReadonlyMap<string, string>, path: string): string | undefined => {
-  if (beginnings.size === 0) return undefined;
+/** The mapping with the longest matching path prefix; prefixes end with a slash. */
+const longestPrefix = (byPrefix: ReadonlyMap<string, string>, path: string): string | undefined => {
+  if (byPrefix.size === 0) return undefined;
   for (let end = path.lastIndexOf('/'); end >= 0; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
-    const name = beginnings.get(path.slice(0, end + 1));
+    const name = byPrefix.get(path.slice(0, end + 1));
     if (name !== undefined) return name;
   }
   return undefined;
 };
 
-/** What a head says of an order, before its body is read. */
+/** The fields of a request that are known from its headers, before the body is read. */
 export type OrderHead = Readonly<{ key: string; path: string; host?: string; model?: string }>;
 
 type ModelRead = Readonly<{ kind: 'read'; model: string }> | Readonly<{ kind: 'broken' }>;
 
-const modelIn = (body: string | Uint8Array): ModelRead => {
+const modelInBody = (body: string | Uint8Array): ModelRead => {
   if (typeof body !== 'string') return { kind: 'read', model: '' };
   if (body === '') return { kind: 'read', model: '' };
   try {
@@ -61,13 +65,13 @@
   }
 };
 
-/** `moved`: the order still has a place under the present setup, but another one. */
+/** Result of a revalidation. `moved`: the request is still allowed, but the current configuration routes it differently. */
 export type StillStands = Readonly<{ kind: 'stands' | 'moved' }> | Readonly<{ kind: 'refuse'; refusal: Refusal }>;
 
-/** Finds out whose an order is and where it belongs, always under the newest blueprint this proxy applies. */
+/** Finds the tenant and the mapping of a request, always in the newest configuration that this proxy has applied. */
 export class Identifier {
   private index: Index | undefined;
-  /** Why kept: a body is read once for its model, however often an order is looked at. */
+  /** Cached so that a body is parsed only once, however often its request is resolved. */
   private readonly models = new WeakMap<Order, ModelRead>();
 
   public constructor(
@@ -75,6 +79,7 @@
     private readonly retryAfterSeconds: number,
   ) {}
 
+  /** The refusal while the configuration is too old to act on. */
   public notFresh(): Refusal {
     return Refusals.make(
       503,
@@ -85,66 +90,71 @@
     );
   }
 
-  /** Before the body is read: nobody without a key costs more than a head. */
+  /** The tenant of a key. Checked before the body is read, so that a request without a valid key costs only its headers. */
   public tenantOf(
     key: string,
   ): Readonly<{ kind: 'tenant'; tenant: string }> | Readonly<{ kind: 'refuse'; refusal: Refusal }> {
     if (!this.fence.fresh()) return { kind: 'refuse', refusal: this.notFresh() };
     if (this.fence.blueprint?.keyed === false) return { kind: 'tenant', tenant: '' };
-    if (key === '') return this.denied(Refusals.make(401, 'notRun', 'noKey', 'A key is needed.'));
-    const tenant = this.present()?.tenants.get(key);
+    if (key === '') return this.denyOrRetryLater(Refusals.make(401, 'notRun', 'noKey', 'A key is needed.'));
+    const tenant = this.currentIndex()?.tenants.get(key);
     return tenant === undefined
-      ? this.denied(Refusals.make(401, 'notRun', 'unknownKey', 'This key is not known.'))
+      ? this.denyOrRetryLater(Refusals.make(401, 'notRun', 'unknownKey', 'This key is not known.'))
       : { kind: 'tenant', tenant };
   }
 
-  /** A newer blueprint than the one that is known may allow it: then the order is told to come again instead. */
-  private denied(refusal: Refusal): Readonly<{ kind: 'refuse'; refusal: Refusal }> {
+  /** Denies the request. If a newer configuration may allow it, the client is asked to retry later instead. */
+  private denyOrRetryLater(refusal: Refusal): Readonly<{ kind: 'refuse'; refusal: Refusal }> {
     return { kind: 'refuse', refusal: this.fence.mayDeny() ? refusal : this.notFresh() };
   }
 
-  /** Before the body is read: a refusal that no body could change. */
+  /** A refusal that does not depend on the body, so that it can be answered before the body is read. */
   public refusedAtHead(head: OrderHead): Refusal | undefined {
-    const named = this.fence.fresh() ? this.mappingOf(head, head.model ?? '') : undefined;
-    if (named?.mapping.open === true) return undefined;
+    const found = this.fence.fresh() ? this.findMapping(head, head.model ?? '') : undefined;
+    if (found?.mapping.open === true) return undefined;
     const tenant = this.tenantOf(head.key);
     return tenant.kind === 'refuse' ? tenant.refusal : undefined;
   }
 
+  /** Finds the tenant, the mapping and the service of a request. */
   public resolve(
-    order: Order,
+    request: Order,
   ): Readonly<{ kind: 'resolved'; resolved: Resolved }> | Readonly<{ kind: 'refuse'; refusal: Refusal }> {
     if (!this.fence.fresh()) return { kind: 'refuse', refusal: this.notFresh() };
-    const index = this.present();
-    const read: ModelRead = order.model === undefined ? this.modelOf(order) : { kind: 'read', model: order.model };
-    const named = this.mappingOf(order, read.kind === 'read' ? read.model : '');
-    // Why the tenant all the same where a key is known: what runs for it must not meet what others keep.
+    const index = this.currentIndex();
+    const read: ModelRead =
+      request.model === undefined ? this.modelOf(request) : { kind: 'read', model: request.model };
+    const found = this.findMapping(request, read.kind === 'read' ? read.model : '');
+    // An open mapping needs no key. A known key still selects its tenant, because cached prompt data must stay apart by tenant.
     const tenant: ReturnType<Identifier['tenantOf']> =
-      named?.mapping.open === true
-        ? { kind: 'tenant', tenant: index?.tenants.get(order.key) ?? '' }
-        : this.tenantOf(order.key);
+      found?.mapping.open === true
+        ? { kind: 'tenant', tenant: index?.tenants.get(request.key) ?? '' }
+        : this.tenantOf(request.key);
     if (tenant.kind === 'refuse') return tenant;
-    const isPath = index?.paths.has(order.path) === true;
-    // Why only for a known path: whether the body is sound is of no interest where nothing is mapped.
+    const isPath = index?.paths.has(request.path) === true;
+    // Checked only for a known path: for an unmapped one, the answer is 404 whatever the body is.
     if (read.kind === 'broken' && isPath)
       return { kind: 'refuse', refusal: Refusals.make(400, 'notRun', 'badBody', 'The body is not a JSON object.') };
     const blueprint = index?.of;
-    const of = blueprint?.tenants[tenant.tenant];
-    const mapping = named === undefined ? undefined : asPlaced(named.mapping, order.id, of?.class ?? '');
+    const tenantSettings = blueprint?.tenants[tenant.tenant];
+    const mapping =
+      found === undefined ? undefined : mappingForRequest(found.mapping, request.id, tenantSettings?.class ?? '');
     const service = mapping === undefined ? undefined : blueprint?.services[mapping.service];
     if (
       index === undefined ||
       blueprint === undefined ||
-      named === undefined ||
+      found === undefined ||
       mapping === undefined ||
       service === undefined
     )
-      return this.denied(Refusals.make(404, 'notRun', 'noMapping', 'Nothing is mapped to this path and model.'));
-    const walled = of?.walled ?? tenant.tenant !== '';
+      return this.denyOrRetryLater(
+        Refusals.make(404, 'notRun', 'noMapping', 'Nothing is mapped to this path and model.'),
+      );
+    const walled = tenantSettings?.walled ?? tenant.tenant !== '';
     return {
       kind: 'resolved',
       resolved: {
-        mappingName: named.name,
+        mappingName: found.name,
         mapping,
         tenant: tenant.tenant,
         trustDomain: walled ? Identities.walledDomain(tenant.tenant) : index.sharedDomain,
@@ -154,13 +164,13 @@
     };
   }
 
-  /** Right before a send, and while it is held: what an order was taken under must still stand, word for word. */
-  public stillStands(order: Order, resolved: Resolved): StillStands {
-    // Why first: most looks find the very same blueprint, and a long body need not be looked at again.
+  /** Checks right before a send, and while a request is queued, that what it was resolved to is unchanged. */
+  public stillStands(request: Order, resolved: Resolved): StillStands {
+    // Compared first: in most cases the configuration is the same object, and a long body need not be parsed again.
     if (this.fence.fresh() && this.fence.blueprint === resolved.under) return { kind: 'stands' };
-    const now = this.resolve(order);
-    if (now.kind === 'refuse') {
-      const { code } = now.refusal;
+    const current = this.resolve(request);
+    if (current.kind === 'refuse') {
+      const { code } = current.refusal;
       if (code === 'unknownKey')
         return {
           kind: 'refuse',
@@ -177,45 +187,47 @@
               this.retryAfterSeconds,
             ),
           }
-        : now;
+        : current;
     }
     const same =
-      now.resolved.mappingName === resolved.mappingName &&
-      now.resolved.trustDomain === resolved.trustDomain &&
-      now.resolved.tenant === resolved.tenant &&
-      JSON.stringify(now.resolved.mapping) === JSON.stringify(resolved.mapping) &&
-      sameService(now.resolved, resolved);
+      current.resolved.mappingName === resolved.mappingName &&
+      current.resolved.trustDomain === resolved.trustDomain &&
+      current.resolved.tenant === resolved.tenant &&
+      JSON.stringify(current.resolved.mapping) === JSON.stringify(resolved.mapping) &&
+      isSameService(current.resolved, resolved);
     return { kind: same ? 'stands' : 'moved' };
   }
 
-  private mappingOf(
+  private findMapping(
     { path, host }: Pick<OrderHead, 'path' | 'host'>,
     model: string,
   ): Readonly<{ name: string; mapping: Mapping }> | undefined {
-    const index = this.present();
+    const index = this.currentIndex();
     if (index === undefined) return undefined;
-    const own = hostOf(host);
-    for (const hostIndex of own === '' ? [index.hosts.get('')] : [index.hosts.get(own), index.hosts.get('')]) {
+    const requestHost = normalizedHost(host);
+    for (const hostIndex of requestHost === ''
+      ? [index.hosts.get('')]
+      : [index.hosts.get(requestHost), index.hosts.get('')]) {
       if (hostIndex === undefined) continue;
       const name =
-        hostIndex.whole.get(place(path, model)) ??
-        hostIndex.whole.get(place(path, '')) ??
-        longest(hostIndex.beginnings, path);
+        hostIndex.whole.get(mappingKey(path, model)) ??
+        hostIndex.whole.get(mappingKey(path, '')) ??
+        longestPrefix(hostIndex.byPrefix, path);
       const mapping = name === undefined ? undefined : index.of.mappings[name];
       if (name !== undefined && mapping !== undefined) return { name, mapping };
     }
     return undefined;
   }
 
-  private modelOf(order: Order): ModelRead {
-    const known = this.models.get(order);
+  private modelOf(request: Order): ModelRead {
+    const known = this.models.get(request);
     if (known !== undefined) return known;
-    const read = modelIn(order.body);
-    this.models.set(order, read);
+    const read = modelInBody(request.body);
+    this.models.set(request, read);
     return read;
   }
 
-  private present(): Index | undefined {
+  private currentIndex(): Index | undefined {
     const blueprint = this.fence.blueprint;
     if (blueprint === undefined) return undefined;
     if (this.index?.of !== blueprint) {
@@ -234,10 +246,10 @@
 }
 
 /**
- * A mapping as one order meets it: its part of the shares, and its tenant's class. Why by the order's own id: asked
- * again, the same order must find the same service.
+ * The mapping as it applies to one request: with the service chosen by traffic share and the class of its tenant. The share is
+ * chosen by the request's id, so that the same request always gets the same service.
  */
-const asPlaced = (mapping: Mapping, orderId: string, tenantClass: string): Mapping => {
+const mappingForRequest = (mapping: Mapping, orderId: string, tenantClass: string): Mapping => {
   const service = Shares.pick(mapping, orderId);
   const className = tenantClass === '' ? mapping.class : tenantClass;
   return service === mapping.service && className === mapping.class
@@ -245,11 +257,13 @@
     : { ...mapping, service, class: className };
 };
 
-/** New weights alone do not make it another service: they have a clock of their own. */
-const sameService = (left: Resolved, right: Resolved): boolean =>
+/** Compares services without their weights: a change of weights has a cutoff of its own. */
+const isSameService = (left: Resolved, right: Resolved): boolean =>
   JSON.stringify({ ...left.service, weights: '' }) === JSON.stringify({ ...right.service, weights: '' });
 
+/** The pipeline policies that identify a request. */
 export const FencePolicies = {
+  /** Refuses by the headers alone, before the body is read. */
   identifyTenant: (identifier: Identifier): Policy => ({
     name: 'identifyTenant',
     apply: (context) => {
@@ -258,6 +272,7 @@
     },
   }),
 
+  /** Resolves the request to a mapping and a service. */
   resolveMapping: (identifier: Identifier): Policy => ({
     name: 'resolveMapping',
     apply: (context) => {
--- a/source/edge-proxy/fence/shares.ts
+++ b/source/edge-proxy/fence/shares.ts
@@ -1,23 +1,24 @@
 import type { Mapping } from '../../shared/blueprint/types';
 
-/** A number from 0 to below 1 that a text always gives again (FNV-1a over its characters). */
-const fractionOf = (text: string): number => {
+/** Hashes a text to a fraction from 0 (inclusive) to 1 (exclusive), with FNV-1a over its characters. */
+const hashFraction = (text: string): number => {
   let hash = 0x811c9dc5;
   for (let index = 0; index < text.length; index += 1) hash = Math.imul(hash ^ text.charCodeAt(index), 0x01000193);
-  // Why once more: the last characters alone would decide the upper bits too little.
+  // Mixed once more because in FNV-1a the last characters have too little effect on the upper bits.
   hash = Math.imul(hash ^ (hash >>> 15), 0x2c1b3c6d);
   return ((hash ^ (hash >>> 13)) >>> 0) / 2 ** 32;
 };
 
+/** Splits the traffic of a mapping among services by weight. */
 export const Shares = {
-  /** The service that an order of this id goes to. */
+  /** The service for the request with this id; always the same for the same id and shares. */
   pick: ({ service, shares }: Mapping, orderId: string): string => {
     const total = (shares ?? []).reduce((sum, { weight }) => sum + weight, 0);
     if (shares === undefined || total <= 0) return service;
-    let left = fractionOf(orderId) * total;
+    let remaining = hashFraction(orderId) * total;
     for (const share of shares) {
-      left -= share.weight;
-      if (left < 0) return share.service;
+      remaining -= share.weight;
+      if (remaining < 0) return share.service;
     }
     return service;
   },
--- a/source/edge-proxy/path/order.ts
+++ b/source/edge-proxy/path/order.ts
@@ -8,111 +8,124 @@
 
 export type { PromptPart };
 
-/** One order as it was read from a caller. */
+/** One request as it was read from a client. */
 export type Order = Readonly<{
   id: string;
   method: string;
-  /** Without the query. */
+  /** URL path without the query. */
   path: string;
   key: string;
   contentType: string;
   body: string | Uint8Array;
   arrivedMicroseconds: number;
-  /** As the caller sent it, with the query; missing: `path`. */
+  /** Request target as the client sent it, with the query; missing: `path`. */
   target?: string;
   host?: string;
-  /** Headers that go on to the back end as they came. */
+  /** Headers that are forwarded to the back end unchanged. */
   passed?: Readonly<Record<string, string>>;
-  /** Said in the head; missing: it stands in the body. */
+  /** Model named in the headers; missing: it is in the body. */
   model?: string;
-  /** The prompt's parts, where the caller names them; missing: the prompt stands in the body. */
+  /** The prompt's parts, where the client names them; missing: the prompt is in the body. */
   parts?: readonly PromptPart[];
-  /** Tokens of the prompt, and the most that may be put out. */
+  /** Length of the prompt. */
   promptTokens?: number;
+  /** Maximum length of the output. */
   mostTokens?: number;
-  /** How long the caller waits, from `arrivedMicroseconds` on. */
+  /** How long the client waits, counted from `arrivedMicroseconds`. */
   limitMicroseconds?: number;
-  /** The caller has all events up to this one. */
+  /** Id of the last event that the client has received; the response resumes after it. */
   after?: string;
 }>;
 
+/** Status and headers of a response. */
 export type AnswerHead = Readonly<{ status: number; headers: Readonly<Record<string, string>> }>;
 
-/** The way back to the caller. */
+/** Writes the response to the client. */
 export interface AnswerSink {
+  /** Whether the response head has been written. */
   readonly begun: () => boolean;
+  /** Whether the client has disconnected. */
   readonly gone: () => boolean;
+  /** Calls `act` when the client disconnects. */
   readonly whenGone: (act: () => void) => void;
   readonly head: (head: AnswerHead) => void;
-  /** Undefined: taken. A promise: the caller reads slower than the answer comes. */
+  /** Writes a part of the body. Undefined: accepted. A promise: the client reads too slowly; resolves when it has caught up. */
   readonly part: (bytes: Uint8Array) => Promise<void> | undefined;
   readonly end: () => void;
-  /** Ends it so that it looks cut: the conn is destroyed without the last chunk. */
+  /** Ends the response visibly incomplete: the connection is destroyed without the last chunk. */
   readonly cut: () => void;
   readonly refuse: (refusal: Refusal) => void;
 }
 
+/** The mapping, tenant and service that a request was resolved to. */
 export type Resolved = Readonly<{
   mappingName: string;
   mapping: Mapping;
   tenant: string;
   trustDomain: string;
   service: Pool | AppService;
-  /** The blueprint it was resolved under. */
+  /** The configuration that it was resolved with. */
   under: Blueprint;
 }>;
 
+/** The engine chosen for a request. */
 export type Placed = Readonly<{
   engine: string;
   address: string;
   bootEpoch: string;
   weights: string;
-  /** Blocks or parts, from the first on, that the engine keeps or is about to. */
+  /** Number of leading prompt blocks or parts that the engine has cached or is computing. */
   matched: number;
-  /** Tokens it must read for this order, as far as known. */
+  /** Tokens that the engine must prefill for this request, as far as known. */
   toRead?: number;
-  /** Another engine that would be the first to read its parts, and may have done so unseen. */
+  /** Another engine that prefills these parts by default, and may have them cached although this proxy has not heard of it. */
   home?: string;
-  /** The desk keeps the engine's time for it, and waits to hear when it was read. */
+  /** The scheduler has reserved engine time for it, and must be notified when the prompt has been prefilled. */
   reserved?: boolean;
 }>;
 
+/** State of one request on its way through the pipeline. */
 export type Context = Readonly<{
   order: Order;
   answer: AnswerSink;
   resolved?: Resolved;
-  /** Ends the place taken in the class and the pool; called once, whatever happens. */
+  /** Releases the slot held in the class and the pool; called exactly once, whatever the outcome. */
   release?: () => void;
+  /** Cache keys of the prompt. */
   keys?: PromptKeys;
   lookUp?: LookUp;
   placed?: Placed;
   fetch?: FetchPlan;
+  /** Number of sends to back ends so far. */
   sends: number;
-  /** How often it was resolved anew or held again; bounded, so that nothing goes round for ever. */
+  /** How often it was resolved again or queued again; bounded, so that no request circulates forever. */
   rounds: number;
-  /** Held before: it keeps its turn. */
+  /** It was queued before and keeps its position in the queue. */
   turnKept: boolean;
-  /** Its next send is a second one that is not paid for yet. */
+  /** Its next send is a retry that has not been charged to the retry budget yet. */
   owesSend: boolean;
-  /** An earlier send of a resumable order may have run; no later refusal may say it did not. */
+  /** An earlier send of a resumable request may have run; no later refusal may state that it did not. */
   mayHaveRun: boolean;
+  /** Engines that must not be chosen for the next send. */
   avoided: readonly string[];
-  /** The caller has events of an earlier send up to this one; the next send goes on after it. */
+  /** Id of the last event that an earlier send delivered to the client; the next send resumes after it. */
   after?: string;
 }>;
 
+/** What a policy decided. */
 export type Step =
+  /** Continue with the next policy. */
   | Readonly<{ kind: 'onward'; context: Context }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>
-  /** Nothing has run, or repeating does no harm: choose another back end. */
+  /** Nothing has run, or the request may safely be repeated: choose another back end. */
   | Readonly<{ kind: 'again'; context: Context; refusal: Refusal }>
-  /** The back end had no room and ran nothing: back to holding, in front of those who came later. */
+  /** The back end had no capacity and ran nothing: return to the queue, ahead of requests that arrived later. */
   | Readonly<{ kind: 'hold'; context: Context; refusal: Refusal }>
-  /** What it was taken under has changed and nothing has run: resolve it anew. */
+  /** The configuration has changed and nothing has run: resolve the request again. */
   | Readonly<{ kind: 'anew'; context: Context; refusal: Refusal }>
   | Readonly<{ kind: 'done' }>;
 
-/** One part of the way of an order. Policies stand in a row, and any of them may be exchanged. */
+/** One stage of the request pipeline. Policies run in sequence, and each can be replaced. */
 export interface Policy {
   readonly name: string;
   readonly apply: (context: Context) => Promise<Step>;
--- a/source/edge-proxy/path/orderLimits.ts
+++ b/source/edge-proxy/path/orderLimits.ts
@@ -1,12 +1,13 @@
 import type { Mapping } from '../../shared/blueprint/types';
 import type { Order } from './order';
 
+/** Time limits of a request. */
 export const OrderLimits = {
-  /** How long an order may take in all, from its arrival on: by its route's timeout and its caller's deadline. */
+  /** Total time that a request may take from its arrival: the shorter of its route's timeout and its client's deadline. */
   of: (
     { limitMicroseconds }: Pick<Order, 'limitMicroseconds'>,
     mapping: Pick<Mapping, 'limitMicroseconds'> | undefined,
   ): number =>
-    // A route without a timeout says 0.
+    // A limit of 0 means that the route has no timeout.
     Math.min(mapping?.limitMicroseconds || Infinity, limitMicroseconds ?? Infinity),
 } as const;
--- a/source/edge-proxy/path/orderTrace.ts
+++ b/source/edge-proxy/path/orderTrace.ts
@@ -7,7 +7,7 @@
 
 const milliseconds = (microseconds: number): number => Math.round(microseconds / 1000);
 
-/** Where the time of one request went: each policy it passed, for how long, and what that policy decided. */
+/** Records for one request how long each policy took and what it decided, for the log. */
 export class OrderTrace {
   private readonly stages: Stage[] = [];
   private sinceMicroseconds: number;
@@ -20,21 +20,23 @@
     this.sinceMicroseconds = order.arrivedMicroseconds;
   }
 
+  /** Records that a policy has finished with the request. */
   public passed(policy: string, step: Step['kind']): void {
     const now = this.clock.nowMicroseconds();
     this.stages.push({ policy, microseconds: now - this.sinceMicroseconds, step });
     this.sinceMicroseconds = now;
   }
 
+  /** Logs the trace when the request ends. */
   public ended({ order, resolved, placed }: Context, refusal: Refusal | undefined): void {
-    const took = milliseconds(this.clock.nowMicroseconds() - order.arrivedMicroseconds);
-    const how = refusal === undefined ? 'answered' : `refused ${refusal.status} ${refusal.code}`;
+    const elapsedMilliseconds = milliseconds(this.clock.nowMicroseconds() - order.arrivedMicroseconds);
+    const outcome = refusal === undefined ? 'answered' : `refused ${refusal.status} ${refusal.code}`;
     this.log(
-      `Request ${order.id} (${resolved?.mapping.class ?? 'unresolved'}, ${order.promptTokens ?? 0} tokens) at ${placed?.engine ?? 'no engine'} ${how} after ${took} ms: ${this.sentence()}.`,
+      `Request ${order.id} (${resolved?.mapping.class ?? 'unresolved'}, ${order.promptTokens ?? 0} tokens) at ${placed?.engine ?? 'no engine'} ${outcome} after ${elapsedMilliseconds} ms: ${this.sentence()}.`,
     );
   }
 
-  /** Stages that took no time and only led on are left out. */
+  /** The stages as text, without those that took less than 1 ms and just continued. */
   private sentence(): string {
     return this.stages
       .filter(({ microseconds, step }) => step !== 'onward' || microseconds >= 1000)
--- a/source/edge-proxy/path/pipeline.ts
+++ b/source/edge-proxy/path/pipeline.ts
@@ -4,32 +4,34 @@
 import type { Context, Policy, Step } from './order';
 import type { OrderTrace } from './orderTrace';
 
-/** How often one order may be resolved anew or go back to holding. */
-const mostRounds = 64;
+/** How often one request may be resolved again or return to the queue. */
+const maxRounds = 64;
 
+/** Names of the policies that a request returns to: to be resolved again, queued again or placed again. */
 export type Returns = Readonly<{ resolve: string; take: string; choose: string }>;
 
-/** Leads one order through the policies. Steps that lead back name the policy that they lead to. */
+/** Runs the policies for one request, in sequence. Steps that go back continue at the policies named in `returns`. */
 export class Pipeline {
   public constructor(
     private readonly policies: readonly Policy[],
     private readonly returns: Returns,
     private readonly log: Log,
-    /** Begins the trace of a request; undefined where nobody reads it. */
+    /** Starts the trace of a request; undefined if tracing is off. */
     private readonly traceOf: (start: Context) => OrderTrace | undefined = () => undefined,
   ) {}
 
+  /** Runs a request to its end; returns the refusal if it was refused. */
   public async run(start: Context): Promise<Refusal | undefined> {
     const trace = this.traceOf(start);
-    const passed = { context: start };
-    const refusal = await this.lead(passed, trace);
-    trace?.ended(passed.context, refusal);
+    const last = { context: start };
+    const refusal = await this.runPolicies(last, trace);
+    trace?.ended(last.context, refusal);
     return refusal;
   }
 
-  /** `passed` holds the context of the last step when it returns. */
-  private async lead(passed: { context: Context }, trace: OrderTrace | undefined): Promise<Refusal | undefined> {
-    let { context } = passed;
+  /** On return, `last` holds the context of the last step. */
+  private async runPolicies(last: { context: Context }, trace: OrderTrace | undefined): Promise<Refusal | undefined> {
+    let { context } = last;
     let index = 0;
     try {
       for (;;) {
@@ -41,28 +43,28 @@
         if (step.kind === 'refuse') return this.refuse(context, step.refusal);
         if (step.kind === 'onward' || step.kind === 'again') {
           context = step.context;
-          index = step.kind === 'again' ? this.placeOf(this.returns.choose) : index + 1;
+          index = step.kind === 'again' ? this.indexOfPolicy(this.returns.choose) : index + 1;
           continue;
         }
         context.release?.();
-        if (step.context.rounds >= mostRounds) return this.refuse(step.context, step.refusal);
-        context = back(step.context, step.kind === 'hold');
-        index = this.placeOf(step.kind === 'hold' ? this.returns.take : this.returns.resolve);
+        if (step.context.rounds >= maxRounds) return this.refuse(step.context, step.refusal);
+        context = returningContext(step.context, step.kind === 'hold');
+        index = this.indexOfPolicy(step.kind === 'hold' ? this.returns.take : this.returns.resolve);
       }
     } catch (error) {
-      this.log(`An order failed inside: ${Logs.text(error)}.`);
-      // Why that verdict: where the fault struck is not known, unless nothing was ever sent.
+      this.log(`A policy failed for a request: ${Logs.text(error)}.`);
+      // The verdict is `mayHaveRun` because the point of failure is unknown, except before resolution, when nothing has been sent.
       return this.refuse(
         context,
         Refusals.make(500, context.resolved === undefined ? 'notRun' : 'mayHaveRun', 'internal', 'The proxy failed.'),
       );
     } finally {
       context.release?.();
-      passed.context = context;
+      last.context = context;
     }
   }
 
-  private placeOf(name: string): number {
+  private indexOfPolicy(name: string): number {
     return this.policies.findIndex((policy) => policy.name === name);
   }
 
@@ -75,17 +77,17 @@
   }
 }
 
-/** An order that goes back has no place and no choice any more; what it was resolved to stays only while it is held. */
-const back = (
+/** The context of a request that goes back: without its slot and its engine; resolution and keys are kept only if it is queued again. */
+const returningContext = (
   { order, answer, resolved, keys, sends, rounds, mayHaveRun, owesSend, after }: Context,
-  held: boolean,
+  queued: boolean,
 ): Context => ({
   order,
   answer,
-  ...(held ? { resolved, keys } : {}),
+  ...(queued ? { resolved, keys } : {}),
   sends,
   rounds: rounds + 1,
-  turnKept: held,
+  turnKept: queued,
   owesSend,
   mayHaveRun,
   avoided: [],
--- a/source/edge-proxy/placement/byWork.ts
+++ b/source/edge-proxy/placement/byWork.ts
@@ -3,61 +3,65 @@
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import type { Candidate } from './engineView';
 
-/** What an engine would have to do for one order, and what it has to do besides. */
+/** One engine as a choice for a request: the work that the request would cause there, and the load it already has. */
 export type Offer = Candidate &
   Readonly<{
-    /** Leading parts that it keeps, or is about to. */
+    /** Leading prompt parts that it has cached or is computing. */
     matched: number;
-    /** Tokens it would read itself. */
+    /** Tokens that it would prefill itself. */
     toRead: number;
-    /** Time its import would take, before it reads; 0 without one. */
+    /** Time to import cached parts before the prefill starts; 0 without an import. */
     moveMicroseconds: number;
+    /** Prefill speed. */
     tokensPerMillisecond: number;
-    /** Tokens that running orders and kept parts share; 0: not known. */
+    /** Size of the memory, in tokens, that running requests and cached parts share; 0: not known. */
     keptTokens: number;
-    /** What speaks against one more copy of its shared parts there; less than nothing: one is wanted there. Missing: nothing. */
+    /** Cost of one more copy of the shared parts there; negative: a copy is wanted there. Missing: 0. */
     copyMicroseconds?: number;
-    /** Kept for short orders while there is room elsewhere. */
+    /** Reserved for short requests while other engines have capacity. */
     lane: boolean;
-    /** No kept connection to it waits, so that one would have to be made. */
+    /** There is no idle connection to it, so a new one would have to be opened. */
     needsConnection?: boolean;
   }>;
 
+/** The properties of a request that placement depends on. */
 export type Demand = Readonly<{
-  /** Tokens of the prompt and of what it may put out. */
+  /** Tokens of the prompt plus the maximum output. */
   tokens: number;
-  /** The names that the parts are kept under, the first one first. */
+  /** Cache keys of the prompt parts, in order. */
   parts: readonly PartKey[];
+  /** Zone of this proxy. */
   zone: string;
   isShort: boolean;
-  /** Where copies of its shared parts belong, the first one first; missing: nobody has said. */
+  /** Engines that should hold copies of the shared parts, the preferred one first; missing: not determined. */
   places?: readonly string[];
 }>;
 
+/** The costs of placement, as microseconds of delay. */
 export type WorkPlacementSettings = Readonly<{
-  /** What one more running order costs the others, in microseconds of delay that they feel. */
+  /** Cost of each request in flight: the delay that requests on the same engine cause each other. */
   sendMicroseconds: number;
-  /** How much chance there is among engines that look alike; more of it among many proxies. */
+  /** Range of the random jitter that spreads requests among engines of similar cost; scaled up with the number of proxies. */
   chanceMicroseconds: number;
-  /** What waiting costs where all places are taken, for each whole turn of them. */
+  /** Cost of queueing on an engine at full capacity, per full capacity of requests ahead. */
   turnMicroseconds: number;
-  /** What it costs to fill an engine's memory to the brim, where running orders are put back. */
+  /** Cost of exceeding the memory limit by a whole memory; an engine with full memory preempts running requests. */
   crowdMicroseconds: number;
-  /** The part of the memory that running orders may take before that, in per mille. */
+  /** Share of the memory that running requests may use without that cost, in per mille. */
   memoryPerMille: number;
-  /** What bytes between zones are worth, for an order of so many tokens. */
+  /** Cost of traffic between zones: a fixed part, and a part per thousand tokens of the request. */
   zoneMicroseconds: number;
   zoneMicrosecondsPerThousand: number;
-  /** What keeps long orders out of engines that are kept for short ones, and short ones out of the others. */
+  /** Cost of a long request on an engine reserved for short ones, and of a short request on any other engine. */
   longInLaneMicroseconds: number;
   shortOutsideMicroseconds: number;
-  /** What a part's first reader is drawn to its own engine by. */
+  /** Bonus of the engine that prefills a part by default when no engine has it cached. */
   homeMicroseconds: number;
-  /** What a new connection costs: its engine has work with it, and takes a bounded number of them from all proxies. */
+  /** Cost of a new connection: it is work for the engine, and the engine accepts a bounded number from all proxies together. */
   connectionMicroseconds: number;
-  /** What keeps orders from an engine that some failed at lately. */
+  /** Cost of an engine on which requests failed recently. */
   suspectMicroseconds: number;
-  /** What keeps long orders, and short ones, from an engine that is about to change its weights. */
+  /** Cost of an engine that is about to change its weights, for long and for short requests. */
   longChangesSoonMicroseconds: number;
   shortChangesSoonMicroseconds: number;
 }>;
@@ -77,122 +81,130 @@
     connectionMicroseconds: 5_000,
     suspectMicroseconds: 150_000,
     longChangesSoonMicroseconds: 120_000,
-    // Why less than to leave a lane: one that is turned away is soon sent again, one behind a long read is late.
+    // Less than the cost of leaving the reserved engines: a refused request is soon sent again, but one queued behind a long prefill
+    // is late.
     shortChangesSoonMicroseconds: 30_000,
   } satisfies WorkPlacementSettings,
 } as const;
 
-/** Starting value, ours: among so many proxies what is known of the others' sends is nearly right. */
-const promptProxies = 9;
+/** Up to this number of proxies, what each knows of the load of the others is nearly accurate. */
+const maxProxiesWithFreshLoads = 9;
 
-/** Offers that a short request compares in each group where what is known of other proxies' load is long over. */
-const leastCompared = 2;
+/** Minimum number of offers that a short request compares in each group where the known load of other proxies is outdated. */
+const minComparedPerGroup = 2;
 
-/** So many members, drawn without one twice. */
-const sampleOf = <Member>(members: readonly Member[], count: number, random: Random): readonly Member[] => {
+/** Random sample of `count` members, without replacement. */
+const sampleWithoutReplacement = <Member>(
+  members: readonly Member[],
+  count: number,
+  random: Random,
+): readonly Member[] => {
   if (members.length <= count) return members;
-  const left = [...members];
+  const remaining = [...members];
   const drawn: Member[] = [];
-  while (drawn.length < count) drawn.push(...left.splice(Math.floor(random.fraction() * left.length), 1));
+  while (drawn.length < count) drawn.push(...remaining.splice(Math.floor(random.fraction() * remaining.length), 1));
   return drawn;
 };
 
 /**
  * The offers that one short request compares: all of them among few proxies, a random few among many (power of two choices). A short
- * request ends before other proxies hear of it, so in a large fleet the engine that seems to have the least load would get the requests of
- * all proxies until the next news of it. Engines kept for short requests and the others are drawn from apart, so that both are compared.
+ * request ends before other proxies hear of it, so in a large fleet the engine with the least known load would get the requests of all
+ * proxies until its next load update. Reserved engines and the others are sampled separately, so that both groups are compared.
  */
-const comparedBy = (offers: readonly Offer[], proxies: number, random: Random): readonly Offer[] => {
+const comparedOffers = (offers: readonly Offer[], proxies: number, random: Random): readonly Offer[] => {
   if (!ByWork.isByOldNews(proxies)) return offers;
-  const part = (promptProxies / proxies) ** 2;
+  const sampledFraction = (maxProxiesWithFreshLoads / proxies) ** 2;
   return [true, false].flatMap((lane) => {
     const group = offers.filter((offer) => offer.lane === lane);
-    return sampleOf(group, Math.max(leastCompared, Math.round(group.length * part)), random);
+    return sampleWithoutReplacement(
+      group,
+      Math.max(minComparedPerGroup, Math.round(group.length * sampledFraction)),
+      random,
+    );
   });
 };
 
-/** Which engine an order of named parts goes to: the one whose answer begins soonest, all costs counted as time. */
+/** Chooses the engine for a request with named prompt parts: the one with the lowest cost, where all costs count as delay. */
 export const ByWork = {
-  /** Whether so many proxies know each other's load too late for short orders. */
-  isByOldNews: (proxies: number): boolean => proxies > promptProxies,
+  /** Whether there are so many proxies that they learn each other's load too late for short requests. */
+  isByOldNews: (proxies: number): boolean => proxies > maxProxiesWithFreshLoads,
 
-  cost: (offer: Offer, demand: Demand, home: string | undefined, settings: WorkPlacementSettings): number => {
+  /** The total cost of an offer. */
+  cost: (offer: Offer, needs: Demand, home: string | undefined, settings: WorkPlacementSettings): number => {
     const { work, toRead, tokensPerMillisecond } = offer;
-    const reading = ((work.reading + toRead) * 1000) / tokensPerMillisecond;
+    const prefillMicroseconds = ((work.reading + toRead) * 1000) / tokensPerMillisecond;
     return (
-      reading +
+      prefillMicroseconds +
       (offer.copyMicroseconds ?? 0) +
-      ByWork.costBesides(offer, demand, settings) -
+      ByWork.costBesides(offer, needs, settings) -
       (offer.name === home ? settings.homeMicroseconds : 0)
     );
   },
 
-  /** All that speaks against an offer but reading and waiting for what others have read. */
-  costBesides: (offer: Offer, demand: Demand, settings: WorkPlacementSettings): number => {
+  /** The cost of an offer without the prefill, its own and that of earlier requests, and without copies. */
+  costBesides: (offer: Offer, needs: Demand, settings: WorkPlacementSettings): number => {
     const { work, capacity, inFlight, keptTokens } = offer;
-    const turns = Math.max(0, inFlight + 1 - capacity) / Math.max(1, capacity);
-    const room = (keptTokens * settings.memoryPerMille) / 1000;
-    const crowd = keptTokens === 0 ? 0 : Math.max(0, (work.tokens + demand.tokens - room) / keptTokens);
-    const away =
-      offer.zone === demand.zone
+    const queuedTurns = Math.max(0, inFlight + 1 - capacity) / Math.max(1, capacity);
+    const memoryLimit = (keptTokens * settings.memoryPerMille) / 1000;
+    const memoryExcess = keptTokens === 0 ? 0 : Math.max(0, (work.tokens + needs.tokens - memoryLimit) / keptTokens);
+    const zoneCost =
+      offer.zone === needs.zone
         ? 0
-        : settings.zoneMicroseconds + (settings.zoneMicrosecondsPerThousand * demand.tokens) / 1000;
-    const apart =
-      demand.isShort === offer.lane
+        : settings.zoneMicroseconds + (settings.zoneMicrosecondsPerThousand * needs.tokens) / 1000;
+    const reservationCost =
+      needs.isShort === offer.lane
         ? 0
-        : demand.isShort
+        : needs.isShort
           ? settings.shortOutsideMicroseconds
           : settings.longInLaneMicroseconds;
-    const soon =
+    const weightChangeCost =
       offer.changesSoon !== true
         ? 0
-        : demand.isShort
+        : needs.isShort
           ? settings.shortChangesSoonMicroseconds
           : settings.longChangesSoonMicroseconds;
     return (
-      apart +
+      reservationCost +
       (offer.standing === 'suspected' ? settings.suspectMicroseconds : 0) +
-      soon +
-      (offer.needsConnection === true && demand.isShort ? settings.connectionMicroseconds : 0) +
+      weightChangeCost +
+      (offer.needsConnection === true && needs.isShort ? settings.connectionMicroseconds : 0) +
       offer.moveMicroseconds +
       inFlight * settings.sendMicroseconds +
-      turns * settings.turnMicroseconds +
-      crowd * settings.crowdMicroseconds +
-      away
+      queuedTurns * settings.turnMicroseconds +
+      memoryExcess * settings.crowdMicroseconds +
+      zoneCost
     );
   },
 
   /**
-   * The engine that reads a part nobody is known to keep. Why one for all: two proxies that both find it nowhere then
-   * choose the same, and one of them reads it.
+   * The engine that prefills parts by default when no engine is known to have them cached. It is the same for all proxies, so that two
+   * proxies that find the parts nowhere choose the same engine and the parts are prefilled once.
    */
-  homeOf: (
-    parts: readonly PartKey[],
-    offers: readonly Readonly<{ name: string; lane: boolean }>[],
-  ): string | undefined => {
+  homeOf: (parts: readonly PartKey[], offers: readonly Offer[]): string | undefined => {
     const first = parts[0];
     if (first === undefined) return undefined;
-    const outside = offers.filter(({ lane }) => !lane);
-    const names = (outside.length > 0 ? outside : offers).map(({ name }) => name);
+    const unreserved = offers.filter(({ lane }) => !lane);
+    const names = (unreserved.length > 0 ? unreserved : offers).map(({ name }) => name);
     return Rendezvous.first(first.name, names);
   },
 
+  /** The offer with the lowest cost plus jitter. */
   choose: (
     offers: readonly Offer[],
-    demand: Demand,
+    needs: Demand,
     random: Random,
     settings: WorkPlacementSettings,
-    /** Proxies that choose by the same numbers. */
+    /** Number of proxies that choose by the same load figures. */
     proxies = 1,
   ): Offer | undefined => {
-    const known = offers.some(({ matched, moveMicroseconds }) => matched > 0 || moveMicroseconds > 0);
-    const home = known ? undefined : (demand.places?.[0] ?? ByWork.homeOf(demand.parts, offers));
-    // Why chance: proxies that see the same numbers must not all choose the same engine. Why more among many: all place
-    // orders by what was so half a second ago, and the engine that had least to do then would get them all.
-    const spread = settings.chanceMicroseconds * Math.max(1, proxies / promptProxies);
+    const isCached = offers.some(({ matched, moveMicroseconds }) => matched > 0 || moveMicroseconds > 0);
+    const home = isCached ? undefined : (needs.places?.[0] ?? ByWork.homeOf(needs.parts, offers));
+    // Jitter keeps proxies that see the same figures from all choosing the same engine. It grows with the number of proxies because all
+    // of them use load figures that are half a second old, and the engine with the least load then would get all requests.
+    const jitter = settings.chanceMicroseconds * Math.max(1, proxies / maxProxiesWithFreshLoads);
     let best: Readonly<{ offer: Offer; cost: number }> | undefined;
-    for (const offer of demand.isShort ? comparedBy(offers, proxies, random) : offers) {
-      const cost = ByWork.cost(offer, demand, home, settings) + random.fraction() * spread;
+    for (const offer of needs.isShort ? comparedOffers(offers, proxies, random) : offers) {
+      const cost = ByWork.cost(offer, needs, home, settings) + random.fraction() * jitter;
       if (best === undefined || cost < best.cost) best = { offer, cost };
     }
     return best?.offer;
--- a/source/edge-proxy/placement/deskLink.ts
+++ b/source/edge-proxy/placement/deskLink.ts
@@ -4,70 +4,73 @@
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 
-/** Starting value, ours: after so many asks in vain the desk is left alone for a while. */
-const mostMissed = 2;
-const restMicroseconds = 1_000_000;
+/** After this many consecutive failures, requests to the scheduler pause. */
+const maxConsecutiveFailures = 2;
+/** Length of that pause. */
+const pauseMicroseconds = 1_000_000;
 
-/** The way to the daemon that places long orders for all. Without a word in time, each proxy places for itself. */
+/** Client of the scheduler, the agent that places long requests for all proxies. Without a timely answer, the proxy places a request itself. */
 export class DeskLink {
   private missed = 0;
-  private restUntil = -Infinity;
+  private pausedUntil = -Infinity;
 
   public constructor(
     private readonly transport: Transport,
     private readonly clock: Clock,
     private readonly address: () => string | undefined,
-    /** How long a request waits for the desk's word; 0: none is asked. */
+    /** How long a request waits for the scheduler's answer; 0: the scheduler is not asked. */
     private readonly askMicroseconds: number,
     private readonly metrics: Metrics,
     private readonly log: Log,
   ) {}
 
+  /** Asks the scheduler to place a request; undefined: the proxy places it itself. */
   public async reserve(order: DeskOrder): Promise<DeskWord | undefined> {
     const address = this.address();
     if (this.askMicroseconds === 0) return undefined;
-    const asked = this.clock.nowMicroseconds();
-    if (address === undefined || asked < this.restUntil) {
-      this.said(order, address === undefined ? 'unknown' : 'resting', asked);
+    const startedMicroseconds = this.clock.nowMicroseconds();
+    if (address === undefined || startedMicroseconds < this.pausedUntil) {
+      this.recordResult(order, address === undefined ? 'unknown' : 'resting', startedMicroseconds);
       return undefined;
     }
     const answer = await this.transport.ask(address, { kind: 'reserve', order }, this.askMicroseconds);
-    const word = answer.kind === 'answered' && answer.message.kind === 'reserved' ? answer.message['word'] : undefined;
-    if (DeskMessages.isWord(word) && word.engine !== '') {
+    const decision =
+      answer.kind === 'answered' && answer.message.kind === 'reserved' ? answer.message['word'] : undefined;
+    if (DeskMessages.isWord(decision) && decision.engine !== '') {
       this.missed = 0;
-      this.said(order, 'placed', asked);
-      return word;
+      this.recordResult(order, 'placed', startedMicroseconds);
+      return decision;
     }
-    this.said(order, answer.kind === 'answered' ? 'declined' : 'silent', asked);
+    this.recordResult(order, answer.kind === 'answered' ? 'declined' : 'silent', startedMicroseconds);
     this.missed += 1;
-    // Why rest: each ask in vain keeps an order waiting.
-    if (this.missed >= mostMissed) this.restUntil = this.clock.nowMicroseconds() + restMicroseconds;
+    // Paused because each failed call delays a request.
+    if (this.missed >= maxConsecutiveFailures) this.pausedUntil = this.clock.nowMicroseconds() + pauseMicroseconds;
     return undefined;
   }
 
-  /** `unknown`: no holder of the list duty is known. `declined`: the agent that was asked holds it no longer. */
-  private said(
+  /** `unknown`: the agent that is the scheduler is not known. `declined`: the agent that was asked no longer is the scheduler. */
+  private recordResult(
     { order }: DeskOrder,
     result: 'placed' | 'declined' | 'silent' | 'resting' | 'unknown',
-    askedMicroseconds: number,
+    startedMicroseconds: number,
   ): void {
-    const took = Math.round((this.clock.nowMicroseconds() - askedMicroseconds) / 1000);
+    const elapsedMilliseconds = Math.round((this.clock.nowMicroseconds() - startedMicroseconds) / 1000);
     this.metrics.count('postdrum_desk_words_total', { result });
-    this.log(`Request ${order} ${result} after ${took} ms.`);
+    this.log(`Request ${order} ${result} after ${elapsedMilliseconds} ms.`);
   }
 
-  /** Resolves once another order has read what this one shares with it, at the latest after that time. */
+  /** Resolves when another request has prefilled the shared prefix, at the latest about `limitMicroseconds` later. */
   public async read(prefix: string, limitMicroseconds: number): Promise<void> {
     const address = this.address();
     if (address === undefined || limitMicroseconds <= 0) return;
-    // Why with a limit here too: a desk that fell silent must not keep the order.
+    // The call has a timeout here too, so that an unresponsive scheduler does not block the request.
     await this.transport.ask(address, { kind: 'awaitRead', prefix }, limitMicroseconds + this.askMicroseconds);
   }
 
-  /** Said and forgotten: a word that is lost makes the desk think the engine busy for a little longer. */
+  /** Reports a finished prefill, without retries: after a lost message, the scheduler considers the engine busy for a little longer. */
   public done(engine: string, order: string, good: boolean): void {
     const address = this.address();
-    if (address === undefined || this.clock.nowMicroseconds() < this.restUntil) return;
+    if (address === undefined || this.clock.nowMicroseconds() < this.pausedUntil) return;
     void this.transport.ask(address, { kind: 'readDone', engine, order, good }, this.askMicroseconds * 4);
   }
 }
--- a/source/edge-proxy/placement/engineRefusals.ts
+++ b/source/edge-proxy/placement/engineRefusals.ts
@@ -1,24 +1,26 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 
-/** Starting value, ours: how long an engine's word that it is full may stand without fresher news. */
-const fullMicroseconds = 300_000;
+/** How long an engine counts as full after it has reported so, without newer information. */
+const fullExpiryMicroseconds = 300_000;
 
-/** Starting value, ours: how long an engine that a send did not find is left alone without fresher news. */
-const absentMicroseconds = 500_000;
+/** How long an engine counts as absent after a send did not reach it, without newer information. */
+const absentExpiryMicroseconds = 500_000;
 
+/** State when the engine refused: version of its report, other sends of this proxy, and time. */
 type Full = Readonly<{ version: string; own: number; at: number }>;
 type Absent = Readonly<{ version: string; at: number }>;
 
-/** What engines said to sends that they did not run: that they are full, or that they are not the one that was meant. */
+/** Remembers engines that refused a send without running it: because they are full, or because the address is no longer theirs. */
 export class EngineRefusals {
   private readonly full = new Map<string, Full>();
   private readonly absent = new Map<string, Absent>();
 
   public constructor(
     private readonly clock: Clock,
-    /** Version of the steward's word on an engine. */
+    /** Version of the monitoring agent's report on an engine. */
     private readonly versionOf: (engine: string) => string,
-    private readonly ownAt: (engine: string) => number,
+    /** Number of sends of this proxy in flight at an engine. */
+    private readonly ownSendsAt: (engine: string) => number,
   ) {}
 
   public get hasFull(): boolean {
@@ -30,43 +32,47 @@
   }
 
   /**
-   * The engine's own word to a send that it has no room. It stands until there is fresher news of that engine, or an own
-   * order ended there. Why without the send that was told so: it still counts as in flight, and its end makes no room.
+   * Records that an engine refused a send because it is full. This holds until there is newer information about the engine or
+   * one of this proxy's requests ends there. The refused send itself is not counted: it is still in flight, but its end frees no
+   * capacity.
    */
   public saidFull(engine: string): void {
     this.full.set(engine, {
       version: this.versionOf(engine),
-      own: this.ownAt(engine) - 1,
+      own: this.ownSendsAt(engine) - 1,
       at: this.clock.nowMicroseconds(),
     });
   }
 
-  /** At its address nobody is there, or another one. It stands as long as the word that an engine is full. */
+  /** Records that nothing, or another engine, answers at its address. This holds until newer information or until it expires. */
   public saidAbsent(engine: string): void {
     this.absent.set(engine, { version: this.versionOf(engine), at: this.clock.nowMicroseconds() });
   }
 
   public isFull(engine: string): boolean {
-    const said = this.full.get(engine);
-    if (said === undefined) return false;
-    // Why any of three: an own order that ended made room, the steward has looked since, or the word is simply old.
-    const old = this.clock.nowMicroseconds() - said.at > fullMicroseconds;
-    if (!old && said.version === this.versionOf(engine) && this.ownAt(engine) >= said.own) return true;
+    const report = this.full.get(engine);
+    if (report === undefined) return false;
+    // Any of three things ends it: a request of this proxy ended there, the agent has reported since, or it has expired.
+    const isExpired = this.clock.nowMicroseconds() - report.at > fullExpiryMicroseconds;
+    if (!isExpired && report.version === this.versionOf(engine) && this.ownSendsAt(engine) >= report.own) return true;
     this.full.delete(engine);
     return false;
   }
 
   public isAbsent(engine: string): boolean {
-    const said = this.absent.get(engine);
-    if (said === undefined) return false;
-    // Why not for long: it may have been this proxy's link, and the steward sees more than one send.
-    if (this.clock.nowMicroseconds() - said.at < absentMicroseconds && said.version === this.versionOf(engine))
+    const report = this.absent.get(engine);
+    if (report === undefined) return false;
+    // Expires soon because the fault may be this proxy's own link, and the monitoring agent sees more than one send.
+    if (
+      this.clock.nowMicroseconds() - report.at < absentExpiryMicroseconds &&
+      report.version === this.versionOf(engine)
+    )
       return true;
     this.absent.delete(engine);
     return false;
   }
 
-  /** Drops what no longer stands. Why: the word on an engine that has left the list is asked for by nobody. */
+  /** Drops expired entries, because nothing looks up those of engines that have left the list. */
   public review(): void {
     for (const engine of this.full.keys()) this.isFull(engine);
     for (const engine of this.absent.keys()) this.isAbsent(engine);
--- a/source/edge-proxy/placement/engineView.ts
+++ b/source/edge-proxy/placement/engineView.ts
@@ -13,31 +13,35 @@
 import { OtherProxies, type OtherLoads } from './otherProxies';
 import { OwnSends } from './ownSends';
 
+/** An engine that may be chosen for a request. */
 export type Candidate = Readonly<{
   name: string;
   address: string;
   bootEpoch: string;
   weights: string;
   capacity: number;
+  /** Requests in flight there, of all proxies as far as known. */
   inFlight: number;
   zone: string;
-  /** Tokens that are being read for sends whose answers have not begun, and of all sends, as far as known. */
+  /** Work there, of all proxies as far as known. */
   work: WorkSum;
-  /** Missing: as any other. `suspected`: others go first. `probation`: it gets one order at a time, to see what becomes of it. */
+  /** Missing: healthy. `suspected`: other engines are preferred. `probation`: it gets one request at a time, as a probe. */
   standing?: Standing;
-  /** It is on the weights before, and about to be given the new ones: what it has not begun then it turns away. */
+  /** It still has the previous weights and will be given the new ones soon; it then refuses requests that it has not started. */
   changesSoon?: boolean;
 }>;
 
+/** A cache store that answers. */
 export type Store = Readonly<{ name: string; address: string; bootEpoch: string }>;
 
+/** Requests that an app back end is assumed to run at once; apps report no capacity. */
 const appCapacity = 64;
 
-/** So long what depends on the time of day is good for, if nothing changes before. */
-const workedMicroseconds = 1_000;
+/** How long cached results that depend on the time are used if nothing else changes. */
+const cacheMicroseconds = 1_000;
 
-/** An engine that could take work, and all of it that does not change with each order. */
-type Able = Readonly<{
+/** An engine that could accept work, with the properties that do not change with each request. */
+type UsableEngine = Readonly<{
   name: string;
   address: string;
   bootEpoch: string;
@@ -46,34 +50,35 @@
   zone: string;
   changesSoon?: boolean;
 }>;
-type AbleOnes = Readonly<{
+type UsableEngines = Readonly<{
   at: number;
   mark: string;
   list: EngineList | undefined;
   blueprint: Blueprint | undefined;
-  /** Whether time alone changes nothing of it. */
-  isTimeless: boolean;
-  engines: readonly Able[];
-  /** Places that may be given away in all of them. */
-  room: number;
+  /** Whether the result does not depend on the time. */
+  isTimeIndependent: boolean;
+  engines: readonly UsableEngine[];
+  /** Number of requests that may be in flight on all of them together. */
+  sendLimit: number;
 }>;
-type WorkedOut = Readonly<{
+type CachedCandidates = Readonly<{
   at: number;
   mark: string;
-  of: AbleOnes;
+  of: UsableEngines;
   others: OtherLoads;
   candidates: readonly Candidate[];
 }>;
-/** What this proxy knows of the back ends: the platform's list, the stewards' word, loads here and elsewhere. */
+
+/** What this proxy knows of the back ends, from the platform's list, the monitoring agents' reports and the loads of all proxies. */
 export class EngineView {
   public readonly others: OtherProxies;
   private readonly own: OwnSends;
   private readonly refusals: EngineRefusals;
-  private readonly worked = new Map<string, WorkedOut>();
-  private readonly ableOnes = new Map<string, AbleOnes>();
+  private readonly candidateCache = new Map<string, CachedCandidates>();
+  private readonly usableCache = new Map<string, UsableEngines>();
   private readonly weightOrders = new Map<string, Readonly<{ of: string; engines: readonly string[] }>>();
-  private ownChanges = 0;
-  private index: Readonly<{ of: EngineList; services: ReadonlyMap<string, Listed> }> | undefined;
+  private ownChangeCount = 0;
+  private index: Readonly<{ of: EngineList; services: ReadonlyMap<string, ListedEngines> }> | undefined;
 
   public constructor(
     private readonly self: string,
@@ -82,7 +87,7 @@
     private readonly fence: Fence,
     private readonly clock: Clock,
     public readonly work: EngineWork,
-    private readonly roomPerMille = 1000,
+    private readonly sendLimitPerMille = 1000,
     public readonly outliers = new OutlierDetector(self, clock, OutlierSettings.usual),
     received: () => OthersTogether | undefined = () => undefined,
   ) {
@@ -95,63 +100,71 @@
     );
   }
 
+  /** Records the start of a send. */
   public began(engine: string): void {
-    this.ownChanges += 1;
+    this.ownChangeCount += 1;
     this.own.began(engine);
   }
 
-  /** Sends begun so lately that no other proxy can know of them yet; as little is known here of theirs. */
+  /** Number of sends started so recently that no other proxy can know of them; equally recent ones of others are unknown here. */
   public unseen(engine: string): number {
     return this.own.unseen(engine);
   }
 
+  /** Records the end of a send. */
   public ended(engine: string): void {
-    this.ownChanges += 1;
+    this.ownChangeCount += 1;
     this.own.ended(engine);
   }
 
+  /** Number of this proxy's sends in flight at an engine. */
   public ownInFlight(engine: string): number {
     return this.own.at(engine);
   }
 
-  /** The engine's own word to a send that it has no room. */
+  /** Records that an engine refused a send because it is full. */
   public saidFull(engine: string): void {
-    this.ownChanges += 1;
+    this.ownChangeCount += 1;
     this.refusals.saidFull(engine);
   }
 
-  /** At its address nobody is there, or another one. */
+  /** Records that nothing, or another engine, answers at its address. */
   public saidOther(engine: string): void {
-    this.ownChanges += 1;
+    this.ownChangeCount += 1;
     this.refusals.saidAbsent(engine);
   }
 
+  /** Number of this proxy's sends in flight, by engine. */
   public loads(): Readonly<Record<string, number>> {
     return this.own.counts();
   }
 
+  /** The loads of the other proxies. */
   public otherLoads(): readonly LoadFact[] {
     return this.others.now().loads;
   }
 
-  /** Proxies that seem to be there, this one included. */
+  /** Number of proxies that seem to be running, including this one. */
   public proxies(): number {
     return this.others.count();
   }
 
-  /** Engines of a service that new work may go to. */
+  /** The engines of a service that new requests may be sent to. */
   public candidates(service: string): readonly Candidate[] {
-    return this.workedOut(service).candidates;
+    return this.cachedCandidates(service).candidates;
   }
 
-  /** Whether an order that was placed at this engine, as it was then, may still go there; also where it is left out by now. */
-  public isAble(service: string, { name, bootEpoch, weights }: Pick<Able, 'name' | 'bootEpoch' | 'weights'>): boolean {
-    return this.ableNow(service).engines.some(
+  /** Whether a request placed on this instance of the engine may still be sent there, even if it was ejected as an outlier since. */
+  public isAble(
+    service: string,
+    { name, bootEpoch, weights }: Pick<UsableEngine, 'name' | 'bootEpoch' | 'weights'>,
+  ): boolean {
+    return this.usableEngines(service).engines.some(
       (engine) => engine.name === name && engine.bootEpoch === bootEpoch && engine.weights === weights,
     );
   }
 
-  /** Called with news: engines are judged by what became of orders, here and elsewhere. */
+  /** Called when gossip arrives: detects outliers by the outcomes of requests, here and at other proxies. */
   public review(): void {
     this.refusals.review();
     const others = this.others.now();
@@ -161,27 +174,27 @@
     });
   }
 
-  private workedOut(service: string): WorkedOut {
+  private cachedCandidates(service: string): CachedCandidates {
     const now = this.clock.nowMicroseconds();
-    const of = this.ableNow(service);
+    const of = this.usableEngines(service);
     const others = this.others.now();
-    const mark = `${this.ownChanges}/${this.work.changes}/${this.outliers.changes}`;
-    const known = this.worked.get(service);
-    // Why for a moment only where an engine said that it is full: that word loses its force with time.
-    const stands = !this.refusals.hasFull || now - (known?.at ?? 0) < workedMicroseconds;
-    if (known !== undefined && stands && known.of === of && known.others === others && known.mark === mark)
+    const mark = `${this.ownChangeCount}/${this.work.changes}/${this.outliers.changes}`;
+    const known = this.candidateCache.get(service);
+    // If an engine has reported that it is full, the result is cached for a moment only, because the report expires.
+    const isCurrent = !this.refusals.hasFull || now - (known?.at ?? 0) < cacheMicroseconds;
+    if (known !== undefined && isCurrent && known.of === of && known.others === others && known.mark === mark)
       return known;
     const able = of.engines.map((engine): Candidate => ({
       ...engine,
       inFlight: this.inFlightAt(engine),
       work: this.workAt(engine.name),
     }));
-    const worked: WorkedOut = { at: now, mark, of, others, candidates: this.withoutOutliers(able) };
-    this.worked.set(service, worked);
-    return worked;
+    const created: CachedCandidates = { at: now, mark, of, others, candidates: this.withoutOutliers(able) };
+    this.candidateCache.set(service, created);
+    return created;
   }
 
-  private inFlightAt({ name, capacity }: Able): number {
+  private inFlightAt({ name, capacity }: UsableEngine): number {
     const counted = this.ownInFlight(name) + this.others.at(name).sends;
     return this.refusals.isFull(name) ? Math.max(counted, capacity) : counted;
   }
@@ -192,46 +205,47 @@
     return { reading: own.reading + elsewhere.work.reading, tokens: own.tokens + elsewhere.work.tokens };
   }
 
-  /** Why apart from the counts: these change with each order, and which engines there are hardly ever. */
-  private ableNow(service: string): AbleOnes {
+  /** Cached apart from the load counts: these change with each request, but the usable engines hardly ever. */
+  private usableEngines(service: string): UsableEngines {
     const now = this.clock.nowMicroseconds();
     const { engines: list, blueprint } = this.freshness;
     const mark = `${this.facts.changesOf('engine')}/${this.outliers.changes}`;
-    const known = this.ableOnes.get(service);
+    const known = this.usableCache.get(service);
     if (
       known !== undefined &&
-      ((known.isTimeless && !this.refusals.hasAbsent) || now - known.at < workedMicroseconds) &&
+      ((known.isTimeIndependent && !this.refusals.hasAbsent) || now - known.at < cacheMicroseconds) &&
       known.mark === mark &&
       known.list === list &&
       known.blueprint === blueprint
     )
       return known;
-    let isTimeless = true;
-    let hasOld = false;
-    const found = this.listed(service).flatMap(([name, engine]): readonly Able[] => {
+    let isTimeIndependent = true;
+    let hasPreviousWeights = false;
+    const found = this.listed(service).flatMap(([name, engine]): readonly UsableEngine[] => {
       const { address, zone } = engine;
       if (engine.kind === 'app') return [{ name, address, bootEpoch: '', weights: '', capacity: appCapacity, zone }];
-      const fact = this.wordOf(service, name, engine);
+      const fact = this.factOf(service, name, engine);
       if (fact === undefined || fact.changing || fact.address !== address) return [];
-      // Why an engine its steward does not hear: it may be the way to its control side alone, while it answers orders.
+      // An engine that its monitoring agent cannot reach may still answer requests: only the link to its control interface may be down.
       if (fact.reachable) this.outliers.heardOf(name);
-      else isTimeless = false;
+      else isTimeIndependent = false;
       if (fact.reachable ? !fact.accepting : !this.outliers.answersThoughSilent(name, this.versionOf(name))) return [];
-      const word = this.fence.weights(service, fact.weights);
-      if (word !== 'intended') isTimeless = false;
-      if (word === 'untilChanged') hasOld = true;
-      if (word === 'forbidden' || this.refusals.isAbsent(name)) return [];
+      const permission = this.fence.weights(service, fact.weights);
+      if (permission !== 'intended') isTimeIndependent = false;
+      if (permission === 'untilChanged') hasPreviousWeights = true;
+      if (permission === 'forbidden' || this.refusals.isAbsent(name)) return [];
       const { bootEpoch, weights, capacity } = fact;
       return [{ name, address, bootEpoch, weights, capacity, zone }];
     });
-    const soon = hasOld ? this.changingSoon(service) : undefined;
+    const soon = hasPreviousWeights ? this.changingSoon(service) : undefined;
     const engines = soon === undefined ? found : found.map((one) => ({ ...one, changesSoon: soon.has(one.name) }));
-    const room = engines.reduce((sum, { capacity }) => sum + this.roomIn(capacity), 0);
-    const made: AbleOnes = { at: now, mark, list, blueprint, isTimeless, engines, room };
-    this.ableOnes.set(service, made);
-    return made;
+    const sendLimit = engines.reduce((sum, { capacity }) => sum + this.sendLimitOf(capacity), 0);
+    const created: UsableEngines = { at: now, mark, list, blueprint, isTimeIndependent, engines, sendLimit };
+    this.usableCache.set(service, created);
+    return created;
   }
 
+  /** Engines that will be given new weights soon. */
   private changingSoon(service: string): ReadonlySet<string> {
     const { blueprint } = this.freshness;
     const pool = blueprint?.services[service];
@@ -248,6 +262,7 @@
     return new Set(WeightsRounds.soon(order.engines, hasChanged));
   }
 
+  /** Drops ejected engines and marks those that are suspected or on probation. */
   private withoutOutliers(able: readonly Candidate[]): readonly Candidate[] {
     const standings = this.outliers.standingsIn(able, (name) => this.ownInFlight(name) === 0);
     if (standings.size === 0) return able;
@@ -258,36 +273,41 @@
     });
   }
 
-  /** Whether the platform still lists the engine for new work. */
+  /** Whether the platform still lists the engine as ready. */
   public isListed(service: string, name: string): boolean {
     return this.listed(service).some(([engine]) => engine === name);
   }
 
+  /** Number of requests that may be in flight on the engines of a service. */
   public capacity(service: string): number {
-    if (!this.outliers.hasAny) return this.ableNow(service).room;
-    return this.inService(service).reduce((sum, { capacity }) => sum + this.roomIn(capacity), 0);
+    if (!this.outliers.hasAny) return this.usableEngines(service).sendLimit;
+    return this.countedCandidates(service).reduce((sum, { capacity }) => sum + this.sendLimitOf(capacity), 0);
   }
 
-  /** Places that seem to be free at this moment; counts of other proxies are hints. */
+  /** Number of further requests that the engines of a service can take now, approximate because loads of other proxies arrive late. */
   public free(service: string): number {
-    // Why not the candidates where no engine is left out: they are made for one placement, and this is asked far more often.
-    const engines = this.outliers.hasAny ? this.inService(service) : this.ableNow(service).engines;
+    // Without outliers, the candidates need not be built: they are for placement, and this is called far more often.
+    const engines = this.outliers.hasAny ? this.countedCandidates(service) : this.usableEngines(service).engines;
     return engines.reduce(
-      (sum, engine) => sum + Math.max(0, this.roomIn(engine.capacity) - this.inFlightAt(engine)),
+      (sum, engine) => sum + Math.max(0, this.sendLimitOf(engine.capacity) - this.inFlightAt(engine)),
       0,
     );
   }
 
-  /** Why without those on probation: one order at a time is no room to count on. */
-  private inService(service: string): readonly Candidate[] {
+  /** Candidates without those on probation, which get one request at a time and so add no capacity. */
+  private countedCandidates(service: string): readonly Candidate[] {
     return this.candidates(service).filter(({ standing }) => standing !== 'probation');
   }
 
-  /** Why more than its places: an engine lets its own waiting orders in by their urgency, sooner than any proxy could. */
-  private roomIn(capacity: number): number {
-    return Math.floor((capacity * this.roomPerMille) / 1000);
+  /**
+   * Number of requests that may be in flight at an engine. It may exceed the capacity because an engine starts its own queued requests
+   * by urgency, sooner than any proxy could.
+   */
+  private sendLimitOf(capacity: number): number {
+    return Math.floor((capacity * this.sendLimitPerMille) / 1000);
   }
 
+  /** Boot epoch of an engine or store; undefined: not known, or not reachable. */
   public bootEpochOf(holder: string): string | undefined {
     const address = this.addressOf(holder);
     const fact = this.facts.value<EngineFact>(FactKeys.engine(holder));
@@ -308,7 +328,7 @@
     return this.freshness.blueprint?.stores?.[holder];
   }
 
-  /** Stores that answer, from the list or from the operators' document. */
+  /** Stores that answer, from the engine list or from the operators' configuration. */
   public stores(): readonly Store[] {
     const listed = Object.entries(this.freshness.engines?.engines ?? {}).flatMap(([name, engine]) =>
       engine.kind === 'store' && engine.state === 'ready' ? [[name, engine.address] as const] : [],
@@ -318,9 +338,9 @@
     );
     return [...listed, ...named].flatMap(([name, address]) => {
       const bootEpoch = this.bootEpochOf(name);
-      // Why one that nobody has spoken of: who has just started knows no stewards yet, and a store outlives daemons.
-      const unheard = bootEpoch === undefined && this.facts.get(FactKeys.engine(name)) === undefined;
-      return bootEpoch === undefined && !unheard ? [] : [{ name, address, bootEpoch: bootEpoch ?? '' }];
+      // A store without any report is used, too: a proxy that has just started knows no reports yet, and stores outlive the daemons.
+      const isUnreported = bootEpoch === undefined && this.facts.get(FactKeys.engine(name)) === undefined;
+      return bootEpoch === undefined && !isUnreported ? [] : [{ name, address, bootEpoch: bootEpoch ?? '' }];
     });
   }
 
@@ -329,11 +349,11 @@
   }
 
   /**
-   * What is known of an engine: its steward's word. Where there is none yet, what the list itself says of it. Why that
-   * is enough: each send names the instance and the weights that it is meant for, and another engine does not run it.
-   * A list that says nothing of weights is not enough: an engine nobody has confirmed may run on any.
+   * What is known of an engine: the report of its monitoring agent or, without one, its entry in the list. The entry is enough
+   * because each send names the instance and the weights that it is meant for, and another engine does not run it. An entry without
+   * weights is not enough, because an engine without a report may have any weights.
    */
-  private wordOf(service: string, name: string, engine: Engine): EngineFact | undefined {
+  private factOf(service: string, name: string, engine: Engine): EngineFact | undefined {
     const fact = this.facts.value<EngineFact>(FactKeys.engine(name));
     if (fact !== undefined || engine.weights === undefined || engine.capacity === undefined) return fact;
     const pool = this.freshness.blueprint?.services[service];
@@ -353,15 +373,16 @@
     };
   }
 
+  /** Version of the monitoring agent's report on an engine. */
   private versionOf(engine: string): string {
     return this.facts.get(FactKeys.engine(engine))?.version.join('.') ?? '';
   }
 
-  private listed(service: string): Listed {
+  private listed(service: string): ListedEngines {
     return this.servicesListed().get(service) ?? [];
   }
 
-  private servicesListed(): ReadonlyMap<string, Listed> {
+  private servicesListed(): ReadonlyMap<string, ListedEngines> {
     const list = this.freshness.engines;
     if (list === undefined) return new Map();
     if (this.index?.of !== list) this.index = { of: list, services: byService(list) };
@@ -369,9 +390,10 @@
   }
 }
 
-type Listed = readonly (readonly [string, Engine])[];
+type ListedEngines = readonly (readonly [string, Engine])[];
 
-const byService = (list: EngineList): ReadonlyMap<string, Listed> => {
+/** Ready engines by service. */
+const byService = (list: EngineList): ReadonlyMap<string, ListedEngines> => {
   const services = new Map<string, (readonly [string, Engine])[]>();
   for (const entry of Object.entries(list.engines)) {
     const [, { kind, service, state }] = entry;
--- a/source/edge-proxy/placement/engineWork.ts
+++ b/source/edge-proxy/placement/engineWork.ts
@@ -1,43 +1,45 @@
 import { FillTables, type Fills } from '../../shared/directory/fills';
 import type { Clock } from '../../shared/effects/clock/clock';
 
-/** What one send asks of its engine. Sizes are in tokens. */
+/** The work that one send causes on its engine. Sizes are in tokens. */
 export type Work = Readonly<{
   order: string;
-  /** Tokens it must read or move before its first event. */
+  /** Tokens that must be prefilled or imported before its first event. */
   toRead: number;
-  /** Tokens of its prompt and of what it may put out. */
+  /** Tokens of the prompt plus the maximum output. */
   tokens: number;
-  /** Names of the parts that the engine will keep because of it, beyond those that it keeps. */
+  /** Keys of the prompt parts that the engine will newly cache because of it. */
   fills: readonly string[];
 }>;
 
+/** Work on one engine: tokens whose prefill is pending, and tokens of all running requests. */
 export type WorkSum = Readonly<{ reading: number; tokens: number }>;
 
 type Running = Readonly<{ work: Work; begun: boolean }>;
-type EngineBook = {
+type EngineState = {
   bootEpoch: string;
   epoch: number;
   readonly running: Map<string, Running>;
   fills: Fills;
-  /** Parts read a moment ago, that the holder's own events may not show yet. */
-  readonly lately: Map<string, number>;
+  /** Time by part, for parts prefilled recently that the engine's own cache events may not show yet. */
+  readonly recentlyPrefilled: Map<string, number>;
 };
 
 export type WorkSettings = Readonly<{
-  /** How long a part that was read counts as kept before the holder's events say so. */
+  /** How long a prefilled part counts as cached before the engine's cache events confirm it. */
   latelyMicroseconds: number;
 }>;
 
-const nothing: WorkSum = { reading: 0, tokens: 0 };
-const mostLately = 4096;
+const noWork: WorkSum = { reading: 0, tokens: 0 };
+/** Maximum number of recently prefilled parts remembered per engine. */
+const maxRecentlyPrefilled = 4096;
 
 /**
- * What this proxy's own sends ask of each engine: running ones do not show in events yet. Fills are single-flight
- * here: who comes for a part that is being read joins, and goes where it is read.
+ * The work that this proxy's own sends cause on each engine; the engines' cache events do not show running sends yet. Prefills are
+ * single-flight: a request for a part that is being prefilled joins that prefill and goes to the same engine.
  */
 export class EngineWork {
-  private readonly books = new Map<string, EngineBook>();
+  private readonly states = new Map<string, EngineState>();
   private changeCount = 0;
 
   public constructor(
@@ -45,122 +47,126 @@
     private readonly settings: WorkSettings,
   ) {}
 
-  /** Rises with every change of what engines have to do. */
+  /** Increases with every change of the recorded work. */
   public get changes(): number {
     return this.changeCount;
   }
 
+  /** Records the start of a send. */
   public began(engine: string, bootEpoch: string, work: Work): void {
     this.changeCount += 1;
-    const book = this.bookOf(engine, bootEpoch);
-    book.running.set(work.order, { work, begun: false });
+    const state = this.stateOf(engine, bootEpoch);
+    state.running.set(work.order, { work, begun: false });
     if (work.fills.length > 0)
-      book.fills = FillTables.reduce(book.fills, {
+      state.fills = FillTables.reduce(state.fills, {
         kind: 'begin',
         name: work.order,
-        epoch: book.epoch,
+        epoch: state.epoch,
         keys: work.fills,
       });
   }
 
-  /** The first event of the answer: all of the prompt has been read. */
+  /** Records the first event of the response: the whole prompt has been prefilled. */
   public begun(engine: string, order: string): void {
-    const book = this.books.get(engine);
-    const running = book?.running.get(order);
-    if (book === undefined || running === undefined || running.begun) return;
+    const state = this.states.get(engine);
+    const running = state?.running.get(order);
+    if (state === undefined || running === undefined || running.begun) return;
     this.changeCount += 1;
-    book.running.set(order, { ...running, begun: true });
-    this.endFill(book, order, 'finished');
+    state.running.set(order, { ...running, begun: true });
+    this.endFill(state, order, 'finished');
     const now = this.clock.nowMicroseconds();
     for (const name of running.work.fills) {
-      // Why deleted first: the map's order is that of their ages, oldest first.
-      book.lately.delete(name);
-      book.lately.set(name, now);
+      // Deleted first so that the map stays ordered by age, oldest first.
+      state.recentlyPrefilled.delete(name);
+      state.recentlyPrefilled.set(name, now);
     }
-    this.forgetOld(book, now);
+    this.expireRecent(state, now);
   }
 
+  /** Records the end of a send. */
   public ended(engine: string, order: string): void {
-    const book = this.books.get(engine);
-    if (book === undefined) return;
+    const state = this.states.get(engine);
+    if (state === undefined) return;
     this.changeCount += 1;
-    book.running.delete(order);
-    this.endFill(book, order, 'failed');
+    state.running.delete(order);
+    this.endFill(state, order, 'failed');
   }
 
-  /** Leading parts that the engine keeps, is reading, or has just read. `kept` of them are known from its events. */
+  /** Number of leading parts that the engine has cached, is prefilling, or has just prefilled. `kept` of them are known from its events. */
   public matched(engine: string, bootEpoch: string, names: readonly string[], kept: number): number {
-    const book = this.books.get(engine);
-    if (book === undefined || book.bootEpoch !== bootEpoch) return kept;
-    this.forgetOld(book, this.clock.nowMicroseconds());
+    const state = this.states.get(engine);
+    if (state === undefined || state.bootEpoch !== bootEpoch) return kept;
+    this.expireRecent(state, this.clock.nowMicroseconds());
     let matched = kept;
-    while (matched < names.length && this.expects(book, names[matched] ?? '')) matched += 1;
+    while (matched < names.length && this.isExpected(state, names[matched] ?? '')) matched += 1;
     return matched;
   }
 
+  /** The work of this proxy's sends on an engine. */
   public of(engine: string): WorkSum {
-    const book = this.books.get(engine);
-    if (book === undefined) return nothing;
+    const state = this.states.get(engine);
+    if (state === undefined) return noWork;
     let reading = 0;
     let tokens = 0;
-    for (const { work, begun } of book.running.values()) {
+    for (const { work, begun } of state.running.values()) {
       if (!begun) reading += work.toRead;
       tokens += work.tokens;
     }
     return { reading, tokens };
   }
 
-  /** For the other proxies: whole tokens, engines at rest left out. */
+  /** The work by engine, as sent to the other proxies: rounded to tokens, without idle engines. */
   public sums(): Readonly<Record<string, readonly [reading: number, tokens: number]>> {
     return Object.fromEntries(
-      [...this.books.keys()].flatMap((engine) => {
+      [...this.states.keys()].flatMap((engine) => {
         const { reading, tokens } = this.of(engine);
         return tokens === 0 ? [] : [[engine, [Math.round(reading), Math.round(tokens)] as const] as const];
       }),
     );
   }
 
+  /** Drops engines that are neither listed here nor running a send. */
   public keepOnly(engines: readonly string[]): void {
     const kept = new Set(engines);
-    for (const [engine, { running }] of this.books)
-      if (!kept.has(engine) && running.size === 0) this.books.delete(engine);
+    for (const [engine, { running }] of this.states)
+      if (!kept.has(engine) && running.size === 0) this.states.delete(engine);
   }
 
-  private bookOf(engine: string, bootEpoch: string): EngineBook {
-    const known = this.books.get(engine);
+  private stateOf(engine: string, bootEpoch: string): EngineState {
+    const known = this.states.get(engine);
     if (known === undefined) {
-      const made: EngineBook = {
+      const created: EngineState = {
         bootEpoch,
         epoch: 1,
         running: new Map(),
         fills: FillTables.empty,
-        lately: new Map(),
+        recentlyPrefilled: new Map(),
       };
-      this.books.set(engine, made);
-      return made;
+      this.states.set(engine, created);
+      return created;
     }
     if (known.bootEpoch !== bootEpoch) {
-      // Why fenced: what was read before the restart is gone, whatever its fill says later.
+      // Fenced because the engine lost its cache with the restart, so later results of older prefills must not count.
       known.bootEpoch = bootEpoch;
       known.epoch += 1;
       known.fills = FillTables.reduce(known.fills, { kind: 'fence', epoch: known.epoch });
-      known.lately.clear();
+      known.recentlyPrefilled.clear();
     }
     return known;
   }
 
-  private endFill(book: EngineBook, order: string, notice: 'finished' | 'failed'): void {
-    book.fills = FillTables.reduce(book.fills, { kind: 'end', name: order, notice });
+  private endFill(state: EngineState, order: string, notice: 'finished' | 'failed'): void {
+    state.fills = FillTables.reduce(state.fills, { kind: 'end', name: order, notice });
   }
 
-  private expects(book: EngineBook, name: string): boolean {
-    return book.lately.has(name) || FillTables.forKey(book.fills, name) !== undefined;
+  private isExpected(state: EngineState, name: string): boolean {
+    return state.recentlyPrefilled.has(name) || FillTables.forKey(state.fills, name) !== undefined;
   }
 
-  private forgetOld(book: EngineBook, now: number): void {
-    for (const [name, at] of book.lately) {
-      if (now - at < this.settings.latelyMicroseconds && book.lately.size <= mostLately) return;
-      book.lately.delete(name);
+  private expireRecent(state: EngineState, now: number): void {
+    for (const [name, at] of state.recentlyPrefilled) {
+      if (now - at < this.settings.latelyMicroseconds && state.recentlyPrefilled.size <= maxRecentlyPrefilled) return;
+      state.recentlyPrefilled.delete(name);
     }
   }
 }
--- a/source/edge-proxy/placement/lanes.ts
+++ b/source/edge-proxy/placement/lanes.ts
@@ -2,21 +2,25 @@
 import type { WorkMix } from '../../shared/news/factTypes';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 
+/** How many engines are reserved for short requests. */
 export type LaneSettings = Readonly<{
-  /** An order that is read faster than this is a short one. */
+  /** A request whose prefill takes less than this is short. */
   shortMicroseconds: number;
-  /** Over so long the mix of short and long orders is looked back at. */
+  /** Time constant of the exponential decay of the measured mix of short and long requests. */
   lookBackMicroseconds: number;
-  /** Engines kept for short orders, in per mille of their part of the work; 0: none. Short orders wait little, and fill them well. */
+  /**
+   * Share of engines reserved for short requests, in per mille of the share of work that these cause; 0: none. Less than 1000 suffices
+   * because short requests wait little and use the engines well.
+   */
   headroomPerMille: number;
-  /** Work of one token that is put out, where an engine runs one order alone. */
+  /** Work per output token on an engine that runs a single request. */
   outputMicroseconds: number;
   /**
-   * The part of their time, in per mille, that engines kept for short orders work at the most, where proxies choose by old news of each
-   * other; 0: not bounded.
+   * Upper bound of the utilization of reserved engines, in per mille, where proxies choose by outdated load figures of each other; 0: no
+   * bound.
    */
   busyPerMille: number;
-  /** Of all engines so many are kept for short orders at the most, in per mille, to keep that bound. */
+  /** Maximum share of all engines, in per mille, that is reserved to keep that bound. */
   mostPerMille: number;
 }>;
 
@@ -31,21 +35,22 @@
   } satisfies LaneSettings,
 } as const;
 
+/** Work of short and of long requests, in microseconds, decayed to the time `at`. */
 type Mix = { short: number; long: number; at: number };
 
-/** What mixes are told in. Why no finer: a mix that fades must not be news at each moment. */
-const toldMicroseconds = 10_000;
+/** Unit in which mixes are sent to other proxies; coarse, so that a decaying mix is not sent as a change all the time. */
+const mixUnitMicroseconds = 10_000;
 const noMix: WorkMix = [0, 0];
 
 /**
- * Engines of a pool that short orders have to themselves while there is room elsewhere. Why: an engine reads one long
- * prompt after the other, and a short order that comes while it does waits for all of it. Proxies learn of each
- * other's reading too late to step aside each time; which engines are kept free all of them work out alike, from the mix
- * of orders that all of them together have seen. Why not each from its own: in a large fleet one sees a long order now and
- * then, so their lanes would differ, and long orders of one would stand in the lane of another.
+ * The engines of a pool that are reserved for short requests while other engines have capacity. An engine prefills long prompts one
+ * after the other, and a short request that arrives meanwhile waits for all of it. Proxies learn of each other's prefills too late to
+ * avoid this per request. All proxies therefore compute the same reserved engines, from the mix of requests that all of them together
+ * have seen. The mix of a single proxy is not enough: in a large fleet it sees a long request only now and then, so the reservations
+ * would differ, and long requests of one proxy would run on engines that another one reserves.
  */
 export class Lanes {
-  private readonly seen = new Map<string, Mix>();
+  private readonly mixesByPool = new Map<string, Mix>();
   private readonly orders = new Map<string, Readonly<{ of: string; names: readonly string[] }>>();
 
   public constructor(
@@ -53,11 +58,12 @@
     private readonly settings: LaneSettings,
   ) {}
 
+  /** Whether a request with this prefill time is short. */
   public isShort(readMicroseconds: number): boolean {
     return readMicroseconds < this.settings.shortMicroseconds;
   }
 
-  /** One order was placed: how long reading what its engine lacks takes, and what it may put out there. */
+  /** Adds a placed request to the mix: the time to prefill what its engine has not cached, and its maximum output. */
   public saw(
     service: string,
     readMicroseconds: number,
@@ -65,54 +71,54 @@
     capacity: number,
     isShort: boolean,
   ): void {
-    const mix = this.faded(service);
+    const mix = this.decayed(service);
     const work = readMicroseconds + (outputTokens * this.settings.outputMicroseconds) / Math.max(1, capacity);
     if (isShort) mix.short += work;
     else mix.long += work;
-    this.seen.set(service, mix);
+    this.mixesByPool.set(service, mix);
   }
 
-  /** What this proxy tells the others of its own orders, by pool. */
+  /** The mix of this proxy's own requests by pool, as sent to the other proxies. */
   public mixes(): Readonly<Record<string, WorkMix>> {
     return Object.fromEntries(
-      [...this.seen.keys()].flatMap((service): readonly (readonly [string, WorkMix])[] => {
-        const { short, long } = this.faded(service);
-        const told: WorkMix = [Math.round(short / toldMicroseconds), Math.round(long / toldMicroseconds)];
-        return told[0] + told[1] > 0 ? [[service, told]] : [];
+      [...this.mixesByPool.keys()].flatMap((service): readonly (readonly [string, WorkMix])[] => {
+        const { short, long } = this.decayed(service);
+        const sent: WorkMix = [Math.round(short / mixUnitMicroseconds), Math.round(long / mixUnitMicroseconds)];
+        return sent[0] + sent[1] > 0 ? [[service, sent]] : [];
       }),
     );
   }
 
   /**
-   * The engines kept for short orders; none while there is nothing to keep apart. `others`: the mix of all other proxies. `isByOldNews`:
-   * proxies choose among these engines by old news of each other, so that more room is needed.
+   * The engines reserved for short requests; none while there are only short or only long requests. `others`: the mix of all other
+   * proxies. `hasStaleLoads`: proxies choose among these engines by outdated load figures of each other, so more spare capacity is needed.
    */
   public of(
     service: string,
     engines: readonly string[],
     others: WorkMix = noMix,
-    isByOldNews = false,
+    hasStaleLoads = false,
   ): ReadonlySet<string> {
-    const own = this.faded(service);
-    const short = own.short + others[0] * toldMicroseconds;
-    const long = own.long + others[1] * toldMicroseconds;
-    const isOff = this.settings.headroomPerMille === 0;
-    if (isOff || engines.length < 2 || short === 0 || long === 0) return new Set();
-    const part = (short / (short + long)) * (this.settings.headroomPerMille / 1000);
-    const least = isByOldNews ? this.leastFor(short, engines.length) : 1;
-    const count = Math.min(engines.length - 1, Math.max(least, Math.round(engines.length * part)));
-    return new Set(this.ordered(service, engines).slice(0, count));
+    const own = this.decayed(service);
+    const short = own.short + others[0] * mixUnitMicroseconds;
+    const long = own.long + others[1] * mixUnitMicroseconds;
+    const isDisabled = this.settings.headroomPerMille === 0;
+    if (isDisabled || engines.length < 2 || short === 0 || long === 0) return new Set();
+    const reservedShare = (short / (short + long)) * (this.settings.headroomPerMille / 1000);
+    const minimum = hasStaleLoads ? this.minimumFor(short, engines.length) : 1;
+    const count = Math.min(engines.length - 1, Math.max(minimum, Math.round(engines.length * reservedShare)));
+    return new Set(this.reservationOrder(service, engines).slice(0, count));
   }
 
-  /** Engines that short orders need, by the work of them that is looked back at. */
-  private leastFor(shortMicroseconds: number, engines: number): number {
+  /** Number of engines that short requests need to stay within the utilization bound, by their recent work. */
+  private minimumFor(shortMicroseconds: number, engines: number): number {
     const { busyPerMille, mostPerMille, lookBackMicroseconds } = this.settings;
     if (busyPerMille === 0) return 1;
     const needed = Math.ceil((shortMicroseconds * 1000) / (lookBackMicroseconds * busyPerMille));
     return Math.max(1, Math.min(needed, Math.floor((engines * mostPerMille) / 1000)));
   }
 
-  private ordered(service: string, engines: readonly string[]): readonly string[] {
+  private reservationOrder(service: string, engines: readonly string[]): readonly string[] {
     const of = engines.join(' ');
     const known = this.orders.get(service);
     if (known?.of === of) return known.names;
@@ -121,10 +127,10 @@
     return names;
   }
 
-  private faded(service: string): Mix {
+  private decayed(service: string): Mix {
     const now = this.clock.nowMicroseconds();
-    const mix = this.seen.get(service) ?? { short: 0, long: 0, at: now };
-    const fade = Math.exp(-(now - mix.at) / this.settings.lookBackMicroseconds);
-    return { short: mix.short * fade, long: mix.long * fade, at: now };
+    const mix = this.mixesByPool.get(service) ?? { short: 0, long: 0, at: now };
+    const decay = Math.exp(-(now - mix.at) / this.settings.lookBackMicroseconds);
+    return { short: mix.short * decay, long: mix.long * decay, at: now };
   }
 }
--- a/source/edge-proxy/placement/otherProxies.ts
+++ b/source/edge-proxy/placement/otherProxies.ts
@@ -10,29 +10,32 @@
 } from '../../shared/news/factTypes';
 import type { WorkSum } from './engineWork';
 
-/** What all other proxies run at one engine. */
+/** The load of all other proxies on one engine. */
 export type Elsewhere = Readonly<{ sends: number; work: WorkSum }>;
 
-/** What follows from the loads of all other proxies, as long as no news of one comes in. */
+/** Sums of the loads of all other proxies, cached until an update of one arrives. */
 export type OtherLoads = Readonly<{
+  /** Version of the inputs; it changes with every update. */
   mark: string;
-  /** Names of the other proxies that seem to be there, in the order of their loads. */
+  /** Names of the other proxies that seem to be running, in the order of `loads`. */
   names: readonly string[];
   loads: readonly LoadFact[];
   engines: ReadonlyMap<string, Elsewhere>;
   mixes: ReadonlyMap<string, WorkMix>;
 }>;
 
-type Agents = Readonly<{ changes: number; present: readonly MemberFact[] }>;
+/** The present agents, cached by the count of changes to members. */
+type CachedAgents = Readonly<{ changes: number; present: readonly MemberFact[] }>;
 
 const noMix: WorkMix = [0, 0];
-const noneElsewhere: Elsewhere = { sends: 0, work: { reading: 0, tokens: 0 } };
+const noLoad: Elsewhere = { sends: 0, work: { reading: 0, tokens: 0 } };
 
+/** Sums of the loads by engine. */
 const engineSums = (loads: readonly LoadFact[]): ReadonlyMap<string, Elsewhere> => {
   const engines = new Map<string, Elsewhere>();
   for (const load of loads)
     for (const [name, sends] of Object.entries(load.engines)) {
-      const known = engines.get(name) ?? noneElsewhere;
+      const known = engines.get(name) ?? noLoad;
       const [reading, tokens] =
         load.work !== undefined && Object.hasOwn(load.work, name) ? (load.work[name] ?? [0, 0]) : [0, 0];
       engines.set(name, {
@@ -43,6 +46,7 @@
   return engines;
 };
 
+/** Sums of the mixes by pool. */
 const mixSums = (loads: readonly LoadFact[]): ReadonlyMap<string, WorkMix> => {
   const mixes = new Map<string, WorkMix>();
   for (const { mix } of loads)
@@ -53,7 +57,7 @@
   return mixes;
 };
 
-const othersOf = (mark: string, names: readonly string[], loads: readonly LoadFact[]): OtherLoads => ({
+const otherLoadsOf = (mark: string, names: readonly string[], loads: readonly LoadFact[]): OtherLoads => ({
   mark,
   names,
   loads,
@@ -61,42 +65,42 @@
   mixes: mixSums(loads),
 });
 
-/** Who else belongs to the fleet, and what the other proxies say that they run. All of it is hints, some hundred ms old. */
+/** The other members of the fleet and the loads that the other proxies report. All of it is some hundred ms old and approximate. */
 export class OtherProxies {
-  private members: Agents | undefined;
-  private others: OtherLoads | undefined;
+  private members: CachedAgents | undefined;
+  private cachedLoads: OtherLoads | undefined;
 
   public constructor(
     private readonly self: string,
     private readonly facts: FactBook,
-    /** What agents have told of all other proxies together; undefined: nothing, and each one's own load counts. */
+    /** Sums over all other proxies as received from agents; undefined: none, and the load of each proxy is added up here. */
     private readonly received: () => OthersTogether | undefined = () => undefined,
   ) {}
 
-  /** Proxies that seem to be there, this one included. */
+  /** Number of proxies that seem to be running, including this one. */
   public count(): number {
     return this.now().names.length + 1;
   }
 
-  /** All proxies that are known to have belonged to the fleet lately: doubt about one must not shrink it. */
+  /** Number of proxies known to have been in the fleet recently; a proxy whose state is in doubt still counts. */
   public everSeen(): number {
     return Math.max(1, this.received()?.everSeen ?? 0, this.facts.countOf('load'));
   }
 
-  /** What all other proxies run at an engine. */
+  /** The load of all other proxies on an engine. */
   public at(engine: string): Elsewhere {
-    return this.now().engines.get(engine) ?? noneElsewhere;
+    return this.now().engines.get(engine) ?? noLoad;
   }
 
-  /** What all other proxies placed in a pool lately, short and long orders. */
+  /** Recent work that all other proxies placed in a pool, by short and long requests. */
   public mix(service: string): WorkMix {
     return this.now().mixes.get(service) ?? noMix;
   }
 
-  /** Agents that seem to be there; the same list while none came or went. */
+  /** Agents that seem to be running; the same array until one joins or leaves. */
   public agents(): readonly MemberFact[] {
     const changes = this.facts.changesOf('member');
-    // Why kept: they are counted at each feed and each order, and change seldom.
+    // Cached because it is read with each feed and each request but changes seldom.
     if (this.members?.changes !== changes) {
       const all = this.facts.withPrefix('member/').map(({ value }) => value as MemberFact);
       this.members = { changes, present: all.filter(MemberStates.isPresent) };
@@ -104,28 +108,28 @@
     return this.members.present;
   }
 
-  /** The agent that reads the list of engines, as far as known. */
+  /** The agent that reads the list of engines from the platform; undefined: not known. */
   public listHolder(): MemberFact | undefined {
     const holder = this.facts.value<StewardFact>(FactKeys.listDuty)?.holder;
     return holder === undefined || holder === '' ? undefined : this.facts.value<MemberFact>(FactKeys.member(holder));
   }
 
-  /** The same object as long as no news of a load or an agent came in. */
+  /** The current sums; the same object until an update of a load or an agent arrives. */
   public now(): OtherLoads {
     const received = this.received();
-    return received === undefined ? this.eachAlone() : this.together(received);
+    return received === undefined ? this.summedHere() : this.together(received);
   }
 
   private together({ changes, names, sum }: OthersTogether): OtherLoads {
     const mark = `together/${changes}`;
-    if (this.others?.mark !== mark) this.others = othersOf(mark, names, [sum]);
-    return this.others;
+    if (this.cachedLoads?.mark !== mark) this.cachedLoads = otherLoadsOf(mark, names, [sum]);
+    return this.cachedLoads;
   }
 
-  private eachAlone(): OtherLoads {
+  private summedHere(): OtherLoads {
     const mark = `${this.facts.changesOf('load')}/${this.facts.changesOf('member')}`;
-    // Why not for a time: sums that are older than the news sent an order to an engine known to be full.
-    if (this.others?.mark === mark) return this.others;
+    // Cached by version and not for a period: sums older than the last update sent a request to an engine known to be full.
+    if (this.cachedLoads?.mark === mark) return this.cachedLoads;
     const agents = new Set(this.agents().map(({ name }) => name));
     const own = FactKeys.load(this.self);
     const present = this.facts.withPrefix('load/').filter(({ key, value }) => {
@@ -134,7 +138,7 @@
     });
     const loads = present.map(({ value }) => value as LoadFact);
     const names = present.map(({ key }) => key.slice(FactKeys.load('').length));
-    this.others = othersOf(mark, names, loads);
-    return this.others;
+    this.cachedLoads = otherLoadsOf(mark, names, loads);
+    return this.cachedLoads;
   }
 }
--- a/source/edge-proxy/placement/ownSends.ts
+++ b/source/edge-proxy/placement/ownSends.ts
@@ -1,43 +1,44 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 
-/** Starting value, ours: so old are counts of other proxies when they come. */
-const hintMicroseconds = 300_000;
-const keptBegins = 64;
+/** Age of load counts of other proxies when they arrive. */
+const loadReportDelayMicroseconds = 300_000;
+const maxRecentStarts = 64;
 
-/** Sends of this proxy that run at each engine, and those begun so lately that no other proxy can know of them. */
+/** This proxy's sends in flight at each engine, and those started so recently that no other proxy can know of them. */
 export class OwnSends {
   private readonly running = new Map<string, number>();
-  private readonly begins = new Map<string, readonly number[]>();
+  private readonly startTimes = new Map<string, readonly number[]>();
 
   public constructor(private readonly clock: Clock) {}
 
   public began(engine: string): void {
     this.running.set(engine, this.at(engine) + 1);
-    this.begins.set(engine, [...this.lately(engine), this.clock.nowMicroseconds()].slice(-keptBegins));
+    this.startTimes.set(engine, [...this.recentStarts(engine), this.clock.nowMicroseconds()].slice(-maxRecentStarts));
   }
 
   public ended(engine: string): void {
-    const left = this.at(engine) - 1;
-    if (left > 0) this.running.set(engine, left);
+    const remaining = this.at(engine) - 1;
+    if (remaining > 0) this.running.set(engine, remaining);
     else this.running.delete(engine);
   }
 
+  /** Number of sends in flight at an engine. */
   public at(engine: string): number {
     return this.running.get(engine) ?? 0;
   }
 
-  /** Sends begun so lately that no other proxy can know of them yet; as little is known here of theirs. */
+  /** Number of sends started so recently that no other proxy can know of them; equally recent ones of others are unknown here. */
   public unseen(engine: string): number {
-    return this.lately(engine).length;
+    return this.recentStarts(engine).length;
   }
 
-  /** By engine; those where none runs are left out. */
+  /** Number of sends in flight by engine, without idle engines. */
   public counts(): Readonly<Record<string, number>> {
     return Object.fromEntries(this.running);
   }
 
-  private lately(engine: string): readonly number[] {
+  private recentStarts(engine: string): readonly number[] {
     const now = this.clock.nowMicroseconds();
-    return (this.begins.get(engine) ?? []).filter((at) => now - at < hintMicroseconds);
+    return (this.startTimes.get(engine) ?? []).filter((at) => now - at < loadReportDelayMicroseconds);
   }
 }
--- a/source/edge-proxy/placement/placePolicies.ts
+++ b/source/edge-proxy/placement/placePolicies.ts
@@ -13,22 +13,23 @@
 import { Salts } from './salts';
 import type { WorkPlacer } from './workPlacer';
 
+/** Maximum number of prompt blocks that are looked up. */
 export const mostBlocks = 128;
 
-/** Starting value, ours: how much of an own burst is expected from each other proxy. */
-const crowdPart = 0.5;
+/** Share of this proxy's own burst that is expected from each other proxy as well. */
+const expectedBurstShare = 0.5;
 
-const nothing: LookUp = { kind: 'miss', reason: 'noBlocks' };
+const noBlocksMiss: LookUp = { kind: 'miss', reason: 'noBlocks' };
 
-/** Starting value, ours: a prompt whose shared parts are shorter than this is not worth looking up. */
-const leastSharedTokens = 512;
+/** A prompt whose shared parts have fewer tokens than this is not looked up. */
+const minSharedTokens = 512;
 
-/** The keys of an order's prompt under one weight version, worked out once each. */
+/** The cache keys of a request's prompt, computed once per weight version. */
 export class PromptKeys {
-  private readonly chain: readonly string[];
+  private readonly blockChain: readonly string[];
   private readonly named: readonly PromptPart[];
-  private readonly byWeights = new Map<string, readonly BlockKey[]>();
-  private readonly salts = new Map<string, string>();
+  private readonly keysByWeights = new Map<string, readonly BlockKey[]>();
+  private readonly saltsByWeights = new Map<string, string>();
   private prefixName: string | undefined;
 
   public constructor(
@@ -36,23 +37,24 @@
     order: Order,
   ) {
     const { service } = resolved;
-    this.chain =
+    this.blockChain =
       service.kind === 'pool' && order.parts === undefined && typeof order.body === 'string'
-        ? HashChains.blocks(promptIn(order.body), service.blockCharacters, mostBlocks)
+        ? HashChains.blocks(promptInBody(order.body), service.blockCharacters, mostBlocks)
         : [];
     const parts = order.parts ?? [];
-    // Why without the last: it belongs to the order itself, and no other asks for it.
+    // Without the last part: it is specific to this request, so no other request looks it up.
     const shared = parts.slice(0, -1).reduce((sum, { size }) => sum + size, 0);
-    this.named = service.kind === 'pool' && shared >= leastSharedTokens ? parts : [];
+    this.named = service.kind === 'pool' && shared >= minSharedTokens ? parts : [];
   }
 
+  /** Number of blocks or parts that have keys. */
   public get blocks(): number {
-    return this.chain.length + this.named.length;
+    return this.blockChain.length + this.named.length;
   }
 
-  /** Keys of blocks of a text, or of parts that the caller named. */
+  /** Keys of the blocks of a text, or of the parts that the client named. */
   public under(weights: string): readonly BlockKey[] {
-    const known = this.byWeights.get(weights);
+    const known = this.keysByWeights.get(weights);
     if (known !== undefined) return known;
     const { service, trustDomain } = this.resolved;
     const keys =
@@ -60,19 +62,20 @@
         ? []
         : this.named.length > 0
           ? PromptParts.keys(this.named, this.salt(weights))
-          : HashChains.keys(this.chain, service, weights, trustDomain);
-    this.byWeights.set(weights, keys);
+          : HashChains.keys(this.blockChain, service, weights, trustDomain);
+    this.keysByWeights.set(weights, keys);
     return keys;
   }
 
-  /** The parts that the caller named; none where the prompt stands in the body or is short. */
+  /** Keys of the parts that the client named; none if the prompt is in the body or its shared parts are short. */
   public parts(weights: string): readonly PartKey[] {
     return this.named.length > 0 ? (this.under(weights) as readonly PartKey[]) : [];
   }
 
   /**
-   * Names what the order shares with others, whatever the weights: a demand outlives them. Empty: nothing worth it.
-   * Why a digest: it travels, and says neither whose prefix it is nor what.
+   * Name of the prefix that the request shares with others, independent of the weights because the demand for a prefix outlives them.
+   * Empty: there is no prefix worth counting. It is a digest because it is sent to other processes and must reveal neither the tenant
+   * nor the content.
    */
   public prefix(): string {
     if (this.named.length === 0) return '';
@@ -83,16 +86,18 @@
     return this.prefixName;
   }
 
+  /** Salt of the keys under a weight version. */
   public salt(weights: string): string {
     const { service, trustDomain } = this.resolved;
     if (service.kind !== 'pool') return '';
-    const known = this.salts.get(weights) ?? Salts.of(service, weights, trustDomain);
-    this.salts.set(weights, known);
+    const known = this.saltsByWeights.get(weights) ?? Salts.of(service, weights, trustDomain);
+    this.saltsByWeights.set(weights, known);
     return known;
   }
 }
 
-const promptIn = (body: string): string => {
+/** The prompt in a request body, in canonical form; empty if there is none. */
+const promptInBody = (body: string): string => {
   try {
     const messages = (JSON.parse(body) as { messages?: unknown }).messages;
     return Array.isArray(messages) ? HashChains.canonicalPrompt(messages) : '';
@@ -101,59 +106,62 @@
   }
 };
 
+/** What the placement policy works with. */
 export type PlaceParts = Readonly<{
   view: EngineView;
   shards: ShardBook;
   placement: Placement;
   random: Random;
   metrics: Metrics;
-  /** How an engine is chosen for an order whose prompt's parts are named. */
+  /** Chooses the engine for a request whose prompt parts are named. */
   byWork: WorkPlacer;
 }>;
 
+/** The pipeline policies that choose an engine. */
 export const PlacePolicies = {
-  /** `saw` hears of each order's shared prefix, once. */
-  lookUp: (saw: (prefix: string) => void = () => undefined): Policy => ({
+  /** Computes the cache keys. `onPrefix` is called once per request, with the prefix that it shares with others. */
+  lookUp: (onPrefix: (prefix: string) => void = () => undefined): Policy => ({
     name: 'lookUp',
     apply: (context) => {
       const resolved = context.resolved;
-      if (resolved === undefined) throw new Error('no mapping resolved');
+      if (resolved === undefined) throw new Error('request has no resolved mapping');
       const keys = context.keys ?? new PromptKeys(resolved, context.order);
-      // Why only then: an order that comes again from holding has been counted.
-      if (context.keys === undefined && context.rounds === 0) saw(keys.prefix());
+      // Only the first time: a request that comes back from the queue has been counted already.
+      if (context.keys === undefined && context.rounds === 0) onPrefix(keys.prefix());
       return Promise.resolve({ kind: 'onward', context: { ...context, keys } });
     },
   }),
 
+  /** Chooses an engine, or queues the request if there is none. */
   place: ({ view, shards, placement, random, metrics, byWork }: PlaceParts): Policy => ({
     name: 'place',
     apply: async (context: Context): Promise<Step> => {
       const { resolved, keys, order } = context;
-      if (resolved === undefined || keys === undefined) throw new Error('no keys looked up');
+      if (resolved === undefined || keys === undefined) throw new Error('request has no prompt keys');
       const service = resolved.mapping.service;
-      const offered = view.candidates(service).filter(({ name }) => !context.avoided.includes(name));
+      const available = view.candidates(service).filter(({ name }) => !context.avoided.includes(name));
       const isRepeatable = resolved.mapping.resumable || resolved.mapping.repeatable === true;
-      // Why without shared blocks: what others keep of its prompt would be read again where it is tried.
-      const isFit = isRepeatable && keys.blocks === 0;
-      // Why only the first send: one that is made a second time goes where it will be answered.
-      const mayProbe = view.outliers.mayProbe(service, isFit) && context.sends === 0;
-      const candidates = Probes.among(offered, mayProbe);
+      // Only without prompt blocks: the probed engine would have to prefill again what other engines have cached.
+      const isProbeSafe = isRepeatable && keys.blocks === 0;
+      // Only on the first send: a retry goes to an engine that is expected to answer.
+      const mayProbe = view.outliers.mayProbe(service, isProbeSafe) && context.sends === 0;
+      const candidates = Probes.among(available, mayProbe);
       const lookUps = new Map<string, LookUp>();
       const lookUp = (weights: string): LookUp => {
         const found =
           lookUps.get(weights) ??
           (keys.blocks === 0
-            ? nothing
+            ? noBlocksMiss
             : LookUps.find(shards, keys.under(weights), (holder) => view.bootEpochOf(holder)));
         lookUps.set(weights, found);
         return found;
       };
       const placed =
         order.parts === undefined
-          ? byPrefix(candidates, keys, lookUp, view, placement, random)
+          ? placeByPrefix(candidates, keys, lookUp, view, placement, random)
           : await byWork.place(candidates, order, resolved, keys, lookUp);
       if (placed === undefined)
-        // Why held: another engine may be back in a moment, and its limit goes on.
+        // Queued because an engine may become available soon; the time limit of the request keeps running.
         return {
           kind: 'hold',
           context,
@@ -170,7 +178,8 @@
   }),
 } as const;
 
-const byPrefix = (
+/** Chooses an engine for a request whose prompt is in the body. */
+const placeByPrefix = (
   candidates: readonly Candidate[],
   keys: PromptKeys,
   lookUp: (weights: string) => LookUp,
@@ -182,9 +191,9 @@
     const found = lookUp(candidate.weights);
     const matched =
       found.kind === 'miss' ? 0 : (found.found.find(({ holder }) => holder === candidate.name)?.matched ?? 0);
-    // Why: who sends several at once to one engine may take it that others do the same, and cannot see it yet.
-    const crowd = Math.max(0, view.unseen(candidate.name) - 1) * (view.proxies() - 1) * crowdPart;
-    return { ...candidate, matched, likelyInFlight: candidate.inFlight + crowd };
+    // A proxy that sends several requests to one engine at once assumes that others do the same and that it cannot see this yet.
+    const expectedBurst = Math.max(0, view.unseen(candidate.name) - 1) * (view.proxies() - 1) * expectedBurstShare;
+    return { ...candidate, matched, likelyInFlight: candidate.inFlight + expectedBurst };
   });
   const chosen = placement.choose(scored, keys.blocks, random);
   return chosen === undefined
--- a/source/edge-proxy/placement/placements.ts
+++ b/source/edge-proxy/placement/placements.ts
@@ -1,9 +1,10 @@
 import { Randoms, type Random } from '../../shared/effects/random/random';
 import type { Candidate } from './engineView';
 
+/** A candidate with its cached prompt blocks and its estimated load. */
 export type Scored = Omit<Candidate, 'zone' | 'work'> & Readonly<{ matched: number; likelyInFlight: number }>;
 
-/** How one engine is chosen among those that may be. Exchanged by a setting. */
+/** Strategy that chooses one of the candidates; selected by a setting. */
 export interface Placement {
   readonly name: string;
   readonly choose: (candidates: readonly Scored[], blocks: number, random: Random) => Scored | undefined;
@@ -11,37 +12,41 @@
 
 const loadOf = ({ likelyInFlight, capacity }: Scored): number => likelyInFlight / Math.max(1, capacity);
 
-const betterOfTwo = (candidates: readonly Scored[], random: Random): Scored | undefined => {
+/** The less loaded of two random candidates (power of two choices). */
+const lessLoadedOfTwo = (candidates: readonly Scored[], random: Random): Scored | undefined => {
   const [first, second] = Randoms.shuffled(random, candidates);
   if (first === undefined || second === undefined) return first;
   return loadOf(first) <= loadOf(second) ? first : second;
 };
 
-const withRoom = (candidates: readonly Scored[]): readonly Scored[] => {
-  const room = candidates.filter(({ inFlight, capacity }) => inFlight < capacity);
-  const sound = room.filter(({ standing }) => standing !== 'suspected');
-  if (sound.length > 0) return sound;
-  // Why all when none: counts are hints, and the engine's own "busy" is the truth.
-  return room.length > 0 ? room : candidates;
+/** Candidates with free capacity, preferably without suspected ones. */
+const withFreeCapacity = (candidates: readonly Scored[]): readonly Scored[] => {
+  const free = candidates.filter(({ inFlight, capacity }) => inFlight < capacity);
+  const healthy = free.filter(({ standing }) => standing !== 'suspected');
+  if (healthy.length > 0) return healthy;
+  // If none seems free, all are tried: load counts are estimates, and only the engine itself knows whether it is full.
+  return free.length > 0 ? free : candidates;
 };
 
-/** Starting value, ours: how many blocks of prefill a full engine must save before it is worth the crowd. */
+/** Number of cached blocks that make up for the load of a full engine. */
 const blocksPerLoad = 24;
 
+/** The placement strategies. */
 export const Placements = {
+  /** The less loaded of two random candidates. */
   byLoad: {
     name: 'load',
-    choose: (candidates, _blocks, random) => betterOfTwo(withRoom(candidates), random),
+    choose: (candidates, _blocks, random) => lessLoadedOfTwo(withFreeCapacity(candidates), random),
   } satisfies Placement,
 
-  /** Blocks to be read anew weighed against how full the engine is, so that one popular prefix sinks no engine. */
+  /** Weighs the blocks to prefill against the engine's load, so that one popular prefix does not overload an engine. */
   byPrefix: {
     name: 'prefix',
     choose: (candidates, blocks, random) => {
-      const room = withRoom(candidates);
-      if (blocks === 0 || room.every(({ matched }) => matched === 0)) return betterOfTwo(room, random);
+      const free = withFreeCapacity(candidates);
+      if (blocks === 0 || free.every(({ matched }) => matched === 0)) return lessLoadedOfTwo(free, random);
       const cost = (item: Scored): number => blocks - item.matched + blocksPerLoad * loadOf(item) ** 2;
-      return Randoms.shuffled(random, room).reduce<Scored | undefined>(
+      return Randoms.shuffled(random, free).reduce<Scored | undefined>(
         (best, item) => (best === undefined || cost(item) < cost(best) ? item : best),
         undefined,
       );
@@ -50,5 +55,6 @@
 } as const;
 
 export type PlacementName = 'prefix' | 'load';
+/** The strategy with this name. */
 export const placementNamed = (name: PlacementName): Placement =>
   name === 'load' ? Placements.byLoad : Placements.byPrefix;
--- a/source/edge-proxy/placement/readSpeeds.ts
+++ b/source/edge-proxy/placement/readSpeeds.ts
@@ -1,27 +1,33 @@
-/** Starting values, ours: until an engine has been seen to read. */
-const startTokensPerMillisecond = 50;
-const leastTokens = 2000;
-const slowest = 2;
-const fastest = 2000;
+/** Assumed speed until the first measurement. */
+const initialTokensPerMillisecond = 50;
+/** Shorter prefills are not measured. */
+const minTokens = 2000;
+const minTokensPerMillisecond = 2;
+const maxTokensPerMillisecond = 2000;
 
-/** How fast each engine reads prompts, learned from answers that had little else to wait for. */
+/** Prefill speed of each engine in tokens per millisecond, averaged over responses that waited for little else. */
 export class ReadSpeeds {
   private readonly engines = new Map<string, number>();
-  private usual = startTokensPerMillisecond;
+  private usual = initialTokensPerMillisecond;
 
+  /** Speed of an engine; the average of all engines if it has not been measured. */
   public of(engine: string): number {
     return this.engines.get(engine) ?? this.usual;
   }
 
-  /** One answer: so many tokens, those before it in the same engine included, read until its first event. */
+  /** Adds a measurement: the tokens prefilled until the first event, including those queued before it on the engine. */
   public saw(engine: string, tokens: number, microseconds: number): void {
-    if (tokens < leastTokens || microseconds <= 0) return;
-    const seen = Math.min(fastest, Math.max(slowest, (tokens * 1000) / microseconds));
-    const before = this.of(engine);
-    this.engines.set(engine, before + 0.2 * (seen - before));
-    this.usual += 0.05 * (seen - this.usual);
+    if (tokens < minTokens || microseconds <= 0) return;
+    const measured = Math.min(
+      maxTokensPerMillisecond,
+      Math.max(minTokensPerMillisecond, (tokens * 1000) / microseconds),
+    );
+    const previous = this.of(engine);
+    this.engines.set(engine, previous + 0.2 * (measured - previous));
+    this.usual += 0.05 * (measured - this.usual);
   }
 
+  /** Drops all other engines. */
   public keepOnly(engines: readonly string[]): void {
     const kept = new Set(engines);
     for (const engine of this.engines.keys()) if (!kept.has(engine)) this.engines.delete(engine);
--- a/source/edge-proxy/placement/salts.ts
+++ b/source/edge-proxy/placement/salts.ts
@@ -2,38 +2,40 @@
 import { Identities } from '../../shared/directory/identity';
 import { PromptParts } from '../../shared/directory/promptParts';
 
-/** Salts of the pools in use, worked out once each. Why kept by the pool: a new blueprint brings new pools. */
-const known = new WeakMap<Pool, Map<string, string>>();
+/** Salts by pool object, computed once each. A new configuration creates new pool objects, so old salts are garbage-collected. */
+const saltsByPool = new WeakMap<Pool, Map<string, string>>();
 
-/** Why kept: a long list of tenants is a hash for each. */
-const present = new WeakMap<Blueprint, Map<string, ReadonlySet<string>>>();
+/** Current salts by configuration, cached because they take a hash per tenant. */
+const currentSalts = new WeakMap<Blueprint, Map<string, ReadonlySet<string>>>();
 
+/** Salts of the cache keys of prompt parts. */
 export const Salts = {
+  /** The salt of a pool under a weight version and a trust domain. */
   of: (pool: Pool, weights: string, trustDomain: string): string => {
-    const salts = known.get(pool) ?? new Map<string, string>();
-    known.set(pool, salts);
+    const salts = saltsByPool.get(pool) ?? new Map<string, string>();
+    saltsByPool.set(pool, salts);
     const key = `${weights}\u0000${trustDomain}`;
     const salt = salts.get(key) ?? PromptParts.salt(pool, weights, trustDomain);
     salts.set(key, salt);
     return salt;
   },
 
-  /** All that parts may be asked for under now, where the pool is on these weights and the others on those intended. */
+  /** All salts that may be in use now, with the pool on `weights` and the other pools on their intended weights. */
   present: (blueprint: Blueprint, pool: Pool, weights: string): ReadonlySet<string> => {
-    const sets = present.get(blueprint) ?? new Map<string, ReadonlySet<string>>();
-    present.set(blueprint, sets);
-    const of = `${pool.model}\u0000${weights}`;
-    const before = sets.get(of);
-    if (before !== undefined) return before;
+    const sets = currentSalts.get(blueprint) ?? new Map<string, ReadonlySet<string>>();
+    currentSalts.set(blueprint, sets);
+    const modelKey = `${pool.model}\u0000${weights}`;
+    const cached = sets.get(modelKey);
+    if (cached !== undefined) return cached;
     const { services, tenants } = blueprint;
     const domains = Identities.domains(tenants);
     const pools = Object.values(services).flatMap((service) => (service.kind === 'pool' ? [service] : []));
-    const made = new Set(
+    const created = new Set(
       pools.flatMap((one) =>
         domains.map((domain) => Salts.of(one, one.model === pool.model ? weights : one.weights, domain)),
       ),
     );
-    sets.set(of, made);
-    return made;
+    sets.set(modelKey, created);
+    return created;
   },
 } as const;
--- a/source/edge-proxy/placement/workPlacer.ts
+++ b/source/edge-proxy/placement/workPlacer.ts
@@ -14,10 +14,10 @@
 import type { PromptKeys } from './placePolicies';
 import type { ReadSpeeds } from './readSpeeds';
 
-/** Where nobody says how much an order may put out. */
-const usualOutput = 256;
+/** Assumed output tokens of a request without a maximum. */
+const defaultOutputTokens = 256;
 
-/** Chooses an engine by all that it would have to do: read, move, wait for what it has, and make room. */
+/** Chooses an engine by the cost of the request there: prefill, import of cached parts, queueing and memory. */
 export class WorkPlacer {
   public constructor(
     private readonly view: EngineView,
@@ -30,10 +30,11 @@
     private readonly settings: WorkPlacementSettings,
     private readonly demand: DemandView,
     private readonly metrics: Metrics,
-    /** Whether a kept connection to an address waits. */
+    /** Whether there is an idle connection to an address. */
     private readonly hasIdle: (address: string) => boolean = () => true,
   ) {}
 
+  /** Chooses an engine; undefined: there is no candidate. */
   public async place(
     candidates: readonly Candidate[],
     order: Order,
@@ -41,22 +42,22 @@
     keys: PromptKeys,
     lookUp: (weights: string) => LookUp,
   ): Promise<Placed | undefined> {
-    const lanes = this.lanes.of(
+    const reserved = this.lanes.of(
       mapping.service,
       candidates.map(({ name }) => name),
       this.view.others.mix(mapping.service),
       ByWork.isByOldNews(this.view.proxies()),
     );
     const prompt = order.promptTokens ?? (order.parts ?? []).reduce((sum, { size }) => sum + size, 0);
-    const books = new Map<string, Kept>();
+    const cachedByWeights = new Map<string, CachedParts>();
     const offered = candidates.map((candidate): Offer => {
-      const book = books.get(candidate.weights) ?? keptUnder(keys, candidate.weights, lookUp);
-      // Why once for each weights: a large pool has many engines, and most run on the same.
-      books.set(candidate.weights, book);
-      const { parts, found } = book;
-      const kept = book.matched.get(candidate.name) ?? 0;
+      const cached = cachedByWeights.get(candidate.weights) ?? cachedPartsUnder(keys, candidate.weights, lookUp);
+      // Looked up once per weight version: a large pool has many engines, and most have the same weights.
+      cachedByWeights.set(candidate.weights, cached);
+      const { parts, found } = cached;
+      const kept = cached.matched.get(candidate.name) ?? 0;
       const matched =
-        parts.length === 0 ? 0 : this.view.work.matched(candidate.name, candidate.bootEpoch, book.names, kept);
+        parts.length === 0 ? 0 : this.view.work.matched(candidate.name, candidate.bootEpoch, cached.names, kept);
       const engine = {
         name: candidate.name,
         zone: candidate.zone,
@@ -73,38 +74,39 @@
         moveMicroseconds: move?.microseconds ?? 0,
         tokensPerMillisecond: engine.tokensPerMillisecond,
         keptTokens: service.kind === 'pool' ? (service.shape?.keptTokens ?? 0) : 0,
-        lane: lanes.has(candidate.name),
+        lane: reserved.has(candidate.name),
         needsConnection: !this.hasIdle(candidate.address),
       };
     });
     const first = candidates[0];
     const places = this.placesOf(keys, offered);
     const demand = {
-      tokens: prompt + (order.mostTokens ?? usualOutput),
+      tokens: prompt + (order.mostTokens ?? defaultOutputTokens),
       parts: first === undefined ? [] : keys.parts(first.weights),
       zone: this.zone,
       isShort: this.lanes.isShort((prompt * 1000) / (first === undefined ? 1 : this.speeds.of(first.name))),
       ...(places === undefined ? {} : { places }),
     };
     const offers = this.withCopies(offered, demand);
-    const prefix = prefixOf(demand.parts);
-    const word = demand.isShort ? undefined : await this.askDesk(order, offers, demand, prompt, service);
-    const own = offers.find(({ name }) => name === word?.engine);
-    if (own !== undefined) await this.desk.read(prefix, word?.waitMicroseconds ?? 0);
-    const chosen = own ?? ByWork.choose(offers, demand, this.random, this.settings, this.view.proxies());
+    const prefix = sharedPrefixOf(demand.parts);
+    const decision = demand.isShort ? undefined : await this.askScheduler(order, offers, demand, prompt, service);
+    const scheduled = offers.find(({ name }) => name === decision?.engine);
+    if (scheduled !== undefined) await this.desk.read(prefix, decision?.waitMicroseconds ?? 0);
+    const chosen = scheduled ?? ByWork.choose(offers, demand, this.random, this.settings, this.view.proxies());
     if (chosen === undefined) return undefined;
-    const joined = own !== undefined && word?.joined === true;
-    const matched = joined ? Math.max(chosen.matched, demand.parts.length - 1) : chosen.matched;
-    const comes = joined || (own !== undefined && word !== undefined && word.keeper !== '');
-    const toRead = comes ? Math.min(chosen.toRead, restOf(demand.parts, prompt)) : chosen.toRead;
+    const joinsPrefill = scheduled !== undefined && decision?.joined === true;
+    const matched = joinsPrefill ? Math.max(chosen.matched, demand.parts.length - 1) : chosen.matched;
+    const sharedIsCached =
+      joinsPrefill || (scheduled !== undefined && decision !== undefined && decision.keeper !== '');
+    const toRead = sharedIsCached ? Math.min(chosen.toRead, unsharedTokens(demand.parts, prompt)) : chosen.toRead;
     this.lanes.saw(
       mapping.service,
       ((demand.isShort ? prompt : toRead) * 1000) / chosen.tokensPerMillisecond,
-      order.mostTokens ?? usualOutput,
+      order.mostTokens ?? defaultOutputTokens,
       chosen.capacity,
       demand.isShort,
     );
-    const keeper = word?.keeper === undefined || word.keeper === '' ? undefined : word.keeper;
+    const keeper = decision?.keeper === undefined || decision.keeper === '' ? undefined : decision.keeper;
     this.countCopy(chosen, matched, demand);
     const home = keeper ?? places?.[0] ?? (demand.parts.length === 0 ? undefined : ByWork.homeOf(demand.parts, offers));
     return {
@@ -115,26 +117,26 @@
       matched,
       toRead,
       ...(home === undefined || home === chosen.name ? {} : { home }),
-      ...(own === undefined ? {} : { reserved: true }),
+      ...(scheduled === undefined ? {} : { reserved: true }),
     };
   }
 
-  /** Where copies of its shared parts belong; undefined: it shares none, or nobody counts. */
+  /** Engines that should hold copies of the shared parts; undefined: there are no shared parts, or demand is not measured. */
   private placesOf(keys: PromptKeys, offers: readonly Offer[]): readonly string[] | undefined {
     if (!this.demand.settings.isOn || keys.prefix() === '') return undefined;
-    const outside = offers.filter(({ lane }) => !lane);
-    const names = (outside.length > 0 ? outside : offers).map(({ name }) => name);
+    const unreserved = offers.filter(({ lane }) => !lane);
+    const names = (unreserved.length > 0 ? unreserved : offers).map(({ name }) => name);
     const places = this.demand.places(keys.prefix(), names);
     return places.length === 0 ? undefined : places;
   }
 
   /**
-   * What one more copy costs. Why it does: an engine makes room for it by dropping what others may ask for next, and that is
-   * read again. Why less than nothing on an engine where one belongs: the next orders find it there, for a move now.
+   * Adds the cost of one more copy. A copy costs because the engine evicts other parts for it, which may be needed next and are then
+   * prefilled again. On an engine that should hold a copy the cost is negative: later requests find the parts there for one import now.
    */
   private withCopies(offers: readonly Offer[], { parts, places }: Demand): readonly Offer[] {
     const shared = parts.length - 1;
-    // Why not where nobody keeps them: somebody has to read them, wherever that is.
+    // No cost if no engine has the parts cached: one engine has to prefill them anyway.
     if (places === undefined || !offers.some(({ matched }) => matched >= shared)) return offers;
     const { copyMicrosecondsPerThousand } = this.demand.settings;
     return offers.map((offer) => {
@@ -147,14 +149,15 @@
     });
   }
 
+  /** Counts whether the chosen engine has the shared parts cached. */
   private countCopy(chosen: Offer, matched: number, { parts, places }: Demand): void {
     if (places === undefined) return;
     const copy = matched >= parts.length - 1 ? 'kept' : places.includes(chosen.name) ? 'belongs' : 'elsewhere';
     this.metrics.count('postdrum_prefix_copies_total', { copy });
   }
 
-  /** Long orders of all proxies are placed one after the other, so that none is read twice or waits in vain. */
-  private askDesk(
+  /** The scheduler places the long requests of all proxies one after the other, so that no prefix is prefilled twice and none waits in vain. */
+  private askScheduler(
     order: Order,
     offers: readonly Offer[],
     demand: Demand,
@@ -165,31 +168,31 @@
     const { parts } = demand;
     return this.desk.reserve({
       order: order.id,
-      prefix: prefixOf(parts),
+      prefix: sharedPrefixOf(parts),
       offers: offers.map((offer): DeskOffer => {
         const { copyMicroseconds: copy } = offer;
-        const five = [
+        const fields = [
           offer.name,
           Math.round(ByWork.costBesides(offer, demand, this.settings)),
           Math.round((offer.toRead * 1000) / offer.tokensPerMillisecond),
-          Math.round((Math.min(offer.toRead, restOf(parts, prompt)) * 1000) / offer.tokensPerMillisecond),
+          Math.round((Math.min(offer.toRead, unsharedTokens(parts, prompt)) * 1000) / offer.tokensPerMillisecond),
           Math.round(this.moves.usualMicroseconds(pool, tokensIn(parts, 0, parts.length - 1))),
         ] as const;
-        return copy === undefined ? five : [...five, Math.round(copy)];
+        return copy === undefined ? fields : [...fields, Math.round(copy)];
       }),
     });
   }
 }
 
-/** What is known of an order's parts under one weight version, by holder. */
-type Kept = Readonly<{
+/** What is known of a request's parts under one weight version, by holder. */
+type CachedParts = Readonly<{
   parts: readonly PartKey[];
   names: readonly string[];
   found: LookUp | undefined;
   matched: ReadonlyMap<string, number>;
 }>;
 
-const keptUnder = (keys: PromptKeys, weights: string, lookUp: (weights: string) => LookUp): Kept => {
+const cachedPartsUnder = (keys: PromptKeys, weights: string, lookUp: (weights: string) => LookUp): CachedParts => {
   const parts = keys.parts(weights);
   const found = parts.length === 0 ? undefined : lookUp(weights);
   const holders = found === undefined || found.kind === 'miss' ? [] : found.found;
@@ -201,9 +204,9 @@
   };
 };
 
-/** Names all that an order shares with others; empty: nothing. */
-const prefixOf = (parts: readonly PartKey[]): string => parts[parts.length - 2]?.name ?? '';
+/** Key of the longest prefix that a request shares with others; empty: there is none. */
+const sharedPrefixOf = (parts: readonly PartKey[]): string => parts[parts.length - 2]?.name ?? '';
 
-/** Tokens that are left to read where all shared parts are kept. */
-const restOf = (parts: readonly PartKey[], prompt: number): number =>
+/** Tokens to prefill where all shared parts are cached. */
+const unsharedTokens = (parts: readonly PartKey[], prompt: number): number =>
   Math.max(0, prompt - tokensIn(parts, 0, parts.length - 1));
