--- a/tests/engine-view.test.ts
+++ b/tests/engine-view.test.ts
@@ -10,7 +10,7 @@
 import { FactBook } from '../source/shared/news/facts';
 import { WeightsClocks } from '../source/shared/weights/weightsClocks';
 
-/** One proxy's view of the engines of one service, with the clock in the hand of the test. */
+/** One proxy's view of the engines of one service, with a clock that the test advances. */
 const setUp = (
   engines = 2,
 ): Readonly<{
@@ -19,7 +19,7 @@
   freshness: Freshness;
   clock: Clock;
   now: () => number;
-  pass: (microseconds: number) => void;
+  advance: (microseconds: number) => void;
   inFlight: () => number;
 }> => {
   let now = 1_000_000;
@@ -39,45 +39,45 @@
   );
   const inFlight = (): number =>
     view.candidates(Made.service(1)).find(({ name }) => name === Made.engine(1))?.inFlight ?? -1;
-  return { view, facts, freshness, clock, inFlight, now: () => now, pass: (microseconds) => (now += microseconds) };
+  return { view, facts, freshness, clock, inFlight, now: () => now, advance: (microseconds) => (now += microseconds) };
 };
 
-/** A send that the engine turns away for want of room. */
-const turnedAway = (view: EngineView): void => {
+/** A send that the engine refuses because it is full. */
+const refuseAsFull = (view: EngineView): void => {
   view.began(Made.engine(1));
   view.saidFull(Made.engine(1));
   view.ended(Made.engine(1));
 };
 
-test('an engine that said it is full stays full when the send that was told so ends: that makes no room', () => {
-  const { view, inFlight, pass } = setUp();
+test('an engine that reported itself full stays full when the refused send ends, because that frees no capacity', () => {
+  const { view, inFlight, advance } = setUp();
   assert.equal(inFlight(), 0);
-  turnedAway(view);
-  pass(2_000);
+  refuseAsFull(view);
+  advance(2_000);
   assert.equal(inFlight(), Made.engineFact(1).capacity);
 });
 
-test('an engine that said it is full has room again when an order that ran there ends', () => {
-  const { view, inFlight, pass } = setUp();
+test('an engine that reported itself full has capacity again when a request that ran there ends', () => {
+  const { view, inFlight, advance } = setUp();
   view.began(Made.engine(1));
-  turnedAway(view);
+  refuseAsFull(view);
   assert.equal(inFlight(), Made.engineFact(1).capacity);
-  pass(2_000);
+  advance(2_000);
   view.ended(Made.engine(1));
   assert.equal(inFlight(), 0);
 });
 
-test('the word that an engine is full ends with fresher news of it, and with time', () => {
+test('a report that an engine is full ends with a newer report on it, and with time', () => {
   for (const end of ['news', 'time'] as const) {
-    const { view, facts, inFlight, pass } = setUp();
-    turnedAway(view);
+    const { view, facts, inFlight, advance } = setUp();
+    refuseAsFull(view);
     if (end === 'news') facts.put({ key: `engine/${Made.engine(1)}`, version: [1, 2], value: Made.engineFact(1) });
-    pass(end === 'news' ? 2_000 : 400_000);
+    advance(end === 'news' ? 2_000 : 400_000);
     assert.equal(inFlight(), 0, end);
   }
 });
 
-test('an ejected engine is no candidate, but an order placed there before may still go', () => {
+test('an ejected engine is no candidate, but a request placed there before may still be sent', () => {
   const { view } = setUp(4);
   const names = (): readonly string[] => view.candidates(Made.service(1)).map(({ name }) => name);
   for (const engine of [1, 2, 3, 4])
@@ -91,34 +91,34 @@
   assert.equal(view.capacity(Made.service(1)), 3 * Made.engineFact(1).capacity);
 });
 
-test('an engine that its steward does not hear is lost, unless its answers are good since; draining ones stay out', () => {
-  const { view, facts, pass } = setUp();
-  const has = (): boolean => view.candidates(Made.service(1)).some(({ name }) => name === Made.engine(1));
-  const say = (sequence: number, reachable: boolean, accepting: boolean): void => {
+test('an engine that its agent cannot reach is no candidate unless it has answered requests since; a draining one never is', () => {
+  const { view, facts, advance } = setUp();
+  const isCandidate = (): boolean => view.candidates(Made.service(1)).some(({ name }) => name === Made.engine(1));
+  const report = (sequence: number, reachable: boolean, accepting: boolean): void => {
     const value = { ...Made.engineFact(1), reachable, accepting };
     facts.put({ key: `engine/${Made.engine(1)}`, version: [1, sequence], value });
   };
-  say(2, false, false);
-  assert.equal(has(), false);
-  pass(2_000);
+  report(2, false, false);
+  assert.equal(isCandidate(), false);
+  advance(2_000);
   view.outliers.answered(Made.engine(1), 'good');
-  pass(2_000);
-  assert.equal(has(), true);
-  pass(1_500_000);
-  assert.equal(has(), false, 'not for ever');
+  advance(2_000);
+  assert.equal(isCandidate(), true);
+  advance(1_500_000);
+  assert.equal(isCandidate(), false, 'no candidate for longer without answers');
   view.outliers.answered(Made.engine(1), 'good');
-  say(3, true, false);
-  pass(2_000);
-  assert.equal(has(), false, 'heard, and not accepting');
-  say(4, true, true);
-  assert.equal(has(), true);
+  report(3, true, false);
+  advance(2_000);
+  assert.equal(isCandidate(), false, 'reachable, but not accepting');
+  report(4, true, true);
+  assert.equal(isCandidate(), true);
 });
 
-test('engines on weights whose time is over are candidates no more, though no news comes', () => {
-  const { view, freshness, clock, now, pass } = setUp(2);
-  const able = (): boolean =>
+test('engines on previous weights stop being candidates at the cutoff, without any update', () => {
+  const { view, freshness, clock, now, advance } = setUp(2);
+  const isUsable = (): boolean =>
     view.isAble(Made.service(1), { name: Made.engine(1), bootEpoch: Made.engineFact(1).bootEpoch, weights });
-  assert.equal(able(), true);
+  assert.equal(isUsable(), true);
   const next = JSON.parse(JSON.stringify(Made.blueprint(1, 1, 1))) as { services: Record<string, { weights: string }> };
   for (const service of Object.values(next.services)) service.weights = 'w2';
   Made.give(freshness, clock, 'blueprint', JSON.stringify(next), 2);
@@ -132,44 +132,44 @@
     },
     now(),
   );
-  assert.equal(able(), true, 'for a while');
+  assert.equal(isUsable(), true, 'until the cutoff');
   assert.deepEqual(
     view.candidates(Made.service(1)).map(({ changesSoon }) => changesSoon),
     [true, true],
-    'both are in the next two rounds',
+    'both change in the next two rounds',
   );
   assert.equal(view.candidates(Made.service(1)).length, 2);
-  pass(WeightsClocks.cutMicroseconds - 1_000_000 - 100);
-  assert.equal(able(), true, 'up to the last moment');
-  pass(2_000);
-  assert.equal(able(), false);
+  advance(WeightsClocks.cutMicroseconds - 1_000_000 - 100);
+  assert.equal(isUsable(), true, 'just before the cutoff');
+  advance(2_000);
+  assert.equal(isUsable(), false);
   assert.equal(view.candidates(Made.service(1)).length, 0);
   assert.equal(view.capacity(Made.service(1)), 0);
 });
 
-test('free places follow own orders and the news of others at once, candidates say the same', () => {
+test('free capacity follows own requests and load updates at once, and agrees with the candidates', () => {
   const { view, facts } = setUp(2);
   const service = Made.service(1);
-  const places = 2 * Made.engineFact(1).capacity;
-  const agree = (free: number): void => {
+  const totalCapacity = 2 * Made.engineFact(1).capacity;
+  const assertFree = (free: number): void => {
     assert.equal(view.free(service), free);
     const counted = view
       .candidates(service)
       .reduce((sum, { capacity, inFlight }) => sum + Math.max(0, capacity - inFlight), 0);
     assert.equal(counted, free);
-    assert.equal(view.capacity(service), places);
+    assert.equal(view.capacity(service), totalCapacity);
   };
-  agree(places);
+  assertFree(totalCapacity);
   view.began(Made.engine(1));
-  agree(places - 1);
+  assertFree(totalCapacity - 1);
   facts.put({ key: 'member/other', version: [1, 0], value: { ...Made.member(2), name: 'other' } });
   const load = { agent: 'other', engines: { [Made.engine(2)]: 5 }, classes: {}, waiting: {}, tenants: {} };
   facts.put({ key: 'load/other', version: [1, 1], value: load });
-  agree(places - 6);
+  assertFree(totalCapacity - 6);
   facts.put({ key: 'member/other', version: [1, 3], value: { ...Made.member(2), name: 'other', state: 'left' } });
-  agree(places - 1);
+  assertFree(totalCapacity - 1);
   view.ended(Made.engine(1));
-  agree(places);
-  turnedAway(view);
-  agree(places - Made.engineFact(1).capacity);
+  assertFree(totalCapacity);
+  refuseAsFull(view);
+  assertFree(totalCapacity - Made.engineFact(1).capacity);
 });
--- a/tests/named-parts.test.ts
+++ b/tests/named-parts.test.ts
@@ -19,7 +19,7 @@
 
 const eventText = fc.record({ id: fc.nat(999), data: fc.stringMatching(/^[a-z ]{0,20}$/) });
 
-test('events are cut at their borders only, in whatever pieces they come, and none is lost', () => {
+test('events are split only at event boundaries, however the bytes are chunked, and none is lost', () => {
   fc.assert(
     fc.property(
       fc.array(eventText, { minLength: 1, maxLength: 8 }),
@@ -38,7 +38,7 @@
           if (piece === undefined) continue;
           passed.push(piece);
           const text = Buffer.concat(passed).toString();
-          assert.ok(text.endsWith(line + line), 'ends at a border');
+          assert.ok(text.endsWith(line + line), 'ends at an event boundary');
           assert.equal(whole.lastId, String(events[text.split('id: ').length - 2]?.id));
         }
         assert.equal(whole.flush(), undefined);
@@ -49,14 +49,14 @@
   );
 });
 
-test('half an event is kept back, and its id is not the last one', () => {
+test('an incomplete event is buffered, and its id is not the last id', () => {
   const whole = new WholeEvents();
   assert.equal(whole.feed(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n'))?.toString(), 'id: 1\ndata: a\n\n');
   assert.equal(whole.lastId, '1');
   assert.equal(whole.flush()?.toString(), 'id: 2\ndata: b\n');
 });
 
-test('an event without end is passed on in the end, and cannot be taken up after', () => {
+test('an event that exceeds the buffer is passed on, and the stream cannot be resumed after it', () => {
   const whole = new WholeEvents();
   assert.equal(whole.feed(Buffer.from('id: 1\ndata: a\n\n'))?.length, 15);
   let passed = 0;
@@ -65,7 +65,7 @@
   assert.equal(whole.lastId, undefined);
 });
 
-test('a part of another tenant behind a wall, of other weights or another model has another name', () => {
+test('the key of a part differs by isolated tenant, weights and model', () => {
   const names = [
     PromptParts.salt(pool, '1', 'shared'),
     PromptParts.salt(pool, '2', 'shared'),
@@ -77,24 +77,24 @@
   assert.equal(PromptParts.salt({ ...pool }, '1', 'shared'), names[0]);
 });
 
-test('a part that is being read counts as kept there, until its order fails or the engine starts anew', () => {
+test('a part that is being prefilled counts as cached until its request fails or the engine restarts', () => {
   const clock = handClock();
   const work = new EngineWork(clock, { latelyMicroseconds: 1000 });
   const names = ['s/a', 's/b', 's/own'];
   work.began('e', 'boot1', { order: 'o', toRead: 900, tokens: 1000, fills: ['s/a', 's/b'] });
   assert.equal(work.matched('e', 'boot1', names, 0), 2);
-  assert.equal(work.matched('e', 'boot2', names, 0), 0, 'another life of the engine');
+  assert.equal(work.matched('e', 'boot2', names, 0), 0, 'another boot epoch of the engine');
   assert.equal(work.matched('other', 'boot1', names, 0), 0);
   assert.deepEqual(work.of('e'), { reading: 900, tokens: 1000 });
   work.begun('e', 'o');
   assert.deepEqual(work.of('e'), { reading: 0, tokens: 1000 });
   work.ended('e', 'o');
-  assert.equal(work.matched('e', 'boot1', names, 0), 2, 'read a moment ago');
+  assert.equal(work.matched('e', 'boot1', names, 0), 2, 'prefilled recently');
   clock.now = 1001;
-  assert.equal(work.matched('e', 'boot1', names, 0), 0, 'by now the events would show it');
+  assert.equal(work.matched('e', 'boot1', names, 0), 0, 'expired: cache events would show it by now');
   work.began('e', 'boot1', { order: 'p', toRead: 900, tokens: 1000, fills: ['s/a'] });
   work.ended('e', 'p');
-  assert.equal(work.matched('e', 'boot1', names, 0), 0, 'it failed before it was read');
+  assert.equal(work.matched('e', 'boot1', names, 0), 0, 'failed before the prefill finished');
   work.began('e', 'boot1', { order: 'q', toRead: 1, tokens: 1, fills: ['s/a'] });
   work.began('e', 'boot2', { order: 'r', toRead: 1, tokens: 1, fills: [] });
   assert.equal(work.matched('e', 'boot2', names, 0), 0, 'fenced');
@@ -126,7 +126,7 @@
 const choose = (offers: readonly Offer[], seed = 1): string | undefined =>
   ByWork.choose(offers, demand, seededRandom(seed), WorkPlacementSettings.usual)?.name;
 
-test('an order goes where its parts are kept, but not behind a long queue, a full house or a full memory', () => {
+test('a request goes where its parts are cached, unless that engine has a long prefill queue, many requests or full memory', () => {
   const keeps = { matched: 1, toRead: 1000 };
   assert.equal(choose([offer('a'), offer('b', keeps), offer('c')]), 'b');
   assert.equal(choose([offer('a'), offer('b', { ...keeps, work: { reading: 40_000, tokens: 0 } })]), 'a');
@@ -135,7 +135,7 @@
   assert.equal(choose([]), undefined);
 });
 
-test('proxies that find a part nowhere choose the same engine for it; for other parts they spread', () => {
+test('proxies choose the same engine for a part that is cached nowhere, and different engines for different parts', () => {
   const offers = ['a', 'b', 'c', 'd', 'e'].map((name) => offer(name));
   const chosen = Array.from({ length: 20 }, (_, seed) => choose(offers, seed));
   assert.equal(new Set(chosen).size, 1);
@@ -146,7 +146,7 @@
   assert.equal(new Set(spread).size, offers.length);
 });
 
-test('with all else equal the own zone is chosen', () => {
+test('at equal cost an engine in the same zone is chosen', () => {
   const short = { ...demand, parts: [], isShort: true };
   const of = (offers: readonly Offer[]): string | undefined =>
     ByWork.choose(offers, short, seededRandom(1), WorkPlacementSettings.usual)?.name;
@@ -154,7 +154,7 @@
   assert.equal(of([offer('b', { zone: 'y' }), offer('a')]), 'a');
 });
 
-test('with little between them the engine that a kept connection waits for is chosen, but not behind a queue', () => {
+test('at similar cost the engine with an idle connection is chosen, but not behind a queue', () => {
   const short = { ...demand, parts: [], isShort: true, tokens: 300 };
   const fresh = { needsConnection: true };
   assert.equal(
@@ -168,7 +168,7 @@
   );
 });
 
-test('short orders keep to their lane, long ones out of it, until there is no room elsewhere', () => {
+test('short requests use the reserved engines and long ones the others, until these have no capacity', () => {
   const lane = offer('a', { lane: true });
   const short = { ...demand, parts: [], isShort: true, tokens: 300 };
   const of = (offers: readonly Offer[]): string | undefined =>
@@ -179,9 +179,9 @@
   assert.equal(choose([lane, offer('b', { work: { reading: 60_000, tokens: 0 } })]), 'a');
 });
 
-test('engines are kept for short orders by their part of the work, the same ones at every proxy', () => {
+test('engines are reserved in proportion to the work of short requests, the same ones at every proxy', () => {
   const engines = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
-  const lanesAfter = (
+  const reservedAfter = (
     short: number,
     long: number,
     headroomPerMille = LaneSettings.usual.headroomPerMille,
@@ -191,15 +191,15 @@
     for (let turn = 0; turn < long; turn += 1) lanes.saw('s', 200_000, 10, 20, false);
     return lanes.of('s', engines);
   };
-  assert.equal(lanesAfter(100, 0).size, 0, 'nothing to keep apart');
-  assert.equal(lanesAfter(0, 10).size, 0);
-  assert.deepEqual([...lanesAfter(200, 10)], [...lanesAfter(210, 11)]);
-  assert.ok(lanesAfter(400, 1).size > lanesAfter(20, 10).size);
-  assert.equal(lanesAfter(10_000, 1, 1500).size, engines.length - 1, 'one is always left to long orders');
-  assert.equal(lanesAfter(1, 1000).size, 1);
+  assert.equal(reservedAfter(100, 0).size, 0, 'only short requests');
+  assert.equal(reservedAfter(0, 10).size, 0);
+  assert.deepEqual([...reservedAfter(200, 10)], [...reservedAfter(210, 11)]);
+  assert.ok(reservedAfter(400, 1).size > reservedAfter(20, 10).size);
+  assert.equal(reservedAfter(10_000, 1, 1500).size, engines.length - 1, 'one engine always remains for long requests');
+  assert.equal(reservedAfter(1, 1000).size, 1);
 });
 
-test('proxies that each saw a long order now and then keep the same engines for short ones, by the mix of all', () => {
+test('proxies that each see few long requests reserve the same engines, by the mix of all proxies', () => {
   const engines = Array.from({ length: 42 }, (_, index) => `engine-${index}`);
   const orders = fc.array(fc.tuple(fc.integer({ min: 0, max: 60 }), fc.integer({ min: 0, max: 6 })), {
     minLength: 2,
@@ -213,11 +213,11 @@
         for (let turn = 0; turn < long; turn += 1) lanes.saw('s', 200_000, 0, 20, false);
         return lanes;
       });
-      const sum = (but: number): readonly [number, number] =>
+      const sum = (excluded: number): readonly [number, number] =>
         proxies.reduce<readonly [number, number]>(
           ([short, long], lanes, index) => {
-            const told = index === but ? undefined : lanes.mixes()['s'];
-            return [short + (told?.[0] ?? 0), long + (told?.[1] ?? 0)];
+            const sent = index === excluded ? undefined : lanes.mixes()['s'];
+            return [short + (sent?.[0] ?? 0), long + (sent?.[1] ?? 0)];
           },
           [0, 0],
         );
@@ -228,7 +228,7 @@
   );
 });
 
-test('about to change are those of the round that goes on and the next one, until they have', () => {
+test('engines of the current and the next round count as changing soon until they have changed', () => {
   const names = Array.from({ length: 42 }, (_, index) => `engine-${index}`);
   const order = WeightsRounds.order('s', 'w2', names);
   const width = WeightsRounds.width(names.length);
@@ -249,17 +249,17 @@
   );
 });
 
-test('orders go elsewhere than to an engine that is about to change its weights, while that is not worth much more', () => {
+test('requests avoid an engine that changes its weights soon, unless the others cost much more', () => {
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
   const choose = (...offers: readonly Offer[]): string | undefined =>
     ByWork.choose(offers, short, seededRandom(1), WorkPlacementSettings.usual)?.name;
   assert.equal(choose(offer('a', { changesSoon: true }), offer('b', { inFlight: 5 })), 'b');
   assert.equal(choose(offer('a', { changesSoon: true }), offer('b', { inFlight: 90 })), 'a');
   const lanes = [offer('a', { changesSoon: true, lane: true }), offer('b')] as const;
-  assert.equal(choose(...lanes), 'a', 'a short one does not leave its lane for it');
+  assert.equal(choose(...lanes), 'a', 'a short request does not leave the reserved engines for it');
 });
 
-test('among many proxies short orders spread over engines that seem to differ a little, among few they do not', () => {
+test('short requests spread over engines of slightly different load among many proxies, but not among few', () => {
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
   const chosen = (proxies: number, inFlight: number): number => {
     const random = seededRandom(3);
@@ -271,10 +271,10 @@
   assert.equal(chosen(1, 3), 0);
   assert.equal(chosen(9, 3), 0);
   assert.ok(chosen(73, 3) > 80, `${chosen(73, 3)} of 400`);
-  assert.equal(chosen(73, 12), 0, 'and none goes where there is much more to do');
+  assert.equal(chosen(73, 12), 0, 'none goes to an engine with much more load');
 });
 
-test('among many proxies no engine gets the short requests of all of them for seeming to have the least load', () => {
+test('among many proxies the engine with the least known load does not get all short requests', () => {
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
   const random = seededRandom(5);
   const offers = Array.from({ length: 12 }, (_, index) =>
@@ -284,11 +284,11 @@
     Array.from({ length: 1200 }, () =>
       ByWork.choose(offers, short, random, WorkPlacementSettings.usual, proxies),
     ).filter((found) => found?.name === 'e0').length / 1200;
-  assert.equal(share(9), 1, 'few proxies hear of each other in time');
+  assert.equal(share(9), 1, 'few proxies know the current load of each other');
   for (const proxies of [63, 195]) assert.ok(share(proxies) < 0.25, `${proxies} proxies: ${share(proxies)}`);
 });
 
-test('among many proxies an engine that has far more to do than the others gets few short requests', () => {
+test('among many proxies an engine with far more load than the others gets no short request', () => {
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
   const random = seededRandom(6);
   const offers = Array.from({ length: 12 }, (_, index) =>
@@ -300,7 +300,7 @@
   assert.equal(chosen.filter((found) => found?.name === 'e0').length, 0);
 });
 
-test('a mix fades until nothing of it is told', () => {
+test('a mix decays until it is no longer sent', () => {
   const clock = handClock();
   const lanes = new Lanes(clock, LaneSettings.usual);
   lanes.saw('s', 200_000, 0, 20, false);
@@ -309,91 +309,93 @@
   assert.deepEqual(lanes.mixes(), {});
 });
 
-const desk = (): Readonly<{ clock: ReturnType<typeof handClock>; desk: WorkDesk }> => {
+const startScheduler = (): Readonly<{ clock: ReturnType<typeof handClock>; desk: WorkDesk }> => {
   const clock = handClock();
   return { clock, desk: new WorkDesk(clock) };
 };
 const offers = (names: string, read = 200_000, rest = 50_000, move = 20_000): readonly DeskOffer[] =>
   [...names].map((name): DeskOffer => [name, 0, read, rest, move]);
 
-test('the desk gives long orders to idle engines, one after the other', () => {
-  const { clock, desk: one } = desk();
-  const given = ['p', 'q', 'r'].map((prefix) => one.reserve({ order: prefix, prefix, offers: offers('abc') }).engine);
+test('the scheduler gives long requests to idle engines, one after the other', () => {
+  const { clock, desk: scheduler } = startScheduler();
+  const given = ['p', 'q', 'r'].map(
+    (prefix) => scheduler.reserve({ order: prefix, prefix, offers: offers('abc') }).engine,
+  );
   assert.equal(new Set(given).size, 3);
   clock.now = 150_000;
-  one.done(given[1] ?? '', 'q', true);
-  assert.equal(one.reserve({ order: 's', prefix: 's', offers: offers('abc') }).engine, given[1]);
+  scheduler.done(given[1] ?? '', 'q', true);
+  assert.equal(scheduler.reserve({ order: 's', prefix: 's', offers: offers('abc') }).engine, given[1]);
 });
 
-test('a prefix that is being read is not read a second time, and once it is read it may be moved', () => {
-  const { clock, desk: one } = desk();
-  const first = one.reserve({ order: 'o', prefix: 'p', offers: offers('ab') });
+test('a prefix that is being prefilled is not prefilled twice, and can be imported afterwards', () => {
+  const { clock, desk: scheduler } = startScheduler();
+  const first = scheduler.reserve({ order: 'o', prefix: 'p', offers: offers('ab') });
   assert.deepEqual(first, { engine: 'a', joined: false, keeper: '' });
-  assert.deepEqual(one.reserve({ order: 'x', prefix: 'p', offers: offers('ab') }), {
+  assert.deepEqual(scheduler.reserve({ order: 'x', prefix: 'p', offers: offers('ab') }), {
     engine: 'a',
     joined: true,
     keeper: '',
     waitMicroseconds: 375_000,
   });
-  one.done('a', 'o', true);
+  scheduler.done('a', 'o', true);
   clock.now = 1000;
-  for (const order of ['y', 'z']) one.reserve({ order, prefix: '', offers: offers('a', 900_000, 900_000) });
-  assert.deepEqual(one.reserve({ order: 'w', prefix: 'p', offers: offers('ab') }), {
+  for (const order of ['y', 'z']) scheduler.reserve({ order, prefix: '', offers: offers('a', 900_000, 900_000) });
+  assert.deepEqual(scheduler.reserve({ order: 'w', prefix: 'p', offers: offers('ab') }), {
     engine: 'b',
     joined: false,
     keeper: 'a',
   });
 });
 
-test('an order waits while another one reads what both share, and no longer than that reader should need', async () => {
+test('a request waits while another one prefills the shared prefix, but no longer than that should take', async () => {
   const world = new World(1);
-  const one = new WorkDesk(world.clock);
-  const reserve = (order: string, prefix = 'p'): DeskWord => one.reserve({ order, prefix, offers: offers('ab') });
+  const scheduler = new WorkDesk(world.clock);
+  const reserve = (order: string, prefix = 'p'): DeskWord => scheduler.reserve({ order, prefix, offers: offers('ab') });
   const ended: string[] = [];
-  const waits = (name: string, prefix = 'p'): void => void one.read(prefix).then(() => ended.push(name));
-  assert.equal(reserve('o').waitMicroseconds, undefined, 'the first one reads');
+  const waits = (name: string, prefix = 'p'): void => void scheduler.read(prefix).then(() => ended.push(name));
+  assert.equal(reserve('o').waitMicroseconds, undefined, 'the first request prefills');
   const joined = reserve('x');
   assert.ok(joined.joined && (joined.waitMicroseconds ?? 0) >= 200_000, JSON.stringify(joined));
   waits('x');
   await world.runFor(150_000);
   assert.deepEqual(ended, []);
-  one.done('a', 'o', true);
+  scheduler.done('a', 'o', true);
   await world.runFor(1_000);
-  assert.deepEqual(ended, ['x'], 'it goes as soon as the parts are there');
-  assert.equal(reserve('y').waitMicroseconds, undefined, 'and nobody waits after that');
+  assert.deepEqual(ended, ['x'], 'continues as soon as the parts are cached');
+  assert.equal(reserve('y').waitMicroseconds, undefined, 'no request waits after that');
   reserve('q', 'q');
   waits('late', 'q');
   waits('nobody reads this', 'r');
   await world.runFor(1_000);
   assert.deepEqual(ended, ['x', 'nobody reads this']);
   await world.runFor(2_000_000);
-  assert.deepEqual(ended, ['x', 'nobody reads this', 'late'], 'a reader that says nothing keeps nobody');
+  assert.deepEqual(ended, ['x', 'nobody reads this', 'late'], 'a prefill without a report delays no request further');
   const again = reserve('s', 's');
   waits('failed', 's');
-  one.done(again.engine, 's', false);
+  scheduler.done(again.engine, 's', false);
   await world.runFor(1_000);
-  assert.equal(ended.at(-1), 'failed', 'a reader that failed keeps nobody either');
+  assert.equal(ended.at(-1), 'failed', 'a failed prefill delays no request either');
   reserve('t', 't');
   waits('gone', 't');
-  one.keepOnly([]);
+  scheduler.keepOnly([]);
   await world.runFor(1_000);
   assert.equal(ended.at(-1), 'gone');
 });
 
-test('a reader that failed leaves its prefix to the next, and what nobody speaks of is forgotten', () => {
-  const { clock, desk: one } = desk();
-  one.reserve({ order: 'o', prefix: 'p', offers: offers('a') });
-  one.done('a', 'o', false);
-  assert.equal(one.reserve({ order: 'x', prefix: 'p', offers: offers('b') }).keeper, '');
-  assert.ok(one.waitMicroseconds('b') > 0);
+test('a failed prefill leaves its prefix to the next request, and entries without updates expire', () => {
+  const { clock, desk: scheduler } = startScheduler();
+  scheduler.reserve({ order: 'o', prefix: 'p', offers: offers('a') });
+  scheduler.done('a', 'o', false);
+  assert.equal(scheduler.reserve({ order: 'x', prefix: 'p', offers: offers('b') }).keeper, '');
+  assert.ok(scheduler.waitMicroseconds('b') > 0);
   clock.now = 60_000_000;
-  assert.equal(one.waitMicroseconds('b'), 0);
-  assert.equal(one.reserve({ order: 'y', prefix: 'p', offers: offers('c') }).joined, false);
-  one.keepOnly(['d']);
-  assert.equal(one.waitMicroseconds('c'), 0);
+  assert.equal(scheduler.waitMicroseconds('b'), 0);
+  assert.equal(scheduler.reserve({ order: 'y', prefix: 'p', offers: offers('c') }).joined, false);
+  scheduler.keepOnly(['d']);
+  assert.equal(scheduler.waitMicroseconds('c'), 0);
 });
 
-test('nonsense is no order for the desk, and no word of it', () => {
+test('arbitrary JSON is neither a valid scheduler request nor a valid scheduler answer', () => {
   fc.assert(
     fc.property(fc.jsonValue(), (value) => {
       assert.equal(DeskMessages.isOrder(value), false);
@@ -405,17 +407,17 @@
   assert.ok(!DeskMessages.isOrder({ order: 'o', prefix: '', offers: [['a', 0, 0, 0, Number.NaN]] }));
 });
 
-test('reading speeds follow what is seen, and short prompts tell nothing', () => {
+test('prefill speeds follow the measurements, and short prompts are not measured', () => {
   const speeds = new ReadSpeeds();
   const start = speeds.of('e');
   speeds.saw('e', 100, 1_000_000);
   assert.equal(speeds.of('e'), start);
   for (let turn = 0; turn < 50; turn += 1) speeds.saw('e', 20_000, 1_000_000);
   assert.ok(Math.abs(speeds.of('e') - 20) < 1);
-  assert.ok(speeds.of('unknown') < start, 'a new engine is taken to be like the others');
+  assert.ok(speeds.of('unknown') < start, 'an unmeasured engine gets the average of the others');
 });
 
-test('an order finds the same service each time it is asked, and all orders together keep to the shares', () => {
+test('a request always gets the same service, and all requests together match the traffic shares', () => {
   const mapping: Mapping = {
     path: '/p/',
     model: '',
--- a/tests/outdated-denials.test.ts
+++ b/tests/outdated-denials.test.ts
@@ -34,7 +34,7 @@
   return found.settings;
 };
 
-/** A proxy that heard of its configuration once and of nothing since. */
+/** A proxy whose configuration was confirmed once and not since. */
 const proxyOf = (world: World, revokeEverywhere = false): EdgeProxy => {
   const proxy = new EdgeProxy(
     { clock: world.clock, random: world.random, transport: {} as Transport },
@@ -53,7 +53,7 @@
   return proxy;
 };
 
-const orderOf = (path: string, key: string): Order => ({
+const requestOf = (path: string, key: string): Order => ({
   id: 'r1',
   method: 'POST',
   path,
@@ -65,40 +65,41 @@
   arrivedMicroseconds: 0,
 });
 
-/** What a caller is told; `resolved`: the order has a route. */
-const answerOf = (proxy: EdgeProxy, path: string, key: string): string => {
-  const found = proxy.identifier.resolve(orderOf(path, key));
+/** Status and verdict that the client gets; `resolved`: the request has a route. */
+const statusOf = (proxy: EdgeProxy, path: string, key: string): string => {
+  const found = proxy.identifier.resolve(requestOf(path, key));
   return found.kind === 'resolved' ? 'resolved' : `${found.refusal.status} ${found.refusal.verdict}`;
 };
 
 const denied = [
-  ['a key that is not known', '/long/1', 'key-b', '401 notRun'],
+  ['an unknown key', '/long/1', 'key-b', '401 notRun'],
   ['no key', '/long/1', '', '401 notRun'],
   ['a path without a route', '/none/1', 'key-a', '404 notRun'],
 ] as const;
 
-describe('what a proxy refuses by a configuration that may be outdated', () => {
-  test('within the time in which a change must be in force: 401 and 404, as the configuration says', async () => {
+describe('denials by a configuration that may be outdated', () => {
+  test('answers 401 and 404 within the time in which a change must be in force', async () => {
     const world = new World(1);
     const proxy = proxyOf(world);
     await world.runFor((applyWithinMs - 1) * 1000);
-    for (const [what, path, key, answer] of denied) assert.equal(answerOf(proxy, path, key), answer, what);
+    for (const [description, path, key, answer] of denied)
+      assert.equal(statusOf(proxy, path, key), answer, description);
   });
 
-  test('after it a newer one may allow the request: 503, and what is allowed goes on', async () => {
+  test('answers 503 after that time, because a newer configuration may allow the request, and still serves allowed requests', async () => {
     const world = new World(1);
     const proxy = proxyOf(world);
     await world.runFor(applyWithinMs * 1000);
-    for (const [what, path, key] of denied) assert.equal(answerOf(proxy, path, key), '503 notRun', what);
-    assert.equal(answerOf(proxy, '/long/1', 'key-a'), 'resolved');
+    for (const [description, path, key] of denied) assert.equal(statusOf(proxy, path, key), '503 notRun', description);
+    assert.equal(statusOf(proxy, '/long/1', 'key-a'), 'resolved');
     assert.equal(proxy.identifier.refusedAtHead({ key: 'key-b', path: '/long/1', host: 'one.example' })?.status, 503);
   });
 
-  test('a request that is held while its key vanishes from an outdated configuration is not told 401', async () => {
+  test('a queued request whose key is missing from an outdated configuration does not get 401', async () => {
     const world = new World(1);
     const proxy = proxyOf(world);
-    const order = orderOf('/long/1', 'key-a');
-    const found = proxy.identifier.resolve(order);
+    const request = requestOf('/long/1', 'key-a');
+    const found = proxy.identifier.resolve(request);
     assert.equal(found.kind, 'resolved');
     const text = Envelopes.close({ weights: {}, document: platformDocument(4, { tenants: [] }) });
     const digest = Digests.of(text);
@@ -106,11 +107,11 @@
     proxy.freshness.hear({ ...confirmed, ageMicroseconds: 0, weights: {} }, world.nowMicroseconds);
     assert.ok(proxy.freshness.give({ ...confirmed, text } as SentBody));
     await world.runFor(applyWithinMs * 1000);
-    const stands = found.kind === 'resolved' ? proxy.identifier.stillStands(order, found.resolved) : undefined;
-    assert.equal(stands?.kind === 'refuse' ? stands.refusal.status : undefined, 503);
+    const validity = found.kind === 'resolved' ? proxy.identifier.stillStands(request, found.resolved) : undefined;
+    assert.equal(validity?.kind === 'refuse' ? validity.refusal.status : undefined, 503);
   });
 
-  test('as soon as it is confirmed again it refuses plainly again', async () => {
+  test('answers 401 and 404 again as soon as the configuration is confirmed', async () => {
     const world = new World(1);
     const proxy = proxyOf(world);
     await world.runFor(2 * applyWithinMs * 1000);
@@ -119,6 +120,7 @@
       { key: 'blueprint', revision: 1, digest, ageMicroseconds: 0, weights: {} },
       world.nowMicroseconds,
     );
-    for (const [what, path, key, answer] of denied) assert.equal(answerOf(proxy, path, key), answer, what);
+    for (const [description, path, key, answer] of denied)
+      assert.equal(statusOf(proxy, path, key), answer, description);
   });
 });
--- a/tests/received-loads.test.ts
+++ b/tests/received-loads.test.ts
@@ -1,4 +1,4 @@
-/** What a proxy knows of the fleet from agents that do not all know the same. */
+/** Guards against an undercount of the fleet when a proxy gets load sums from agents that know different numbers of proxies. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ReceivedLoads } from '../source/edge-proxy/feeding/receivedLoads';
@@ -21,8 +21,8 @@
 
 const names = Array.from({ length: fleetSize }, (_, index) => `proxy ${index}`);
 
-describe('sums of loads from agents that know less than the one before', () => {
-  test('an agent that has just started does not shrink the fleet that retries are shared among', () => {
+describe('load sums from an agent that knows fewer proxies than the previous one', () => {
+  test('do not shrink the fleet size that the retry budget is divided by', () => {
     const received = new ReceivedLoads('proxy 0');
     const others = new OtherProxies('proxy 0', new FactBook(), () => received.others);
     received.take('agent a', updateOf('a', names), () => undefined);
@@ -32,8 +32,8 @@
   });
 });
 
-describe('loads that name an engine like a member of every object', () => {
-  test('they are added up as any other', () => {
+describe('loads of an engine with the name of an Object.prototype member', () => {
+  test('are added up like any other', () => {
     const load = { agent: 'a', engines: { constructor: 1 }, classes: {}, waiting: {}, tenants: {} };
     assert.deepEqual(LoadSums.of([load as never]).engines.get('constructor'), [1, 0, 0]);
   });
