--- a/source/edge-agent/agentProgram.ts
+++ b/source/edge-agent/agentProgram.ts
@@ -12,22 +12,23 @@
 type Closable = Readonly<{ close: () => Promise<void> | void }>;
 
 export type AgentParts = Readonly<{
-  /** Missing: one that counts suspension. */
+  /** Default: the system clock that also advances while the machine is suspended. */
   clock?: Clock;
   settings: AgentSettings;
   door: BackEndDoor & Closable;
   lister?: EngineLister & Closable;
-  /** How the operators' document is read; missing: the fleet's own way. */
+  /** The format of the operators' configuration document; default: the fleet's native format. */
   dialect?: Dialect;
-  /** Pages for operators, where there are any. */
+  /** Opens the status pages for operators; missing: the agent has none. */
   openPages?: (agent: EdgeAgent) => Promise<Closable>;
+  /** The longest time that a planned stop may take. */
   stopLimitMicroseconds: number;
-  /** How long a stopping agent goes on feeding a proxy that still asks. */
+  /** How long a stopping agent keeps serving a proxy that still requests updates. */
   lingerMicroseconds: number;
 }>;
 
 export const AgentProgram = {
-  /** One agent on a real machine, from its start to its planned stop; the protocols it speaks are given to it. */
+  /** Runs one agent on a real machine until its planned stop; the caller supplies the protocols it speaks. */
   start: async (parts: AgentParts): Promise<EdgeAgent> => {
     const { settings, door, lister } = parts;
     const { clock = realClock } = parts;
@@ -38,7 +39,7 @@
     Logs.part('agent:notice')(`Agent ${settings.name} listens on ${address}.`);
     Programs.onTerm(parts.stopLimitMicroseconds, async () => {
       await agent.resign();
-      // Why not at once: orders that were read are still answered, and their proxy needs a fresh setup for that.
+      // The agent stays for a while because its proxy still answers accepted requests and needs a fresh configuration for it.
       await agent.linger(parts.lingerMicroseconds);
       await agent.leave();
       await pages?.close();
--- a/source/edge-agent/desk/workDesk.ts
+++ b/source/edge-agent/desk/workDesk.ts
@@ -2,13 +2,13 @@
 import type { DeskOrder, DeskWord } from '../../shared/desk/messages';
 
 export type WorkDeskSettings = Readonly<{
-  /** A reservation of which nobody has spoken for so long is over. */
+  /** A reservation whose completion is not reported within this time expires. */
   forgetMicroseconds: number;
-  /** How long a prefix that was read counts as known here; by then the directory tells. */
+  /** How long a prefilled prefix is remembered here; by then the directory of cached blocks lists it. */
   latelyMicroseconds: number;
-  /** What reading a prefix again costs where it is kept elsewhere, as a multiple of the time that it takes. */
+  /** Cost of prefilling a prefix that another engine already has, as a multiple of the prefill time. */
   rereadFactor: number;
-  /** An order waits no longer than this for another one to read what both share. */
+  /** The longest time that a request waits for another request to prefill their shared prefix. */
   mostWaitMicroseconds: number;
 }>;
 
@@ -22,24 +22,26 @@
 } as const;
 
 type Reservation = Readonly<{ order: string; prefix: string; read: number; atMicroseconds: number }>;
-type Kept = Readonly<{ engine: string; atMicroseconds: number; done: boolean }>;
+/** `done`: the engine has prefilled the prefix; otherwise it is still being prefilled. */
+type PrefixLocation = Readonly<{ engine: string; atMicroseconds: number; done: boolean }>;
 
-const mostPrefixes = 8192;
-const mostWaiting = 1024;
+const maxPrefixes = 8192;
+const maxWaiters = 1024;
 
-/** Starting value, ours: reading takes longer than it should where short orders come between. */
-const lateFactor = 1.5;
+/** Prefill takes longer than estimated when short requests interrupt it. */
+const prefillDelayFactor = 1.5;
 
 /**
- * Where long orders get their engine, one after the other, at one daemon for all. Why one: proxies learn of each other's
- * work too late, and two that choose for themselves read the same prompt twice, or queue where another engine is idle.
- * It holds nothing that could not be lost: an order that gets no word in time is placed by its own proxy.
+ * Assigns engines to long requests, one request at a time, in one agent for the whole fleet. A single scheduler is needed
+ * because proxies learn of each other's work too late: two that choose independently prefill the same prompt twice, or
+ * queue at one engine while another is idle. Its state may be lost at any time: a proxy that gets no decision in time
+ * places the request itself.
  */
 export class WorkDesk {
-  private readonly engines = new Map<string, Reservation[]>();
-  private readonly prefixes = new Map<string, Kept>();
-  private readonly waiting = new Map<string, Set<() => void>>();
-  private waitingCount = 0;
+  private readonly reservations = new Map<string, Reservation[]>();
+  private readonly prefixLocations = new Map<string, PrefixLocation>();
+  private readonly waiters = new Map<string, Set<() => void>>();
+  private waiterCount = 0;
 
   public constructor(
     private readonly clock: Clock,
@@ -48,110 +50,122 @@
 
   public reserve({ order, prefix, offers }: DeskOrder): DeskWord {
     const now = this.clock.nowMicroseconds();
-    const kept = prefix === '' ? undefined : this.keptNow(prefix, now);
+    const location = prefix === '' ? undefined : this.currentLocation(prefix, now);
     let best: Readonly<{ engine: string; cost: number; read: number }> | undefined;
     for (const [engine, cost, read, rest, move, copy = 0] of offers) {
-      const elsewhere = kept !== undefined && kept.engine !== engine;
-      // Why only once it is read: before, there is nothing to move, and reading it twice costs all more than waiting.
-      const moves = elsewhere && kept.done && rest + move < read;
-      const again = elsewhere && !moves ? (read - rest) * this.settings.rereadFactor : 0;
-      const reads = kept?.engine === engine ? rest : moves ? rest + move : read;
-      // Why nothing where it was just read: the asker may not know of that copy yet.
-      const copies = kept?.engine === engine ? 0 : copy;
-      const all = cost + reads + again + copies + this.waitMicroseconds(engine, now);
-      if (best === undefined || all < best.cost) best = { engine, cost: all, read: reads };
+      const elsewhere = location !== undefined && location.engine !== engine;
+      // Blocks can be moved only after the prefill; before that there is nothing to move, and a second prefill costs the
+      // fleet more than waiting.
+      const isMoved = elsewhere && location.done && rest + move < read;
+      const rereadCost = elsewhere && !isMoved ? (read - rest) * this.settings.rereadFactor : 0;
+      const prefill = location?.engine === engine ? rest : isMoved ? rest + move : read;
+      // A prefix that was just prefilled here adds no copy; the requesting proxy may not know of that copy yet.
+      const copyCost = location?.engine === engine ? 0 : copy;
+      const total = cost + prefill + rereadCost + copyCost + this.waitMicroseconds(engine, now);
+      if (best === undefined || total < best.cost) best = { engine, cost: total, read: prefill };
     }
     if (best === undefined) return { engine: '', joined: false, keeper: '' };
     const { engine, read } = best;
-    const list = this.engines.get(engine) ?? [];
-    list.push({ order, prefix, read, atMicroseconds: now });
-    this.engines.set(engine, list);
-    if (prefix !== '' && kept === undefined) this.remember(prefix, { engine, atMicroseconds: now, done: false });
-    const joined = kept?.engine === engine;
-    const word = { engine, joined, keeper: kept === undefined || joined ? '' : kept.engine };
-    // Why wait: an engine that is given the same parts twice before it has read them reads them twice.
-    return joined && !kept.done ? { ...word, waitMicroseconds: this.readingMicroseconds(engine, now) } : word;
+    const reservations = this.reservations.get(engine) ?? [];
+    reservations.push({ order, prefix, read, atMicroseconds: now });
+    this.reservations.set(engine, reservations);
+    if (prefix !== '' && location === undefined) this.remember(prefix, { engine, atMicroseconds: now, done: false });
+    const joined = location?.engine === engine;
+    const decision = { engine, joined, keeper: location === undefined || joined ? '' : location.engine };
+    // The request waits because an engine that gets the same prompt parts again before it has prefilled them prefills
+    // them twice.
+    return joined && !location.done
+      ? { ...decision, waitMicroseconds: this.prefillMicroseconds(engine, now) }
+      : decision;
   }
 
-  /** Resolves once the prefix has been read, or will not be, and after the time that its reader should need. */
+  /** Resolves when the prefill of the prefix has finished or failed, at the latest after its expected duration. */
   public read(prefix: string): Promise<void> {
     const now = this.clock.nowMicroseconds();
-    const kept = this.keptNow(prefix, now);
-    if (kept === undefined || kept.done || this.waitingCount >= mostWaiting) return Promise.resolve();
+    const location = this.currentLocation(prefix, now);
+    if (location === undefined || location.done || this.waiterCount >= maxWaiters) return Promise.resolve();
     return new Promise((resolve) => {
-      const end = (): void => {
+      const finish = (): void => {
         cancel();
-        if (!this.waiting.get(prefix)?.delete(end)) return;
-        if (this.waiting.get(prefix)?.size === 0) this.waiting.delete(prefix);
-        this.waitingCount -= 1;
+        if (!this.waiters.get(prefix)?.delete(finish)) return;
+        if (this.waiters.get(prefix)?.size === 0) this.waiters.delete(prefix);
+        this.waiterCount -= 1;
         resolve();
       };
-      const cancel = this.clock.after(this.readingMicroseconds(kept.engine, now), end);
-      const others = this.waiting.get(prefix) ?? new Set();
-      this.waiting.set(prefix, others.add(end));
-      this.waitingCount += 1;
+      const cancel = this.clock.after(this.prefillMicroseconds(location.engine, now), finish);
+      const others = this.waiters.get(prefix) ?? new Set();
+      this.waiters.set(prefix, others.add(finish));
+      this.waiterCount += 1;
     });
   }
 
-  private readingMicroseconds(engine: string, now: number): number {
-    return Math.round(Math.min(this.settings.mostWaitMicroseconds, this.waitMicroseconds(engine, now) * lateFactor));
+  private prefillMicroseconds(engine: string, now: number): number {
+    return Math.round(
+      Math.min(this.settings.mostWaitMicroseconds, this.waitMicroseconds(engine, now) * prefillDelayFactor),
+    );
   }
 
-  private wake(prefix: string): void {
-    for (const end of [...(this.waiting.get(prefix) ?? [])]) end();
+  private wakeWaiters(prefix: string): void {
+    for (const finish of [...(this.waiters.get(prefix) ?? [])]) finish();
   }
 
-  /** The first event of an answer has come, or it never will: the engine has read that prompt, or stopped. */
+  /**
+   * Ends a reservation. `good`: the first event of the response arrived, so the engine has prefilled the prompt; otherwise
+   * the request failed.
+   */
   public done(engine: string, order: string, good: boolean): void {
-    const list = this.engines.get(engine) ?? [];
-    const found = list.find((reservation) => reservation.order === order);
-    if (found === undefined) return;
-    this.engines.set(
+    const reservations = this.reservations.get(engine) ?? [];
+    const ended = reservations.find((reservation) => reservation.order === order);
+    if (ended === undefined) return;
+    this.reservations.set(
       engine,
-      list.filter((reservation) => reservation !== found),
+      reservations.filter((reservation) => reservation !== ended),
     );
-    const kept = this.prefixes.get(found.prefix);
-    if (kept?.engine !== engine) return;
-    if (good) this.remember(found.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
-    else if (!kept.done) this.prefixes.delete(found.prefix);
-    if (good || !kept.done) this.wake(found.prefix);
+    const location = this.prefixLocations.get(ended.prefix);
+    if (location?.engine !== engine) return;
+    if (good) this.remember(ended.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
+    else if (!location.done) this.prefixLocations.delete(ended.prefix);
+    if (good || !location.done) this.wakeWaiters(ended.prefix);
   }
 
+  /** Drops the reservations and prefixes of all engines that are not listed. */
   public keepOnly(engines: readonly string[]): void {
-    const kept = new Set(engines);
-    for (const engine of this.engines.keys()) if (!kept.has(engine)) this.engines.delete(engine);
-    for (const [prefix, { engine }] of this.prefixes)
-      if (!kept.has(engine)) {
-        this.prefixes.delete(prefix);
-        this.wake(prefix);
+    const retained = new Set(engines);
+    for (const engine of this.reservations.keys()) if (!retained.has(engine)) this.reservations.delete(engine);
+    for (const [prefix, { engine }] of this.prefixLocations)
+      if (!retained.has(engine)) {
+        this.prefixLocations.delete(prefix);
+        this.wakeWaiters(prefix);
       }
   }
 
-  /** How long an engine still reads what it has, by what was said of each order when it came. */
+  /** How long an engine's reserved prefills still take, by the prefill time that each request gave with its reservation. */
   public waitMicroseconds(engine: string, now = this.clock.nowMicroseconds()): number {
-    const list = this.engines.get(engine);
-    if (list === undefined || list.length === 0) return 0;
-    const live = list.filter(({ atMicroseconds }) => now - atMicroseconds < this.settings.forgetMicroseconds);
-    if (live.length !== list.length) this.engines.set(engine, live);
-    let free = 0;
-    // Why at least a little: what should be over and is not may be over any moment, or be late.
-    for (const { read, atMicroseconds } of live) free = Math.max(free, atMicroseconds) + read;
-    return Math.max(free - now, (live.reduce((sum, { read }) => sum + read, 0) / 10) | 0, 0);
+    const reservations = this.reservations.get(engine);
+    if (reservations === undefined || reservations.length === 0) return 0;
+    const unexpired = reservations.filter(
+      ({ atMicroseconds }) => now - atMicroseconds < this.settings.forgetMicroseconds,
+    );
+    if (unexpired.length !== reservations.length) this.reservations.set(engine, unexpired);
+    let idleAt = 0;
+    // An overdue prefill may end at any moment or be late, so at least a tenth of the reserved time is assumed.
+    for (const { read, atMicroseconds } of unexpired) idleAt = Math.max(idleAt, atMicroseconds) + read;
+    return Math.max(idleAt - now, (unexpired.reduce((sum, { read }) => sum + read, 0) / 10) | 0, 0);
   }
 
-  private keptNow(prefix: string, now: number): Kept | undefined {
-    const kept = this.prefixes.get(prefix);
-    if (kept === undefined) return undefined;
-    const limit = kept.done ? this.settings.latelyMicroseconds : this.settings.forgetMicroseconds;
-    if (now - kept.atMicroseconds < limit) return kept;
-    this.prefixes.delete(prefix);
+  private currentLocation(prefix: string, now: number): PrefixLocation | undefined {
+    const location = this.prefixLocations.get(prefix);
+    if (location === undefined) return undefined;
+    const limit = location.done ? this.settings.latelyMicroseconds : this.settings.forgetMicroseconds;
+    if (now - location.atMicroseconds < limit) return location;
+    this.prefixLocations.delete(prefix);
     return undefined;
   }
 
-  private remember(prefix: string, kept: Kept): void {
-    this.prefixes.delete(prefix);
-    this.prefixes.set(prefix, kept);
-    const [oldest] = this.prefixes.keys();
-    if (this.prefixes.size > mostPrefixes && oldest !== undefined) this.prefixes.delete(oldest);
+  private remember(prefix: string, location: PrefixLocation): void {
+    this.prefixLocations.delete(prefix);
+    this.prefixLocations.set(prefix, location);
+    const [oldest] = this.prefixLocations.keys();
+    if (this.prefixLocations.size > maxPrefixes && oldest !== undefined) this.prefixLocations.delete(oldest);
   }
 }
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -32,6 +32,7 @@
 import { HeldStewardDefaults } from './stewards/heldSteward';
 import { Stewardship } from './stewards/stewardship';
 
+/** Settings of one agent. */
 export type AgentSettings = Readonly<{
   name: string;
   zone: string;
@@ -39,22 +40,22 @@
   proxyAddress: string;
   pagesAddress: string;
   seeds: readonly string[];
-  /** The fleet it must belong to; empty: the one that its seeds agree on. */
+  /** The fleet that the agent must belong to; empty: the one that its seeds agree on. */
   fleet: string;
-  /** Where it listens, if others reach it by another address. */
+  /** The address that the agent listens on, if others reach it by another one; empty: `address`. */
   listenAddress: string;
   readMicroseconds: number;
   readAskMicroseconds: number;
-  /** What colleagues read so lately is not read again from the core; 0: each reads for itself. */
+  /** State that other agents read from the control nodes within this time is not read again; 0: each agent reads itself. */
   sharedReadMicroseconds: number;
-  /** No address here ever belongs to another fleet, so one seed that answers is enough to find the fleet. */
+  /** No seed address is ever used by another fleet, so one seed that answers is enough to find the fleet. */
   isOnlyFleet: boolean;
   ownReadMicroseconds: number;
   newsMicroseconds: number;
   newsAskMicroseconds: number;
-  /** How often an agent looks after those that it is a watcher of. */
+  /** The interval at which an agent probes the agents that it watches. */
   watchMicroseconds: number;
-  /** Of so many exchanges one goes to a colleague in any zone, the others stay in the own one. */
+  /** One of this many gossip exchanges goes to an agent of any zone, the others stay in the agent's own zone. */
   farEvery: number;
   tendMicroseconds: number;
   tendAskMicroseconds: number;
@@ -68,25 +69,25 @@
   rankMicroseconds: number;
   settleMicroseconds: number;
   giveBackMicroseconds: number;
-  /** How often the holder of a duty says that it goes on; 0: at each ballot. */
+  /** The interval of the heartbeats of a lease holder; 0: one with each lease request. */
   heartbeatMicroseconds: number;
-  /** `kept`: the operators keep the list of engines at the keepers. `listed`: something outside keeps it, and it is read. */
+  /** `kept`: operators maintain the list of engines in the control nodes. `listed`: it is read from an external service. */
   engineList: 'kept' | 'listed';
-  /** Where that list is. */
+  /** Address of the external list service. */
   listAddress: string;
-  /** How many calls it takes a second from all daemons together. */
+  /** How many calls per second the list service accepts from all agents together. */
   listCallsPerSecond: number;
   listMicroseconds: number;
   listAskMicroseconds: number;
-  /** How far behind that list may be. */
+  /** The largest lag of the external list. */
   listLagMicroseconds: number;
-  /** So long after its duty began a steward gives no directive, where events calls are held. */
+  /** After its lease began, an engine controller sends no directive for this time; long-poll engines only. */
   directiveWaitMicroseconds: number;
-  /** Within this time of their taking new weights stand everywhere, where events calls are held. */
+  /** Engines must run new weights within this time after the change was accepted; long-poll engines only. */
   weightsWithinMicroseconds: number;
-  /** How often an engine is looked at while nothing happens, where events calls are held. */
+  /** The interval of status requests to an engine without other events; long-poll engines only. */
   statusMicroseconds: number;
-  /** Smallest part of a prompt worth telling the fleet of, where holders say sizes. */
+  /** The smallest cached prompt part that is announced to the fleet, where cache holders report sizes. */
   leastPart: number;
 }>;
 
@@ -128,10 +129,10 @@
 } as const;
 
 /**
- * What may change while an agent runs. Why not the lease and what is counted from it: a steward that comes after relies on
- * how long the one before it holds.
+ * Settings that may change while an agent runs. The lease time and what depends on it are excluded because the next engine
+ * controller relies on how long its predecessor holds the lease.
  */
-const changeable = [
+const changeableSettings = [
   'seeds',
   'weightsWithinMicroseconds',
   'listAddress',
@@ -139,19 +140,22 @@
   'listLagMicroseconds',
 ] as const satisfies readonly (keyof AgentSettings)[];
 
-/** Starting values, ours: how much longer than their settings say these pauses are in a large fleet, at the most. */
-const mostNewsPause = 2.5;
-const mostWatchPause = 2;
-const mostReadPause = 1.75;
-const mostBallotPause = 2;
+/** The largest factors by which these intervals are extended in a large fleet. */
+const maxGossipFactor = 2.5;
+const maxProbeFactor = 2;
+const maxReadFactor = 1.75;
+const maxLeaseRequestFactor = 2;
 
-/** Starting value, ours: so long after a document or the word on an engine changed here, news is exchanged as in a small fleet. */
+/** For this time after a document or the status of an engine changed here, gossip is exchanged as often as in a small fleet. */
 const urgentMicroseconds = 1_000_000;
 
-/** Starting value, ours: a proxy that did not ask for so long has stopped too. */
-const lingerMicroseconds = 400_000;
+/** A proxy without a request for this time is considered stopped. */
+const proxyStoppedMicroseconds = 400_000;
 
-/** The link to the core, news among agents, duties; it feeds the proxies of its machine and of machines without an agent. */
+/**
+ * One agent: reads the control state, exchanges gossip with other agents, holds leases, and supplies the proxies of its own
+ * machine and of machines without an agent.
+ */
 export class EdgeAgent {
   public readonly facts = new FactBook();
   public readonly shards = new ShardBook();
@@ -161,8 +165,8 @@
   public readonly membership: Membership;
   public readonly stewardship: Stewardship;
   private readonly exchange: NewsExchange;
-  private readonly duties: DutyHolder;
-  private readonly desk: WorkDesk;
+  private readonly leaseHolder: DutyHolder;
+  private readonly requestScheduler: WorkDesk;
   private readonly proxies: FedProxies;
   private readonly loadTotals: LoadTotals;
   private readonly engineList: EngineListKeeper | undefined;
@@ -173,13 +177,13 @@
   private readonly effects: Effects;
   private readonly fleet: FleetName;
   private listener: Listener | undefined;
-  private turn = 0;
-  private urgentMark = '';
+  private exchangeCount = 0;
+  private urgentRevisionMark = '';
   private urgentUntil = -Infinity;
 
   public constructor(
     given: Effects,
-    door: BackEndDoor,
+    backEnd: BackEndDoor,
     private settings: AgentSettings,
     lister?: EngineLister,
     dialect: Dialect = ownDialect,
@@ -199,8 +203,8 @@
       {
         seeds: settings.seeds,
         askMicroseconds: settings.readAskMicroseconds,
-        sharedReadMicroseconds: () => settings.sharedReadMicroseconds * this.pace(mostReadPause),
-        ownReadMicroseconds: () => settings.ownReadMicroseconds * this.pace(mostReadPause),
+        sharedReadMicroseconds: () => settings.sharedReadMicroseconds * this.intervalFactor(maxReadFactor),
+        ownReadMicroseconds: () => settings.ownReadMicroseconds * this.intervalFactor(maxReadFactor),
         readsEngines: settings.engineList === 'kept',
         isOnlyFleet: settings.isOnlyFleet,
       },
@@ -214,7 +218,7 @@
       pagesAddress: settings.pagesAddress,
       boot: random.name(),
     };
-    this.desk = new WorkDesk(clock);
+    this.requestScheduler = new WorkDesk(clock);
     this.membership = new Membership(self, this.facts, clock, settings, this.log);
     this.loadTotals = new LoadTotals(this.facts, clock, random);
     this.proxies = new FedProxies(this.facts, clock, settings, (agent) => this.membership.alive(agent));
@@ -228,7 +232,7 @@
       },
       effects,
     );
-    this.duties = new DutyHolder(
+    this.leaseHolder = new DutyHolder(
       settings.name,
       this.link,
       effects,
@@ -237,13 +241,13 @@
     );
     this.stewardship = new Stewardship(
       settings.name,
-      this.duties,
+      this.leaseHolder,
       this.membership,
       this.facts,
       this.shards,
       this.freshness,
       this.pulses,
-      door,
+      backEnd,
       effects,
       {
         ...settings,
@@ -257,7 +261,7 @@
           weightsWithinMicroseconds: settings.weightsWithinMicroseconds,
           statusMicroseconds: settings.statusMicroseconds,
           leastPart: settings.leastPart,
-          markMicroseconds: () => HeldStewardDefaults.markMicroseconds() * this.proxiesPace(mostNewsPause),
+          markMicroseconds: () => HeldStewardDefaults.markMicroseconds() * this.proxyIntervalFactor(maxGossipFactor),
         },
       },
       this.log,
@@ -271,30 +275,31 @@
             () => this.stewardship.listTerm(),
             clock,
             random,
-            this.listSettings(),
+            this.engineListSettings(),
             () => this.membership.present().length,
             this.notice,
           );
     const { engineList } = this;
-    const failed = (error: unknown): void => this.log(`A step failed: ${Logs.text(error)}.`);
+    const onFailure = (error: unknown): void => this.log(`A periodic task onFailure: ${Logs.text(error)}.`);
     const tickers: readonly (readonly [() => number, () => Promise<void>])[] = [
       [() => this.standstills.planned(settings.readMicroseconds), () => this.read()],
-      [() => this.newsPause(), () => this.news()],
-      [() => settings.watchMicroseconds * this.pace(mostWatchPause), () => this.watch()],
-      [() => settings.ballotMicroseconds * this.pace(mostBallotPause), () => this.stewardship.ballot()],
+      [() => this.gossipIntervalMicroseconds(), () => this.news()],
+      [() => settings.watchMicroseconds * this.intervalFactor(maxProbeFactor), () => this.probeMembers()],
+      [() => settings.ballotMicroseconds * this.intervalFactor(maxLeaseRequestFactor), () => this.stewardship.ballot()],
       [() => settings.tendMicroseconds, () => this.stewardship.tend()],
     ];
-    // Why often while there is none: orders wait for it. Later it only looks whether the list has become old.
-    const listPause = (): number =>
+    // The interval is short while no list is known because requests wait for it; later only the age of the list is checked.
+    const listInterval = (): number =>
       this.stewardship.listTerm() === undefined && this.freshness.engines === undefined
         ? settings.tendMicroseconds
         : settings.listMicroseconds;
     this.tickers = [
-      ...tickers.map(([pause, work]) => new Ticker(clock, pause, work, failed)),
-      ...(engineList === undefined ? [] : [new Ticker(clock, listPause, () => engineList.read(), failed)]),
+      ...tickers.map(([interval, task]) => new Ticker(clock, interval, task, onFailure)),
+      ...(engineList === undefined ? [] : [new Ticker(clock, listInterval, () => engineList.read(), onFailure)]),
     ];
   }
 
+  /** Starts listening and the periodic tasks. Returns the address that the agent listens on. */
   public async start(): Promise<string> {
     this.listener = await this.effects.transport.listen(
       this.settings.listenAddress || this.settings.address,
@@ -304,34 +309,34 @@
     return this.listener.address;
   }
 
-  /** Changed settings: what may change while it runs is in force from now on, the rest after a restart. */
+  /** Applies changed settings: those that may change while the agent runs at once, the others after a restart. */
   public settingsAre(given: AgentSettings): void {
-    const change = SettingsChanges.of(this.settings, given, changeable);
+    const change = SettingsChanges.of(this.settings, given, changeableSettings);
     this.settings = change.settings;
     this.link.seedsAre(this.settings.seeds);
     this.stewardship.weightsWithinIs(this.settings.weightsWithinMicroseconds);
-    this.engineList?.settingsAre(this.listSettings());
+    this.engineList?.settingsAre(this.engineListSettings());
     const sentence = SettingsChanges.sentence(change);
     if (sentence !== undefined) this.notice(sentence);
   }
 
-  /** The first half of a planned stop: what it holds goes to others, while it goes on feeding its proxy. */
+  /** The first half of a planned stop: hands the leases over to other agents; proxies still get their updates. */
   public resign(): Promise<void> {
     return this.stewardship.resign();
   }
 
-  /** Resolves when its proxy has stopped asking, at the latest after the limit. */
+  /** Resolves when the proxy of this machine has stopped requesting updates, at the latest after the limit. */
   public async linger(limitMicroseconds: number): Promise<void> {
     const { clock } = this.effects;
     const until = clock.nowMicroseconds() + limitMicroseconds;
     while (
       clock.nowMicroseconds() < until &&
-      clock.nowMicroseconds() - this.proxies.heardMicroseconds(this.settings.name) < lingerMicroseconds
+      clock.nowMicroseconds() - this.proxies.heardMicroseconds(this.settings.name) < proxyStoppedMicroseconds
     )
-      await Clocks.wait(clock, lingerMicroseconds / 4);
+      await Clocks.wait(clock, proxyStoppedMicroseconds / 4);
   }
 
-  /** A planned stop: says that it leaves, so that nobody has to find out. */
+  /** A planned stop: announces that the agent leaves, so that the others need not detect it. */
   public async leave(): Promise<void> {
     await this.stewardship.resign();
     this.membership.leave();
@@ -346,7 +351,7 @@
     await this.listener?.close();
   }
 
-  private listSettings(): EngineListSettings {
+  private engineListSettings(): EngineListSettings {
     const { listAddress, listCallsPerSecond, listAskMicroseconds, listLagMicroseconds } = this.settings;
     return {
       ...EngineListDefaults,
@@ -365,73 +370,80 @@
   private async news(): Promise<void> {
     this.membership.defend();
     this.membership.tick();
-    this.desk.keepOnly(Object.keys(this.freshness.engines?.engines ?? {}));
+    this.requestScheduler.keepOnly(Object.keys(this.freshness.engines?.engines ?? {}));
     const colleagues = this.membership.colleagues();
-    // Why seeds too: until a colleague is known, and now and then after, so that two halves find each other again.
-    const useSeed = colleagues.length === 0 || this.turn % 25 === 24;
-    const others = this.settings.seeds.filter((seed) => seed !== this.settings.address);
+    // A seed is asked until another agent is known, and once in 25 exchanges after that, so that two partitions find each
+    // other again.
+    const asksSeed = colleagues.length === 0 || this.exchangeCount % 25 === 24;
+    const otherSeeds = this.settings.seeds.filter((seed) => seed !== this.settings.address);
     const farEvery = this.farEvery();
-    const isFar = this.turn % farEvery === 0;
-    const neighbours = isFar ? [] : this.membership.neighbours();
-    const partners = neighbours.length > 0 ? neighbours : colleagues;
-    const address = useSeed
-      ? others[Math.floor(this.turn / 25 + this.turn) % Math.max(1, others.length)]
-      : partners[Math.floor(this.turn / (isFar ? farEvery : 1)) % partners.length]?.address;
-    this.turn += 1;
-    // Why the own entry in full: a keeper asked as a seed keeps no versions, and names the askers to each other.
-    const extra = useSeed ? { own: this.facts.get(FactKeys.member(this.settings.name)) ?? null } : {};
+    const isAnyZone = this.exchangeCount % farEvery === 0;
+    const zonePeers = isAnyZone ? [] : this.membership.neighbours();
+    const peers = zonePeers.length > 0 ? zonePeers : colleagues;
+    const address = asksSeed
+      ? otherSeeds[Math.floor(this.exchangeCount / 25 + this.exchangeCount) % Math.max(1, otherSeeds.length)]
+      : peers[Math.floor(this.exchangeCount / (isAnyZone ? farEvery : 1)) % peers.length]?.address;
+    this.exchangeCount += 1;
+    // A seed gets this agent's own entry in full: a control node asked as a seed stores no versions, and tells the agents
+    // that ask it about each other.
+    const extra = asksSeed ? { own: this.facts.get(FactKeys.member(this.settings.name)) ?? null } : {};
     if (address !== undefined) await this.exchange.ask(address, this.settings.newsAskMicroseconds, extra);
   }
 
-  private pace(most: number): number {
-    return FleetPace.of(this.membership.present().length, most);
+  /** How much longer an interval is in a fleet of this size, at most `max`. */
+  private intervalFactor(max: number): number {
+    return FleetPace.of(this.membership.present().length, max);
   }
 
-  /** As `pace`, for what proxies must know: there are more of them than agents, and each asks the less often the more there are. */
-  private proxiesPace(most: number): number {
-    return Math.max(this.pace(most), FleetPace.of(this.facts.countOf('load'), most));
+  /**
+   * As `intervalFactor`, for information that proxies need: there are more proxies than agents, and each asks less often the
+   * more of them there are.
+   */
+  private proxyIntervalFactor(max: number): number {
+    return Math.max(this.intervalFactor(max), FleetPace.of(this.facts.countOf('load'), max));
   }
 
   /**
-   * Until its next exchange. Why shorter after a change: documents and the word on engines must be everywhere within a bound
-   * that does not grow with the fleet, and what changes all the time, loads and heartbeats, may wait.
+   * The time until the next gossip exchange. It is shorter after a change because documents and the status of engines must
+   * reach every process within a bound that does not grow with the fleet; loads and heartbeats, which change all the time,
+   * may be later.
    */
-  private newsPause(): number {
+  private gossipIntervalMicroseconds(): number {
     const { newsMicroseconds } = this.settings;
     const now = this.effects.clock.nowMicroseconds();
     const revisions = (['blueprint', 'engines', 'core-members'] as const).map((key) => this.freshness.revision(key));
-    const mark = [...revisions, this.facts.changesOf('engine')].join('/');
-    if (mark !== this.urgentMark) this.urgentUntil = now + urgentMicroseconds;
-    this.urgentMark = mark;
-    return now < this.urgentUntil ? newsMicroseconds : newsMicroseconds * this.pace(mostNewsPause);
+    const revisionMark = [...revisions, this.facts.changesOf('engine')].join('/');
+    if (revisionMark !== this.urgentRevisionMark) this.urgentUntil = now + urgentMicroseconds;
+    this.urgentRevisionMark = revisionMark;
+    return now < this.urgentUntil ? newsMicroseconds : newsMicroseconds * this.intervalFactor(maxGossipFactor);
   }
 
   /**
-   * Of how many exchanges one goes to any zone. Why seldom: links between zones are long and paid for, and one exchange
-   * brings what the whole other zone has. Why by the zone's daemons: a zone as a whole asks others about as often,
-   * however many it has.
+   * One of this many gossip exchanges goes to an agent of any zone. Such exchanges are rare because links between zones
+   * have high latency and are billed, and one exchange transfers what the whole other zone knows. The number grows with the
+   * agents of the zone, so that a zone as a whole contacts other zones about equally often at any size.
    */
   private farEvery(): number {
     const { farEvery } = this.settings;
     return farEvery === 1
       ? 1
-      : Math.max(farEvery, Math.ceil(this.membership.zoneSize() / 2 / this.pace(mostNewsPause)));
+      : Math.max(farEvery, Math.ceil(this.membership.zoneSize() / 2 / this.intervalFactor(maxGossipFactor)));
   }
 
-  /** Looks after those it is a watcher of; before anybody is suspected another daemon has tried too. */
-  private async watch(): Promise<void> {
+  /** Probes the agents that this one watches; an agent is suspected only after indirect probes by other agents failed too. */
+  private async probeMembers(): Promise<void> {
     this.proxies.review();
     await Promise.all(
       this.membership.watched().map(async ({ name, address }) => {
         const answer = await this.effects.transport.ask(address, { kind: 'ping' }, this.settings.newsAskMicroseconds);
         if (answer.kind === 'answered') return this.membership.heard(name);
         if (!this.membership.unheard(name)) return;
-        const helpers = this.membership
+        const proberAgents = this.membership
           .colleagues()
           .filter((helper) => helper.name !== name)
           .slice(0, 2);
-        const seen = await Promise.all(
-          helpers.map((helper) =>
+        const probes = await Promise.all(
+          proberAgents.map((helper) =>
             this.effects.transport.ask(
               helper.address,
               { kind: 'probe', address },
@@ -439,7 +451,7 @@
             ),
           ),
         );
-        if (seen.some((item) => item.kind === 'answered' && item.message['reached'] === true))
+        if (probes.some((item) => item.kind === 'answered' && item.message['reached'] === true))
           this.membership.heard(name);
         else this.membership.suspect(name);
       }),
@@ -449,18 +461,18 @@
   private async handle(message: Message): Promise<Message> {
     switch (message.kind) {
       case 'news':
-        return this.answerNews(message);
+        return this.answerGossip(message);
       case 'newsMore':
         return this.exchange.more(message);
       case 'bodyPart':
         return this.exchange.part(message);
       case 'words':
-        // Why answered: an agent as a seed says which fleet it leads to, and knows no keeper's words.
+        // An agent that is asked as a seed only tells which fleet it belongs to; it has no statements of a control node.
         return { kind: 'noVote' };
       case 'ping':
         return { kind: 'pong' };
       case 'status':
-        // Why by message too: where an agent has no pages of its own, keepers show them.
+        // Control nodes show the status of agents that have no pages of their own.
         return { kind: 'status', status: AgentPages.status(this.settings.name, this) };
       case 'probe': {
         const answer = await this.effects.transport.ask(
@@ -471,23 +483,26 @@
         return { kind: 'probed', reached: answer.kind === 'answered' };
       }
       case 'reserve': {
-        // Why only with the duty: two desks would not know of each other's orders.
+        // Only the lease holder schedules requests: two schedulers would not know of each other's reservations.
         const order = message['order'];
         return this.stewardship.listTerm() === undefined || !DeskMessages.isOrder(order)
           ? { kind: 'noDesk' }
-          : { kind: 'reserved', word: this.desk.reserve(order) };
+          : { kind: 'reserved', word: this.requestScheduler.reserve(order) };
       }
       case 'awaitRead':
-        // Why not without the duty: what nobody tells of here would be waited for in vain.
-        if (this.stewardship.listTerm() !== undefined) await this.desk.read(String(message['prefix']));
+        // Without the lease nobody reports completed prefills here, so the wait would be in vain.
+        if (this.stewardship.listTerm() !== undefined) await this.requestScheduler.read(String(message['prefix']));
         return { kind: 'heard' };
       case 'readDone':
-        this.desk.done(String(message['engine']), String(message['order']), message['good'] === true);
+        this.requestScheduler.done(String(message['engine']), String(message['order']), message['good'] === true);
         return { kind: 'heard' };
       case 'grant':
         return { kind: 'grantAnswer', answer: await this.grant(message) };
       case 'notes': {
-        const missed = await this.passNotes(message['notes'] as readonly DirectoryNote[], message['passed'] === true);
+        const missed = await this.deliverNotes(
+          message['notes'] as readonly DirectoryNote[],
+          message['passed'] === true,
+        );
         return { kind: 'heard', missed };
       }
       default:
@@ -495,7 +510,7 @@
     }
   }
 
-  private answerNews(message: Message): Message {
+  private answerGossip(message: Message): Message {
     const { proxy, facts, loads } = message;
     if (typeof proxy !== 'string') return this.exchange.answer(message);
     this.proxies.hear(proxy, facts);
@@ -505,11 +520,15 @@
 
   private async grant(message: Message): Promise<GrantAnswer> {
     const engine = String(message['engine']);
-    const steward = this.stewardship.steward(engine);
-    if (steward !== undefined)
-      return steward.grant(String(message['fill']), Number(message['epoch']), message['keys'] as readonly NamedKey[]);
+    const controller = this.stewardship.steward(engine);
+    if (controller !== undefined)
+      return controller.grant(
+        String(message['fill']),
+        Number(message['epoch']),
+        message['keys'] as readonly NamedKey[],
+      );
     const holder = this.stewardship.holderOf(engine);
-    // Why once only: two daemons that each think the other is the steward must not ask in circles.
+    // A message is forwarded only once, so that two agents that each take the other for the controller do not loop.
     if (message['passed'] === true || holder === undefined || holder.holder === this.settings.name)
       return { kind: 'refused', reason: 'notSteward' };
     const address = this.membership.member(holder.holder)?.address;
@@ -524,27 +543,29 @@
       : { kind: 'refused', reason: 'notSteward' };
   }
 
-  /** Gives notes to the stewards that they are for. Returns the places of those that reached none. */
-  private async passNotes(notes: readonly DirectoryNote[], passed: boolean): Promise<readonly number[]> {
-    const away = new Map<string, number[]>();
+  /** Delivers notes to the controllers of their engines. Returns the indexes of those that reached none. */
+  private async deliverNotes(notes: readonly DirectoryNote[], passed: boolean): Promise<readonly number[]> {
+    const remote = new Map<string, number[]>();
     const missed: number[] = [];
     for (const [index, note] of notes.entries()) {
-      const steward = this.stewardship.steward(note.holder);
-      if (steward !== undefined) {
-        steward.note(note);
+      const controller = this.stewardship.steward(note.holder);
+      if (controller !== undefined) {
+        controller.note(note);
         continue;
       }
       const address = this.membership.member(this.stewardship.holderOf(note.holder)?.holder ?? '')?.address;
       if (passed || address === undefined || address === this.settings.address) missed.push(index);
-      else away.set(address, [...(away.get(address) ?? []), index]);
+      else remote.set(address, [...(remote.get(address) ?? []), index]);
     }
     await Promise.all(
-      [...away].map(async ([address, places]) => {
-        const message = { kind: 'notes', notes: places.flatMap((place) => notes[place] ?? []), passed: true };
+      [...remote].map(async ([address, indexes]) => {
+        const message = { kind: 'notes', notes: indexes.flatMap((index) => notes[index] ?? []), passed: true };
         const answer = await this.effects.transport.ask(address, message, this.settings.newsAskMicroseconds);
-        const heard = answer.kind === 'answered' && answer.message.kind === 'heard';
-        const again = heard ? ((answer.message['missed'] as readonly number[] | undefined) ?? []) : places.keys();
-        for (const place of again) missed.push(places[place] ?? -1);
+        const isDelivered = answer.kind === 'answered' && answer.message.kind === 'heard';
+        const undelivered = isDelivered
+          ? ((answer.message['missed'] as readonly number[] | undefined) ?? [])
+          : indexes.keys();
+        for (const index of undelivered) missed.push(indexes[index] ?? -1);
       }),
     );
     return missed;
--- a/source/edge-agent/engine-list/callPace.ts
+++ b/source/edge-agent/engine-list/callPace.ts
@@ -1,39 +1,39 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 
-/** Starting values, ours. */
 const burstSeconds = 0.25;
-const leastPauseMicroseconds = 500_000;
-const mostPauseMicroseconds = 2_000_000;
+const minBackoffMicroseconds = 500_000;
+const maxBackoffMicroseconds = 2_000_000;
 
 /**
- * Spreads calls to one that takes only so many a second (a leaky bucket, kept as the time at which it is empty again), and
- * waits longer each time it is turned away. Why so small a burst: whoever counts the calls may do so in any window.
+ * Limits the rate of calls with a leaky bucket, stored as the time at which the bucket is empty again, and backs off
+ * exponentially when the server rejects calls. The burst is small because the server may count calls in any time window.
  */
 export class CallPace {
-  private emptyAt = -Infinity;
-  private turnedAwayInARow = 0;
-  private notBefore = -Infinity;
+  private bucketEmptyAt = -Infinity;
+  private consecutiveRejections = 0;
+  private blockedUntil = -Infinity;
 
   public constructor(private readonly clock: Clock) {}
 
-  /** Counts one call, and says how long it must wait. */
+  /** Reserves one call and returns how long it must wait. */
   public waitMicroseconds(callsPerSecond: number): number {
     const now = this.clock.nowMicroseconds();
-    const gap = 1_000_000 / callsPerSecond;
-    const ahead = Math.max(0, burstSeconds * 1_000_000 - gap);
-    const at = Math.max(this.emptyAt - ahead, this.notBefore, now);
-    this.emptyAt = Math.max(this.emptyAt, at) + gap;
+    const intervalMicroseconds = 1_000_000 / callsPerSecond;
+    const burstMicroseconds = Math.max(0, burstSeconds * 1_000_000 - intervalMicroseconds);
+    const at = Math.max(this.bucketEmptyAt - burstMicroseconds, this.blockedUntil, now);
+    this.bucketEmptyAt = Math.max(this.bucketEmptyAt, at) + intervalMicroseconds;
     return Math.ceil(at - now);
   }
 
-  /** `fraction` by chance: those that were turned away together come back apart. */
+  /** Backs off; the random `fraction` spreads the retries of callers that were rejected at the same time. */
   public turnedAway(fraction: number): void {
-    const pause = leastPauseMicroseconds * 2 ** this.turnedAwayInARow * (1 + fraction);
-    this.turnedAwayInARow += 1;
-    this.notBefore = this.clock.nowMicroseconds() + Math.min(mostPauseMicroseconds, pause);
+    const pause = minBackoffMicroseconds * 2 ** this.consecutiveRejections * (1 + fraction);
+    this.consecutiveRejections += 1;
+    this.blockedUntil = this.clock.nowMicroseconds() + Math.min(maxBackoffMicroseconds, pause);
   }
 
+  /** Resets the backoff after a successful call. */
   public answered(): void {
-    this.turnedAwayInARow = 0;
+    this.consecutiveRejections = 0;
   }
 }
--- a/source/edge-agent/engine-list/engineListKeeper.ts
+++ b/source/edge-agent/engine-list/engineListKeeper.ts
@@ -10,23 +10,26 @@
 import type { EngineLister, ListedEngine } from './engineLister';
 
 export type EngineListSettings = Readonly<{
-  /** Where the list is. */
+  /** Address of the list service. */
   address: string;
   askMicroseconds: number;
-  /** How many calls, each one page, the list takes from all daemons together. */
+  /** How many calls, each for one page, the list service accepts from all agents together. */
   callsPerSecond: number;
+  /** A read that needs more pages is abandoned. */
   mostPages: number;
-  /** How far behind the list may be; each answer by another amount, so a later answer may show an earlier moment. */
+  /** The largest lag of the list; it differs per response, so a later response may show an earlier state. */
   lagMicroseconds: number;
-  /** Reads in a row that must say that there are no engines at all. */
+  /** Consecutive reads that must return no engines before an empty list is accepted. */
   emptyReads: number;
-  /** Who knows no list so long after its start reads it alone. Why so soon: it is one call, and orders wait for it. */
+  /**
+   * An agent that knows no list this long after its start reads it without the lease. The time is short because the read
+   * is one call and requests wait for it.
+   */
   lonelyMicroseconds: number;
-  /** Who knows a list that nobody has read for so long reads it alone too. */
+  /** An agent also reads the list without the lease when the list that it knows is at least this old. */
   staleMicroseconds: number;
 }>;
 
-/** Starting values, ours. */
 export const EngineListDefaults = {
   address: '',
   askMicroseconds: 1_000_000,
@@ -38,195 +41,218 @@
   staleMicroseconds: 3_000_000,
 } as const;
 
-/** Starting value, ours: so many calls a second all that read alone make together at most, about. */
-const callsAlonePerSecond = 5;
+/** Approximate upper bound of the calls per second of all agents together that read without the lease. */
+const maxCallsWithoutLeasePerSecond = 5;
 
 /**
- * Starting values, ours: parts of the rate that is stated. Why no more together: a holder that is cut off from the others goes
- * on for a moment beside those that read alone, and in a window of a second a small burst comes on top.
+ * Shares of the configured call rate for the lease holder and for agents without the lease. Together they stay below 1
+ * because a lease holder that is partitioned from the others keeps reading for a moment while others already read without
+ * the lease, and because a small burst may be added in any window of a second.
  */
-const holdersPart = 0.5;
-const partAlone = 0.25;
-const leastCallsPerSecond = 0.1;
+const leaseHolderRateShare = 0.5;
+const withoutLeaseRateShare = 0.25;
+const minCallsPerSecond = 0.1;
 
-/** Starting value, ours: so many daemons may start together, each knowing only itself. */
-const startersAtOnce = 9;
+/** The number of agents that are assumed to start at the same time, each knowing only itself. */
+const agentsStartingTogether = 9;
 
-/** Revisions of one term; a later term's are all higher, so no daemon goes back when the duty changes hands. */
+/** Revisions per lease term. All revisions of a later term are higher, so no process reverts when the holder changes. */
 const revisionsPerTerm = 2 ** 20;
 
-/** The duty of reading the list of engines: its holder is the author of the key `engines`, in the fleet's own form. */
+/**
+ * Reads the external list of engines under a lease and publishes it as the key `engines` in the fleet's own format; the
+ * lease holder is the only writer of that key.
+ */
 export class EngineListKeeper {
   private term = 0;
   private sequence = 0;
-  private text = '';
-  private empty = 0;
-  private readonly lives: EngineLives;
-  private readonly pace: CallPace;
-  private aloneFrom: number;
-  private lastPages = 1;
+  private publishedText = '';
+  private consecutiveEmptyReads = 0;
+  private readonly lifetimes: EngineLives;
+  private readonly rateLimiter: CallPace;
+  private nextReadWithoutLease: number;
+  private lastPageCount = 1;
 
   public constructor(
     private readonly lister: EngineLister,
     private readonly freshness: Freshness,
-    /** The term under which the duty is held at this very moment. */
-    private readonly held: () => number | undefined,
+    /** The term of the lease if this agent holds it at the moment. */
+    private readonly leaseTerm: () => number | undefined,
     private readonly clock: Clock,
     private readonly random: Random,
     private settings: EngineListSettings,
-    /** How many agents there are, as far as known. */
-    private readonly agents: () => number,
+    /** The known number of agents. */
+    private readonly agentCount: () => number,
     private readonly log: Log,
   ) {
-    this.lives = new EngineLives(() => this.settings.lagMicroseconds);
-    this.pace = new CallPace(clock);
-    // Why later where few calls fit: those that start together would use up a second's worth at once.
-    const spread = this.rateAlone() < callsAlonePerSecond ? (startersAtOnce * 1_000_000) / this.rateAlone() : 0;
-    this.aloneFrom =
+    this.lifetimes = new EngineLives(() => this.settings.lagMicroseconds);
+    this.rateLimiter = new CallPace(clock);
+    // The first read is delayed longer at a low call rate: agents that start together would otherwise use up the calls of
+    // a second at once.
+    const spread =
+      this.rateWithoutLease() < maxCallsWithoutLeasePerSecond
+        ? (agentsStartingTogether * 1_000_000) / this.rateWithoutLease()
+        : 0;
+    this.nextReadWithoutLease =
       clock.nowMicroseconds() +
       Math.floor(settings.lonelyMicroseconds * (1 + random.fraction()) + spread * random.fraction());
   }
 
-  /** Changed settings count from the next call on. */
+  /** Changed settings apply from the next call on. */
   public settingsAre(changed: Partial<EngineListSettings>): void {
     this.settings = { ...this.settings, ...changed };
   }
 
-  /** One read of the whole list. What is no sound answer says nothing: the list before goes on, and gets older. */
+  /** Reads the whole list once. An invalid response is ignored: the previous list stays in use and its age grows. */
   public async read(): Promise<void> {
-    const term = this.held();
-    if (term === undefined && !this.readsAlone()) return;
-    const all = await this.allPages(term);
-    // Why look again: another may hold the duty by now, and one author speaks at a time.
-    if (all === undefined || !this.mayRead(term)) return;
-    const { listed, askedMicroseconds } = all;
-    if (!this.believes(listed)) return;
-    const text = this.textOf(listed, askedMicroseconds);
+    const term = this.leaseTerm();
+    if (term === undefined && !this.shouldReadWithoutLease()) return;
+    const result = await this.fetchAllPages(term);
+    // The lease is checked again because another agent may hold it by now, and the key has one writer at a time.
+    if (result === undefined || !this.mayRead(term)) return;
+    const { listed, requestedMicroseconds } = result;
+    if (!this.accepts(listed)) return;
+    const text = this.toText(listed, requestedMicroseconds);
     if (Blueprints.checkText('engines', text).kind === 'faulty') {
-      this.log('The list of engines makes no sense and is let be.');
+      this.log('The list of engines is invalid; keeping the previous list.');
       return;
     }
-    this.publish(term === undefined ? this.revisionAlone(text) : this.revisionOf(term, text), text, askedMicroseconds);
+    this.publish(
+      term === undefined ? this.revisionWithoutLease(text) : this.revisionOf(term, text),
+      text,
+      requestedMicroseconds,
+    );
   }
 
   /**
-   * While nobody has the duty, as when the core is away or all have just started, each agent reads for itself, seldom and
-   * by chance. Why at all: without a list nothing is served, and reading it changes nothing that another relies on.
+   * While no agent holds the lease, as when the control nodes are unavailable or all agents have just started, each agent
+   * reads the list itself, at long random intervals. Without a list no request is served, and a read changes nothing that
+   * other agents rely on.
    */
-  private readsAlone(): boolean {
+  private shouldReadWithoutLease(): boolean {
     const now = this.clock.nowMicroseconds();
-    if (now < this.aloneFrom || !this.isStale()) return false;
-    const pause = ((1 + this.random.fraction()) * this.agents() * this.lastPages * 1_000_000) / this.rateAlone();
-    this.aloneFrom = now + Math.max(1_000_000, Math.floor(pause));
+    if (now < this.nextReadWithoutLease || !this.isStale()) return false;
+    const pause =
+      ((1 + this.random.fraction()) * this.agentCount() * this.lastPageCount * 1_000_000) / this.rateWithoutLease();
+    this.nextReadWithoutLease = now + Math.max(1_000_000, Math.floor(pause));
     return true;
   }
 
-  /** What all that read alone may ask for together. */
-  private rateAlone(): number {
-    return Math.min(callsAlonePerSecond, this.rate() * partAlone);
+  /** The calls per second of all agents together that read without the lease. */
+  private rateWithoutLease(): number {
+    return Math.min(maxCallsWithoutLeasePerSecond, this.rate() * withoutLeaseRateShare);
   }
 
   private rate(): number {
-    return Math.max(leastCallsPerSecond, this.settings.callsPerSecond);
+    return Math.max(minCallsPerSecond, this.settings.callsPerSecond);
   }
 
-  /** Waits for the turn of one call. Why the whole part of those that read alone: by chance few do at a time. */
-  private async turn(term: number | undefined): Promise<void> {
-    const wait = this.pace.waitMicroseconds(this.rate() * (term === undefined ? partAlone : holdersPart));
+  /**
+   * Waits until the rate limit allows one call. An agent without the lease uses the whole share of such agents because the
+   * random intervals let only few of them read at a time.
+   */
+  private async waitForRateLimit(term: number | undefined): Promise<void> {
+    const wait = this.rateLimiter.waitMicroseconds(
+      this.rate() * (term === undefined ? withoutLeaseRateShare : leaseHolderRateShare),
+    );
     if (wait > 0) await Clocks.wait(this.clock, wait);
   }
 
   private isStale(): boolean {
-    // Why longer where few calls fit: its holder may not be able to read the list more often.
-    const readMicroseconds = (this.lastPages * 1_000_000) / (this.rate() * holdersPart);
+    // The limit is longer at a low call rate because the lease holder may be unable to read the list more often.
+    const readMicroseconds = (this.lastPageCount * 1_000_000) / (this.rate() * leaseHolderRateShare);
     return this.freshness.ageOf('engines') >= Math.max(this.settings.staleMicroseconds, 3 * readMicroseconds);
   }
 
-  /** Whether a read that began under this term, or alone, goes on. */
+  /** Whether a read that began under this term, or without the lease, may continue. */
   private mayRead(term: number | undefined): boolean {
-    return this.held() === term && (term !== undefined || this.isStale());
+    return this.leaseTerm() === term && (term !== undefined || this.isStale());
   }
 
-  private async allPages(
+  private async fetchAllPages(
     term: number | undefined,
-  ): Promise<Readonly<{ listed: readonly ListedEngine[]; askedMicroseconds: number }> | undefined> {
+  ): Promise<Readonly<{ listed: readonly ListedEngine[]; requestedMicroseconds: number }> | undefined> {
     const listed: ListedEngine[] = [];
-    let askedMicroseconds: number | undefined;
+    let requestedMicroseconds: number | undefined;
     let from: string | undefined;
     for (let pages = 1; ; pages += 1) {
-      await this.turn(term);
-      // Why again: who waited may have lost the duty, or another has read the list meanwhile.
+      await this.waitForRateLimit(term);
+      // Checked again because the lease may have been lost, or another agent may have read the list, during the wait.
       if (!this.mayRead(term)) return undefined;
-      askedMicroseconds ??= this.clock.nowMicroseconds();
+      requestedMicroseconds ??= this.clock.nowMicroseconds();
       const page = await this.lister.page(from, this.settings.askMicroseconds, this.settings.address);
       if (page === 'overRate') {
-        this.pace.turnedAway(this.random.fraction());
+        this.rateLimiter.turnedAway(this.random.fraction());
         return undefined;
       }
-      if (page !== undefined) this.pace.answered();
-      // Why nothing from a part: engines on the pages that did not come would look as if they were gone.
-      if (page === undefined || this.held() !== term) return undefined;
+      if (page !== undefined) this.rateLimiter.answered();
+      // A partial list is discarded because engines on the missing pages would look as if they had ended.
+      if (page === undefined || this.leaseTerm() !== term) return undefined;
       listed.push(...page.engines);
       if (page.next === undefined) {
-        this.lastPages = pages;
-        return { listed, askedMicroseconds };
+        this.lastPageCount = pages;
+        return { listed, requestedMicroseconds };
       }
       if (page.next === from || pages >= this.settings.mostPages) return undefined;
       from = page.next;
     }
   }
 
-  /** Why not at once: a list that has nothing on it is rather a list that has lost something. */
-  private believes(listed: readonly ListedEngine[]): boolean {
-    this.empty = listed.length === 0 ? this.empty + 1 : 0;
+  /** Accepts an empty list only after several reads, because an empty list is more likely a fault of the list service. */
+  private accepts(listed: readonly ListedEngine[]): boolean {
+    this.consecutiveEmptyReads = listed.length === 0 ? this.consecutiveEmptyReads + 1 : 0;
     const known = Object.keys(this.freshness.engines?.engines ?? {}).length;
-    return listed.length > 0 || known === 0 || this.empty >= this.settings.emptyReads;
+    return listed.length > 0 || known === 0 || this.consecutiveEmptyReads >= this.settings.emptyReads;
   }
 
-  private textOf(listed: readonly ListedEngine[], asked: number): string {
+  private toText(listed: readonly ListedEngine[], requestedMicroseconds: number): string {
     const known = Object.entries(this.freshness.engines?.engines ?? {}).map(([name, engine]) => ({
       name,
       ...EngineLists.listed(engine),
     }));
     const { blueprint, engines: before } = this.freshness;
-    const lives = this.lives.heard(listed, known, asked, this.clock.nowMicroseconds());
-    // Why by models: what runs none keeps no parts, gets no weights and needs no steward.
-    // Why of the whole service: an engine that has just started is listed without its models, and is no app for that.
+    const current = this.lifetimes.heard(listed, known, requestedMicroseconds, this.clock.nowMicroseconds());
+    // An instance without models is an app: it caches no prompt parts, gets no weights and needs no engine controller.
+    // The whole service is examined because an engine that has just started is listed without its models, but is no app.
     const ofEngines = new Set([
-      ...lives.filter(({ weights }) => Object.keys(weights).length > 0).map(({ service }) => service),
+      ...current.filter(({ weights }) => Object.keys(weights).length > 0).map(({ service }) => service),
       ...Object.values(before?.engines ?? {}).flatMap(({ kind, service }) => (kind === 'engine' ? [service] : [])),
       ...Object.entries(blueprint?.services ?? {}).flatMap(([name, { kind }]) => (kind === 'pool' ? [name] : [])),
     ]);
-    const engines = lives
+    const engines = current
       .map(({ name, ...engine }) => [name, EngineLists.entry(engine, ofEngines.has(engine.service))] as const)
       .sort(([left], [right]) => (left < right ? -1 : 1));
     return JSON.stringify({ engines: Object.fromEntries(engines) } satisfies EngineList);
   }
 
   private revisionOf(term: number, text: string): number {
-    // Why anew under each term: a holder before may have said something that did not get here.
-    if (term !== this.term) [this.term, this.sequence, this.text] = [term, 0, ''];
+    // The sequence restarts with each term because this agent may not know all revisions of the previous holder.
+    if (term !== this.term) [this.term, this.sequence, this.publishedText] = [term, 0, ''];
     const applied = this.freshness.applied('engines');
     const above = (applied?.revision ?? 0) - term * revisionsPerTerm;
-    // Why not above a later term: whoever has that one is right, and this duty is over.
+    // A revision of a later term is not exceeded: its holder takes precedence, and this lease has ended.
     const before = above < revisionsPerTerm ? above : 0;
-    const isSaid = text === this.text && (before <= this.sequence || applied?.text === text);
-    // Why above what is applied: one that read alone meanwhile may have said another thing under the next revision.
-    this.sequence = isSaid ? Math.max(before, this.sequence) : Math.max(before, this.sequence) + 1;
-    this.text = text;
+    const isPublished = text === this.publishedText && (before <= this.sequence || applied?.text === text);
+    // The revision exceeds the applied one because an agent without the lease may have published another text under the
+    // next revision meanwhile.
+    this.sequence = isPublished ? Math.max(before, this.sequence) : Math.max(before, this.sequence) + 1;
+    this.publishedText = text;
     return term * revisionsPerTerm + this.sequence;
   }
 
-  /** Why just above what is known: whoever gets the duty goes before it with its term. */
-  private revisionAlone(text: string): number {
+  /** Returns a revision just above the known one, so that any revision of a later lease holder is higher. */
+  private revisionWithoutLease(text: string): number {
     const applied = this.freshness.applied('engines');
     return applied === undefined ? 1 : applied.text === text ? applied.revision : applied.revision + 1;
   }
 
-  private publish(revision: number, text: string, asked: number): void {
+  private publish(revision: number, text: string, requestedMicroseconds: number): void {
     const now = this.clock.nowMicroseconds();
     const digest = createHash('sha256').update(text).digest('hex').slice(0, 32);
-    this.freshness.hear({ key: 'engines', revision, digest, ageMicroseconds: now - asked, weights: {} }, now);
+    this.freshness.hear(
+      { key: 'engines', revision, digest, ageMicroseconds: now - requestedMicroseconds, weights: {} },
+      now,
+    );
     if (this.freshness.revision('engines') === revision) return;
     const before = this.freshness.engines?.engines ?? {};
     if (this.freshness.give({ key: 'engines', revision, digest, text }))
@@ -236,6 +262,7 @@
   }
 }
 
+/** Conversions between entries of the external list and engines of the key `engines`. */
 export const EngineLists = {
   entry: (
     { service, address, zone, state, capacity, weights }: Omit<ListedEngine, 'name'>,
@@ -253,18 +280,18 @@
     };
   },
 
-  /** What is another between two lists, for those who read logs. */
+  /** Describes the differences between two lists for the log. */
   changes: (before: EngineList['engines'], after: EngineList | undefined): string => {
     const now = after?.engines ?? {};
     const gone = Object.keys(before).filter((name) => now[name] === undefined);
     const changed = Object.entries(now).filter(
       ([name, engine]) => JSON.stringify(before[name]) !== JSON.stringify(engine),
     );
-    const said = [
+    const descriptions = [
       ...gone.map((name) => `${name} gone`),
       ...changed.map(([name, { address, state }]) => `${name} ${state} at ${address}`),
     ];
-    return said.length > 12 ? `${said.length} changes` : said.join(', ');
+    return descriptions.length > 12 ? `${descriptions.length} changes` : descriptions.join(', ');
   },
 
   listed: ({ service, address, zone, state, capacity, weights }: Engine): Omit<ListedEngine, 'name'> => ({
--- a/source/edge-agent/engine-list/engineLives.ts
+++ b/source/edge-agent/engine-list/engineLives.ts
@@ -1,82 +1,86 @@
 import type { ListedEngine } from './engineLister';
 
-type Life = Readonly<{ engine: ListedEngine; firstRead: number; seenMicroseconds: number }>;
+type TrackedEngine = Readonly<{ engine: ListedEngine; firstRead: number; seenMicroseconds: number }>;
 
-const keptOver = 4096;
+/** Upper bound of the names of ended engines that are remembered. */
+const maxEndedNames = 4096;
 
 /**
- * What a series of answers says of lives that begin and end. Answers may be behind by different times, so one may show an
- * earlier moment than the one before; and a name is one life, so what has ended does not come back.
+ * Tracks which engines exist, from a series of responses of the list service. Responses may lag by different amounts, so
+ * one may show an earlier state than the one before it. A name is used by one engine only, so an engine that has ended
+ * does not come back.
  */
 export class EngineLives {
-  private readonly lives = new Map<string, Life>();
-  private readonly over = new Set<string>();
+  private readonly tracked = new Map<string, TrackedEngine>();
+  private readonly ended = new Set<string>();
   private reads = 0;
 
   public constructor(private readonly lagMicroseconds: () => number) {}
 
   /**
-   * The engines that live, after one more answer; `known` are those that the fleet knew before this series. Why two times:
-   * the pages of a long list come one after the other, and what stood on the last of them was seen that late.
+   * Returns the existing engines after one more response; `known` are those that the fleet knew before the first response.
+   * Both the time of the request and that of the response are given because the pages of a long list are fetched one after
+   * another, and the entries of the last page are seen only at the end.
    */
   public heard(
     listed: readonly ListedEngine[],
     known: readonly ListedEngine[],
-    askedMicroseconds: number,
-    heardMicroseconds = askedMicroseconds,
+    requestedMicroseconds: number,
+    receivedMicroseconds = requestedMicroseconds,
   ): readonly ListedEngine[] {
     if (this.reads === 0)
       for (const engine of known)
-        this.lives.set(engine.name, { engine, firstRead: 0, seenMicroseconds: askedMicroseconds });
+        this.tracked.set(engine.name, { engine, firstRead: 0, seenMicroseconds: requestedMicroseconds });
     this.reads += 1;
-    for (const engine of listed) this.seen(engine, heardMicroseconds);
+    for (const engine of listed) this.recordListed(engine, receivedMicroseconds);
     const names = new Set(listed.map(({ name }) => name));
-    for (const [name, { seenMicroseconds }] of [...this.lives])
-      // Why not at once: the answer may be from before it came up, or it slipped from one page to another.
-      if (!names.has(name) && askedMicroseconds - seenMicroseconds >= this.lagMicroseconds()) this.end(name);
-    return this.oneAnAddress();
+    for (const [name, { seenMicroseconds }] of [...this.tracked])
+      // An engine is not removed at once: the response may predate its start, or the entry may have moved between pages
+      // during the read.
+      if (!names.has(name) && requestedMicroseconds - seenMicroseconds >= this.lagMicroseconds()) this.end(name);
+    return this.onePerAddress();
   }
 
-  private seen(engine: ListedEngine, heardMicroseconds: number): void {
-    if (this.over.has(engine.name)) return;
-    const life = this.lives.get(engine.name);
-    // Why for good: who leaves does not stay after all, and an answer from before must not make it look so.
-    const state = life?.engine.state === 'draining' ? 'draining' : engine.state;
-    this.lives.set(engine.name, {
+  private recordListed(engine: ListedEngine, receivedMicroseconds: number): void {
+    if (this.ended.has(engine.name)) return;
+    const tracked = this.tracked.get(engine.name);
+    // Draining is final, and an outdated response must not make the engine look ready again.
+    const state = tracked?.engine.state === 'draining' ? 'draining' : engine.state;
+    this.tracked.set(engine.name, {
       engine: { ...engine, state },
-      firstRead: life?.firstRead ?? this.reads,
-      seenMicroseconds: heardMicroseconds,
+      firstRead: tracked?.firstRead ?? this.reads,
+      seenMicroseconds: receivedMicroseconds,
     });
   }
 
-  /** Why the later one: an engine that has ended stays listed for a while, and its address is given on. */
-  private oneAnAddress(): readonly ListedEngine[] {
-    const byAddress = new Map<string, Life>();
-    for (const life of this.lives.values()) {
-      const other = byAddress.get(life.engine.address);
+  /** Keeps the later engine of each address, because an ended engine stays listed for a while and its address is reused. */
+  private onePerAddress(): readonly ListedEngine[] {
+    const byAddress = new Map<string, TrackedEngine>();
+    for (const tracked of this.tracked.values()) {
+      const other = byAddress.get(tracked.engine.address);
       if (other === undefined) {
-        byAddress.set(life.engine.address, life);
+        byAddress.set(tracked.engine.address, tracked);
         continue;
       }
-      const [later, earlier] = isLater(life, other) ? [life, other] : [other, life];
-      byAddress.set(life.engine.address, later);
-      // Why only then: of two that came up in one answer nobody knows for sure.
+      const [later, earlier] = isLaterEngine(tracked, other) ? [tracked, other] : [other, tracked];
+      byAddress.set(tracked.engine.address, later);
+      // Of two engines that first appeared in the same response, it is uncertain which one has ended, so none is ended.
       if (later.firstRead > earlier.firstRead) this.end(earlier.engine.name);
     }
     return [...byAddress.values()].map(({ engine }) => engine);
   }
 
   private end(name: string): void {
-    this.lives.delete(name);
-    this.over.add(name);
-    for (const oldest of this.over) {
-      if (this.over.size <= keptOver) break;
-      this.over.delete(oldest);
+    this.tracked.delete(name);
+    this.ended.add(name);
+    for (const oldest of this.ended) {
+      if (this.ended.size <= maxEndedNames) break;
+      this.ended.delete(oldest);
     }
   }
 }
 
-const isLater = (left: Life, right: Life): boolean =>
+const isLaterEngine = (left: TrackedEngine, right: TrackedEngine): boolean =>
   left.firstRead !== right.firstRead
     ? left.firstRead > right.firstRead
     : left.engine.state !== right.engine.state
--- a/source/edge-agent/main.ts
+++ b/source/edge-agent/main.ts
@@ -57,15 +57,15 @@
     const metrics = new Metrics();
     metrics.watch(() => AgentPages.gauges(agent));
     return HttpDoors.open(text('pages'), HttpLimits.usual, (service) => {
-      service.get('/status', (_order, response) =>
+      service.get('/status', (_request, response) =>
         Replies.json(response as unknown as ServerResponse, 200, AgentPages.status(text('name'), agent)),
       );
-      service.get('/health', (_order, response) =>
+      service.get('/health', (_request, response) =>
         Replies.json(response as unknown as ServerResponse, AgentPages.fresh(agent) ? 200 : 503, {
           fresh: AgentPages.fresh(agent),
         }),
       );
-      service.get('/metrics', (_order, response) =>
+      service.get('/metrics', (_request, response) =>
         Replies.text(response as unknown as ServerResponse, 200, metrics.page()),
       );
     });
@@ -85,7 +85,7 @@
     door: new HttpBackEndDoor(),
     openPages,
     stopLimitMicroseconds: Number(settings['stopLimitMicroseconds']),
-    // Why not at all: a proxy that outlives its agent is fed by another one.
+    // No delay is needed: a proxy that outlives its agent gets its updates from another one.
     lingerMicroseconds: 0,
   });
 });
--- a/source/edge-agent/pages/agentPages.ts
+++ b/source/edge-agent/pages/agentPages.ts
@@ -1,10 +1,10 @@
 import type { EdgeAgent } from '../edgeAgent';
 
-const freshMicroseconds = 1_500_000;
+const maxFreshAgeMicroseconds = 1_500_000;
 
-/** What an agent shows to operators. */
+/** The status, health and metrics that an agent shows to operators. */
 export const AgentPages = {
-  fresh: (agent: EdgeAgent): boolean => agent.freshness.ageMicroseconds() < freshMicroseconds,
+  fresh: (agent: EdgeAgent): boolean => agent.freshness.ageMicroseconds() < maxFreshAgeMicroseconds,
 
   status: (name: string, agent: EdgeAgent): unknown => ({
     agent: name,
@@ -23,7 +23,7 @@
       proxyAddress,
       pagesAddress,
     })),
-    /** The list of engines as it is in force here. */
+    /** The list of engines that this agent currently uses. */
     listed: agent.freshness.engines?.engines ?? {},
     engines: agent.facts.withPrefix('engine/').map(({ value }) => value),
     stewards: agent.facts.withPrefix('steward/').map(({ value }) => value),
@@ -37,7 +37,7 @@
     shards: agent.shards.all().map((shard) => ({ ...shard.present, committed: shard.size })),
     held: agent.stewardship
       .held()
-      .map((steward) => ({ engine: steward.name, term: steward.term, ...steward.counts() })),
+      .map((controller) => ({ engine: controller.name, term: controller.term, ...controller.counts() })),
   }),
 
   gauges: (agent: EdgeAgent): readonly (readonly [string, Readonly<Record<string, string>>, number])[] => [
--- a/source/edge-agent/proxies/loadTotals.ts
+++ b/source/edge-agent/proxies/loadTotals.ts
@@ -1,4 +1,3 @@
-/** The loads of all proxies of the fleet, added up, and what has changed in the sums since each proxy that follows them last asked. */
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
 import { LoadSums, loadTables, type LoadTable, type LoadVector } from '../../shared/loads/loadSums';
@@ -8,17 +7,18 @@
 
 type Row = Readonly<{ vector: LoadVector; change: number }>;
 
-/** For each load in them the sums stand so much longer, so that adding up costs the same part of the processor in any fleet. */
-const standsMicrosecondsPerLoad = 500;
-/** Rows that are kept, those that are gone included, until all followers begin anew. */
-const mostRows = 20_000;
+/** The minimum interval of recomputation grows by this per load, so the processor share is the same in any fleet. */
+const minIntervalMicrosecondsPerLoad = 500;
+/** Upper bound of the rows, including removed ones; above it all followers get the sums from scratch. */
+const maxRows = 20_000;
 
 const isSame = (left: LoadVector, right: LoadVector): boolean =>
   left.length === right.length && left.every((value, place) => value === right[place]);
 
-const isSameNames = (left: readonly string[], right: readonly string[]): boolean =>
+const hasSameNames = (left: readonly string[], right: readonly string[]): boolean =>
   left.length === right.length && left.every((name, place) => name === right[place]);
 
+/** Sums the loads of all proxies of the fleet, and returns to each proxy the changes of the sums since its last request. */
 export class LoadTotals {
   private book: string;
   private readonly rows = new Map<LoadTable, Map<string, Row>>();
@@ -27,7 +27,7 @@
   private proxies: readonly string[] = [];
   private counted: ReadonlyMap<string, FactVersion> = new Map();
   private proxiesChange = 0;
-  private mark = '';
+  private countedRevision = '';
   private countedAt = -Infinity;
 
   public constructor(
@@ -38,9 +38,9 @@
     this.book = random.name();
   }
 
-  /** What a proxy lacks that has everything up to `position`; all of it for one that has nothing, or something else. */
+  /** Returns the changes since `position`; everything if the position is missing, invalid or of another numbering. */
   public update(proxy: string, position: unknown): LoadUpdate {
-    this.count();
+    this.recompute();
     const isKnown = LoadUpdates.isPosition(position) && position.book === this.book && position.change <= this.change;
     const from = isKnown ? position.change : null;
     return {
@@ -54,23 +54,24 @@
     };
   }
 
-  private count(): void {
-    const mark = `${this.facts.changesOf('load')}/${this.facts.changesOf('member')}`;
+  private recompute(): void {
+    const revision = `${this.facts.changesOf('load')}/${this.facts.changesOf('member')}`;
     const now = this.clock.nowMicroseconds();
-    if (mark === this.mark || now - this.countedAt < this.counted.size * standsMicrosecondsPerLoad) return;
-    this.mark = mark;
+    if (revision === this.countedRevision || now - this.countedAt < this.counted.size * minIntervalMicrosecondsPerLoad)
+      return;
+    this.countedRevision = revision;
     this.countedAt = now;
     const present = this.presentLoads();
     this.counted = new Map(present.map(({ key, version }) => [key.slice(FactKeys.load('').length), version]));
     this.setRows(LoadSums.of(present.map(({ value }) => value as LoadFact)));
     const proxies = [...this.counted.keys()].sort();
-    if (isSameNames(proxies, this.proxies)) return;
+    if (hasSameNames(proxies, this.proxies)) return;
     this.change += 1;
     this.proxies = proxies;
     this.proxiesChange = this.change;
   }
 
-  /** Loads of proxies that are there, as far as known: those whose agents are. */
+  /** The loads of present proxies: those that are not silent and whose agent is present. */
   private presentLoads(): readonly Fact[] {
     const agents = new Set(
       this.facts
@@ -93,7 +94,7 @@
       for (const [name, vector] of sums[table]) this.setRow(known, name, vector, change);
       for (const name of known.keys()) if (!sums[table].has(name)) this.setRow(known, name, [], change);
     }
-    if (this.rowCount > mostRows) this.beginAnew();
+    if (this.rowCount > maxRows) this.restartNumbering();
   }
 
   private setRow(rows: Map<string, Row>, name: string, vector: LoadVector, change: number): void {
@@ -104,8 +105,8 @@
     this.change = change;
   }
 
-  /** Names that are gone would stay for ever otherwise. */
-  private beginAnew(): void {
+  /** Drops the rows of removed names, which would accumulate otherwise, and starts a new numbering. */
+  private restartNumbering(): void {
     this.book = this.random.name();
     this.rowCount = 0;
     for (const [table, rows] of this.rows) {
@@ -118,9 +119,11 @@
   private rowsSince(from: number | null): LoadUpdate['rows'] {
     const changed: Partial<Record<LoadTable, Readonly<Record<string, LoadVector>>>> = {};
     for (const [table, rows] of this.rows) {
-      const lacking = [...rows].filter(([, { vector, change }]) => (from === null ? vector.length > 0 : change > from));
-      if (lacking.length === 0) continue;
-      changed[table] = Object.fromEntries(lacking.map(([name, { vector }]) => [name, vector] as const));
+      const changedRows = [...rows].filter(([, { vector, change }]) =>
+        from === null ? vector.length > 0 : change > from,
+      );
+      if (changedRows.length === 0) continue;
+      changed[table] = Object.fromEntries(changedRows.map(([name, { vector }]) => [name, vector] as const));
     }
     return changed;
   }
--- a/source/shared/desk/messages.ts
+++ b/source/shared/desk/messages.ts
@@ -1,7 +1,8 @@
 /**
- * One engine's offer, in whole microseconds: all that speaks against it but waiting for others; reading what it lacks;
- * reading what is left where the shared parts were there; having them moved there from another engine; what speaks against
- * one more copy there, or for it where that is less than nothing.
+ * The costs of placing a request on one engine, in whole microseconds. `cost`: all costs except prefill and waiting for
+ * other requests; `read`: prefill of the parts that are not cached there; `rest`: prefill of the remainder if the shared parts
+ * were cached there; `move`: transfer of the shared parts from another engine; `copy`: cost of one more copy of them
+ * there, negative if that copy is useful.
  */
 export type DeskOffer = readonly [
   engine: string,
@@ -12,53 +13,56 @@
   copy?: number,
 ];
 
+/** A proxy's request for an engine; `order` is the identifier of the client's request. */
 export type DeskOrder = Readonly<{
   order: string;
-  /** Names the shared parts of the prompt; empty: it shares nothing. */
+  /** Identifies the shared parts of the prompt; empty: the prompt shares none. */
   prefix: string;
   offers: readonly DeskOffer[];
 }>;
 
 /**
- * `joined`: the shared parts are being read there, or have just been. `keeper`: another engine has them by now.
- * `waitMicroseconds`: they are still being read, and the order had better wait for so long at the most until they are.
+ * The engine that a request is assigned to. `joined`: the shared parts are being prefilled there, or have just been.
+ * `keeper`: another engine that has them or is prefilling them. `waitMicroseconds`: they are still being prefilled, and the
+ * request should wait until that is done, at most this long.
  */
 export type DeskWord = Readonly<{ engine: string; joined: boolean; keeper: string; waitMicroseconds?: number }>;
 
-const isWhole = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value);
+const isFiniteNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value);
 
+/** Validation of the messages between proxies and the request scheduler. */
 export const DeskMessages = {
   mostOffers: 2048,
 
   isOrder: (value: unknown): value is DeskOrder => {
-    const order = value as Partial<DeskOrder> | null;
+    const request = value as Partial<DeskOrder> | null;
     return (
-      typeof order === 'object' &&
-      order !== null &&
-      typeof order.order === 'string' &&
-      typeof order.prefix === 'string' &&
-      Array.isArray(order.offers) &&
-      order.offers.length > 0 &&
-      order.offers.length <= DeskMessages.mostOffers &&
-      order.offers.every(
+      typeof request === 'object' &&
+      request !== null &&
+      typeof request.order === 'string' &&
+      typeof request.prefix === 'string' &&
+      Array.isArray(request.offers) &&
+      request.offers.length > 0 &&
+      request.offers.length <= DeskMessages.mostOffers &&
+      request.offers.every(
         (offer: unknown) =>
           Array.isArray(offer) &&
           typeof offer[0] === 'string' &&
           (offer.length === 5 || offer.length === 6) &&
-          offer.slice(1).every(isWhole),
+          offer.slice(1).every(isFiniteNumber),
       )
     );
   },
 
   isWord: (value: unknown): value is DeskWord => {
-    const word = value as Partial<DeskWord> | null;
+    const decision = value as Partial<DeskWord> | null;
     return (
-      typeof word === 'object' &&
-      word !== null &&
-      typeof word.engine === 'string' &&
-      typeof word.joined === 'boolean' &&
-      typeof word.keeper === 'string' &&
-      (word.waitMicroseconds === undefined || isWhole(word.waitMicroseconds))
+      typeof decision === 'object' &&
+      decision !== null &&
+      typeof decision.engine === 'string' &&
+      typeof decision.joined === 'boolean' &&
+      typeof decision.keeper === 'string' &&
+      (decision.waitMicroseconds === undefined || isFiniteNumber(decision.waitMicroseconds))
     );
   },
 } as const;
--- a/source/shared/weights/weightsClocks.ts
+++ b/source/shared/weights/weightsClocks.ts
@@ -1,29 +1,30 @@
+/** Deadlines of a weights change, counted from the time at which the new weights are configured. */
 export type WeightsClocks = Readonly<{
-  /** From here on no stream on old weights may still be answered. */
+  /** From this time on no response of old weights may be sent, not even the rest of a stream. */
   cutMicroseconds: number;
-  /** The last moment an engine may go on finishing streams before it loads. */
+  /** The latest time until which an engine may finish streams before it loads the new weights. */
   drainUntilMicroseconds: number;
   secondRoundMicroseconds: number;
 }>;
 
-/** Starting values, ours: by 12 s all is over; the change itself and the news of it need the rest. */
+/** The change must be complete within 12 s; the rest of that time is for the change itself and its propagation. */
 const usual: WeightsClocks = {
   cutMicroseconds: 11_000_000,
   drainUntilMicroseconds: 9_500_000,
   secondRoundMicroseconds: 5_000_000,
 };
 
-/** Starting values, ours: what the news of the change takes, and an order that waits at an engine. */
-const cutBeforeMicroseconds = 1_000_000;
-const drainBeforeMicroseconds = 2_500_000;
+/** Margins for the propagation of the change and for a request that is queued at an engine. */
+const cutoffMarginMicroseconds = 1_000_000;
+const drainMarginMicroseconds = 2_500_000;
 
 export const WeightsClocks = {
   ...usual,
   usual,
-  /** The same clocks where another time is promised. */
+  /** The same deadlines for another limit of the whole change. */
   within: (limitMicroseconds: number): WeightsClocks => ({
-    cutMicroseconds: Math.max(0, limitMicroseconds - cutBeforeMicroseconds),
-    drainUntilMicroseconds: Math.max(0, limitMicroseconds - drainBeforeMicroseconds),
+    cutMicroseconds: Math.max(0, limitMicroseconds - cutoffMarginMicroseconds),
+    drainUntilMicroseconds: Math.max(0, limitMicroseconds - drainMarginMicroseconds),
     secondRoundMicroseconds: Math.floor((limitMicroseconds * 5) / 12),
   }),
 } as const;
--- a/source/shared/weights/weightsRounds.ts
+++ b/source/shared/weights/weightsRounds.ts
@@ -2,24 +2,25 @@
 import type { EngineFact } from '../news/factTypes';
 import { Rendezvous } from '../rendezvous/rendezvous';
 
-/** Starting value, ours: so much of the promised time the rounds may take; the rest is for what goes wrong. */
-const roundsPerMille = 550;
+/** The part of the time limit that the rounds may take; the rest is a reserve for failures. */
+const rolloutPerMille = 550;
 
+/** The order and timing in which the engines of a pool load new weights. */
 export const WeightsRounds = {
-  /** How many engines of a pool change at once: about a quarter, so that the others bear the work, and loads stay fast. */
+  /** How many engines of a pool change at once: about a quarter, so that the others carry the load and loading stays fast. */
   width: (engines: number): number => (engines <= 3 ? 1 : Math.max(2, Math.floor(engines / 4))),
 
-  /** Which round an engine is in; every steward comes to the same. */
+  /** The round of an engine; every engine controller computes the same one. */
   roundOf: (engine: string, service: string, weights: string, engines: readonly string[]): number =>
     Math.floor(Rendezvous.rank(`weights/${service}/${weights}`, engine, engines) / WeightsRounds.width(engines.length)),
 
-  /** All engines of a pool, those that change first standing first. */
+  /** All engines of a pool in the order in which they change. */
   order: (service: string, weights: string, engines: readonly string[]): readonly string[] =>
     Rendezvous.order(`weights/${service}/${weights}`, engines),
 
   /**
-   * Those that change now or next and have not changed yet, as far as known here. Why the next too: word that one has
-   * changed may be here later than at the stewards of those that wait for it.
+   * The engines that change now or next and are not known to have changed. The next ones are included because the
+   * controllers that wait for a change may learn of it earlier than this process.
    */
   soon: (order: readonly string[], hasChanged: (engine: string) => boolean): readonly string[] => {
     const width = WeightsRounds.width(order.length);
@@ -29,8 +30,8 @@
   },
 
   /**
-   * Whether an engine's turn has come: fewer of those before it than may change at once are left, or their time is over.
-   * Why not whole rounds: the slowest engine of one would hold up all of the next.
+   * Whether an engine should change now: fewer engines before it than may change at once are unfinished, or their time is
+   * over. Whole rounds are not awaited because the slowest engine of one round would delay all engines of the next.
    */
   isDue: (
     engine: string,
@@ -39,26 +40,29 @@
     service: string,
     nowMicroseconds: number,
     limitMicroseconds: number,
-    /** When this steward may give directives; stewards that all had to wait must not then all begin at once. */
+    /** When this controller may send directives; controllers that all had to wait must not then all begin at once. */
     mayFromMicroseconds = -Infinity,
   ): boolean => {
     const engines = Object.keys(pool);
     if (!engines.includes(engine)) return false;
-    // Why at once: nobody knows since when they are intended, so no time is left.
+    // The start of the change is unknown, so no time may be left: the engine changes at once.
     if (intended.sinceMicroseconds === null) return true;
-    // Why the order once: it is asked for by each engine of a pool that may be large.
+    // The order is computed once per call because each engine of a possibly large pool calls this.
     const order = WeightsRounds.order(service, intended.weights, engines);
     const width = WeightsRounds.width(engines.length);
     const place = order.indexOf(engine);
     const round = Math.floor(place / width);
-    const begin = Math.max(intended.sinceMicroseconds, mayFromMicroseconds);
-    const until = intended.sinceMicroseconds + (limitMicroseconds * roundsPerMille) / 1000;
-    if (nowMicroseconds - begin >= (round * Math.max(0, until - begin)) / Math.ceil(engines.length / width))
+    const startMicroseconds = Math.max(intended.sinceMicroseconds, mayFromMicroseconds);
+    const endMicroseconds = intended.sinceMicroseconds + (limitMicroseconds * rolloutPerMille) / 1000;
+    if (
+      nowMicroseconds - startMicroseconds >=
+      (round * Math.max(0, endMicroseconds - startMicroseconds)) / Math.ceil(engines.length / width)
+    )
       return true;
-    const left = order.slice(0, place).filter((before) => {
+    const unfinished = order.slice(0, place).filter((before) => {
       const fact = pool[before];
       return fact?.weights !== intended.weights || fact.changing;
     });
-    return left.length < width;
+    return unfinished.length < width;
   },
 } as const;
