--- a/source/edge-agent/desk/workDesk.ts
+++ b/source/edge-agent/desk/workDesk.ts
@@ -38,9 +38,9 @@
  * places the request itself.
  */
 export class WorkDesk {
-  private readonly reservations = new Map<string, Reservation[]>();
-  private readonly prefixLocations = new Map<string, PrefixLocation>();
-  private readonly waiters = new Map<string, Set<() => void>>();
+  private readonly engines = new Map<string, Reservation[]>();
+  private readonly prefixes = new Map<string, PrefixLocation>();
+  private readonly waiting = new Map<string, Set<() => void>>();
   private waiterCount = 0;
 
   public constructor(
@@ -66,9 +66,9 @@
     }
     if (best === undefined) return { engine: '', joined: false, keeper: '' };
     const { engine, read } = best;
-    const reservations = this.reservations.get(engine) ?? [];
+    const reservations = this.engines.get(engine) ?? [];
     reservations.push({ order, prefix, read, atMicroseconds: now });
-    this.reservations.set(engine, reservations);
+    this.engines.set(engine, reservations);
     if (prefix !== '' && location === undefined) this.remember(prefix, { engine, atMicroseconds: now, done: false });
     const joined = location?.engine === engine;
     const decision = { engine, joined, keeper: location === undefined || joined ? '' : location.engine };
@@ -87,14 +87,14 @@
     return new Promise((resolve) => {
       const finish = (): void => {
         cancel();
-        if (!this.waiters.get(prefix)?.delete(finish)) return;
-        if (this.waiters.get(prefix)?.size === 0) this.waiters.delete(prefix);
+        if (!this.waiting.get(prefix)?.delete(finish)) return;
+        if (this.waiting.get(prefix)?.size === 0) this.waiting.delete(prefix);
         this.waiterCount -= 1;
         resolve();
       };
       const cancel = this.clock.after(this.prefillMicroseconds(location.engine, now), finish);
-      const others = this.waiters.get(prefix) ?? new Set();
-      this.waiters.set(prefix, others.add(finish));
+      const others = this.waiting.get(prefix) ?? new Set();
+      this.waiting.set(prefix, others.add(finish));
       this.waiterCount += 1;
     });
   }
@@ -106,7 +106,7 @@
   }
 
   private wakeWaiters(prefix: string): void {
-    for (const finish of [...(this.waiters.get(prefix) ?? [])]) finish();
+    for (const finish of [...(this.waiting.get(prefix) ?? [])]) finish();
   }
 
   /**
@@ -114,39 +114,39 @@
    * the request failed.
    */
   public done(engine: string, order: string, good: boolean): void {
-    const reservations = this.reservations.get(engine) ?? [];
-    const ended = reservations.find((reservation) => reservation.order === order);
-    if (ended === undefined) return;
-    this.reservations.set(
+    const reservations = this.engines.get(engine) ?? [];
+    const match = reservations.find((reservation) => reservation.order === order);
+    if (match === undefined) return;
+    this.engines.set(
       engine,
-      reservations.filter((reservation) => reservation !== ended),
+      reservations.filter((reservation) => reservation !== match),
     );
-    const location = this.prefixLocations.get(ended.prefix);
+    const location = this.prefixes.get(match.prefix);
     if (location?.engine !== engine) return;
-    if (good) this.remember(ended.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
-    else if (!location.done) this.prefixLocations.delete(ended.prefix);
-    if (good || !location.done) this.wakeWaiters(ended.prefix);
+    if (good) this.remember(match.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
+    else if (!location.done) this.prefixes.delete(match.prefix);
+    if (good || !location.done) this.wakeWaiters(match.prefix);
   }
 
   /** Drops the reservations and prefixes of all engines that are not listed. */
   public keepOnly(engines: readonly string[]): void {
     const retained = new Set(engines);
-    for (const engine of this.reservations.keys()) if (!retained.has(engine)) this.reservations.delete(engine);
-    for (const [prefix, { engine }] of this.prefixLocations)
+    for (const engine of this.engines.keys()) if (!retained.has(engine)) this.engines.delete(engine);
+    for (const [prefix, { engine }] of this.prefixes)
       if (!retained.has(engine)) {
-        this.prefixLocations.delete(prefix);
+        this.prefixes.delete(prefix);
         this.wakeWaiters(prefix);
       }
   }
 
   /** How long an engine's reserved prefills still take, by the prefill time that each request gave with its reservation. */
   public waitMicroseconds(engine: string, now = this.clock.nowMicroseconds()): number {
-    const reservations = this.reservations.get(engine);
+    const reservations = this.engines.get(engine);
     if (reservations === undefined || reservations.length === 0) return 0;
     const unexpired = reservations.filter(
       ({ atMicroseconds }) => now - atMicroseconds < this.settings.forgetMicroseconds,
     );
-    if (unexpired.length !== reservations.length) this.reservations.set(engine, unexpired);
+    if (unexpired.length !== reservations.length) this.engines.set(engine, unexpired);
     let idleAt = 0;
     // An overdue prefill may end at any moment or be late, so at least a tenth of the reserved time is assumed.
     for (const { read, atMicroseconds } of unexpired) idleAt = Math.max(idleAt, atMicroseconds) + read;
@@ -154,18 +154,18 @@
   }
 
   private currentLocation(prefix: string, now: number): PrefixLocation | undefined {
-    const location = this.prefixLocations.get(prefix);
+    const location = this.prefixes.get(prefix);
     if (location === undefined) return undefined;
     const limit = location.done ? this.settings.latelyMicroseconds : this.settings.forgetMicroseconds;
     if (now - location.atMicroseconds < limit) return location;
-    this.prefixLocations.delete(prefix);
+    this.prefixes.delete(prefix);
     return undefined;
   }
 
   private remember(prefix: string, location: PrefixLocation): void {
-    this.prefixLocations.delete(prefix);
-    this.prefixLocations.set(prefix, location);
-    const [oldest] = this.prefixLocations.keys();
-    if (this.prefixLocations.size > maxPrefixes && oldest !== undefined) this.prefixLocations.delete(oldest);
+    this.prefixes.delete(prefix);
+    this.prefixes.set(prefix, location);
+    const [oldest] = this.prefixes.keys();
+    if (this.prefixes.size > maxPrefixes && oldest !== undefined) this.prefixes.delete(oldest);
   }
 }
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -165,7 +165,7 @@
   public readonly membership: Membership;
   public readonly stewardship: Stewardship;
   private readonly exchange: NewsExchange;
-  private readonly leaseHolder: DutyHolder;
+  private readonly duties: DutyHolder;
   private readonly requestScheduler: WorkDesk;
   private readonly proxies: FedProxies;
   private readonly loadTotals: LoadTotals;
@@ -232,7 +232,7 @@
       },
       effects,
     );
-    this.leaseHolder = new DutyHolder(
+    this.duties = new DutyHolder(
       settings.name,
       this.link,
       effects,
@@ -241,7 +241,7 @@
     );
     this.stewardship = new Stewardship(
       settings.name,
-      this.leaseHolder,
+      this.duties,
       this.membership,
       this.facts,
       this.shards,
@@ -280,7 +280,7 @@
             this.notice,
           );
     const { engineList } = this;
-    const onFailure = (error: unknown): void => this.log(`A periodic task onFailure: ${Logs.text(error)}.`);
+    const onFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
     const tickers: readonly (readonly [() => number, () => Promise<void>])[] = [
       [() => this.standstills.planned(settings.readMicroseconds), () => this.read()],
       [() => this.gossipIntervalMicroseconds(), () => this.news()],
--- a/source/edge-agent/engine-list/engineListKeeper.ts
+++ b/source/edge-agent/engine-list/engineListKeeper.ts
@@ -66,8 +66,8 @@
 export class EngineListKeeper {
   private term = 0;
   private sequence = 0;
-  private publishedText = '';
-  private consecutiveEmptyReads = 0;
+  private text = '';
+  private empty = 0;
   private readonly lifetimes: EngineLives;
   private readonly rateLimiter: CallPace;
   private nextReadWithoutLease: number;
@@ -82,7 +82,7 @@
     private readonly random: Random,
     private settings: EngineListSettings,
     /** The known number of agents. */
-    private readonly agentCount: () => number,
+    private readonly agents: () => number,
     private readonly log: Log,
   ) {
     this.lifetimes = new EngineLives(() => this.settings.lagMicroseconds);
@@ -133,7 +133,7 @@
     const now = this.clock.nowMicroseconds();
     if (now < this.nextReadWithoutLease || !this.isStale()) return false;
     const pause =
-      ((1 + this.random.fraction()) * this.agentCount() * this.lastPageCount * 1_000_000) / this.rateWithoutLease();
+      ((1 + this.random.fraction()) * this.agents() * this.lastPageCount * 1_000_000) / this.rateWithoutLease();
     this.nextReadWithoutLease = now + Math.max(1_000_000, Math.floor(pause));
     return true;
   }
@@ -200,9 +200,9 @@
 
   /** Accepts an empty list only after several reads, because an empty list is more likely a fault of the list service. */
   private accepts(listed: readonly ListedEngine[]): boolean {
-    this.consecutiveEmptyReads = listed.length === 0 ? this.consecutiveEmptyReads + 1 : 0;
+    this.empty = listed.length === 0 ? this.empty + 1 : 0;
     const known = Object.keys(this.freshness.engines?.engines ?? {}).length;
-    return listed.length > 0 || known === 0 || this.consecutiveEmptyReads >= this.settings.emptyReads;
+    return listed.length > 0 || known === 0 || this.empty >= this.settings.emptyReads;
   }
 
   private toText(listed: readonly ListedEngine[], requestedMicroseconds: number): string {
@@ -227,16 +227,16 @@
 
   private revisionOf(term: number, text: string): number {
     // The sequence restarts with each term because this agent may not know all revisions of the previous holder.
-    if (term !== this.term) [this.term, this.sequence, this.publishedText] = [term, 0, ''];
+    if (term !== this.term) [this.term, this.sequence, this.text] = [term, 0, ''];
     const applied = this.freshness.applied('engines');
     const above = (applied?.revision ?? 0) - term * revisionsPerTerm;
     // A revision of a later term is not exceeded: its holder takes precedence, and this lease has ended.
     const before = above < revisionsPerTerm ? above : 0;
-    const isPublished = text === this.publishedText && (before <= this.sequence || applied?.text === text);
+    const isPublished = text === this.text && (before <= this.sequence || applied?.text === text);
     // The revision exceeds the applied one because an agent without the lease may have published another text under the
     // next revision meanwhile.
     this.sequence = isPublished ? Math.max(before, this.sequence) : Math.max(before, this.sequence) + 1;
-    this.publishedText = text;
+    this.text = text;
     return term * revisionsPerTerm + this.sequence;
   }
 
--- a/source/edge-agent/engine-list/engineLives.ts
+++ b/source/edge-agent/engine-list/engineLives.ts
@@ -12,7 +12,7 @@
  */
 export class EngineLives {
   private readonly tracked = new Map<string, TrackedEngine>();
-  private readonly ended = new Set<string>();
+  private readonly over = new Set<string>();
   private reads = 0;
 
   public constructor(private readonly lagMicroseconds: () => number) {}
@@ -42,7 +42,7 @@
   }
 
   private recordListed(engine: ListedEngine, receivedMicroseconds: number): void {
-    if (this.ended.has(engine.name)) return;
+    if (this.over.has(engine.name)) return;
     const tracked = this.tracked.get(engine.name);
     // Draining is final, and an outdated response must not make the engine look ready again.
     const state = tracked?.engine.state === 'draining' ? 'draining' : engine.state;
@@ -72,10 +72,10 @@
 
   private end(name: string): void {
     this.tracked.delete(name);
-    this.ended.add(name);
-    for (const oldest of this.ended) {
-      if (this.ended.size <= maxEndedNames) break;
-      this.ended.delete(oldest);
+    this.over.add(name);
+    for (const oldest of this.over) {
+      if (this.over.size <= maxEndedNames) break;
+      this.over.delete(oldest);
     }
   }
 }
--- a/source/edge-agent/proxies/fedProxies.ts
+++ b/source/edge-agent/proxies/fedProxies.ts
@@ -51,7 +51,7 @@
       const load = fact.value as LoadFact;
       const proxy = fact.key.slice(FactKeys.load('').length);
       if (load.agent === this.settings.name && load.isSilent !== true && this.isSilent(proxy))
-        this.markSilent(proxy, fact);
+        this.withdraw(proxy, fact);
       this.removeLongGone(proxy, load);
     }
   }
@@ -62,7 +62,7 @@
     return this.clock.nowMicroseconds() - lastRequest >= silenceLimitMicroseconds;
   }
 
-  private markSilent(proxy: string, { version }: Fact): void {
+  private withdraw(proxy: string, { version }: Fact): void {
     this.lastRequestAt.delete(proxy);
     const agent = this.settings.name;
     const load: LoadFact = { agent, isSilent: true, engines: {}, classes: {}, waiting: {}, tenants: {} };
--- a/source/edge-agent/proxies/loadTotals.ts
+++ b/source/edge-agent/proxies/loadTotals.ts
@@ -27,7 +27,7 @@
   private proxies: readonly string[] = [];
   private counted: ReadonlyMap<string, FactVersion> = new Map();
   private proxiesChange = 0;
-  private countedRevision = '';
+  private mark = '';
   private countedAt = -Infinity;
 
   public constructor(
@@ -40,7 +40,7 @@
 
   /** Returns the changes since `position`; everything if the position is missing, invalid or of another numbering. */
   public update(proxy: string, position: unknown): LoadUpdate {
-    this.recompute();
+    this.count();
     const isKnown = LoadUpdates.isPosition(position) && position.book === this.book && position.change <= this.change;
     const from = isKnown ? position.change : null;
     return {
@@ -54,12 +54,11 @@
     };
   }
 
-  private recompute(): void {
+  private count(): void {
     const revision = `${this.facts.changesOf('load')}/${this.facts.changesOf('member')}`;
     const now = this.clock.nowMicroseconds();
-    if (revision === this.countedRevision || now - this.countedAt < this.counted.size * minIntervalMicrosecondsPerLoad)
-      return;
-    this.countedRevision = revision;
+    if (revision === this.mark || now - this.countedAt < this.counted.size * minIntervalMicrosecondsPerLoad) return;
+    this.mark = revision;
     this.countedAt = now;
     const present = this.presentLoads();
     this.counted = new Map(present.map(({ key, version }) => [key.slice(FactKeys.load('').length), version]));
