--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -559,13 +559,13 @@
     }
     await Promise.all(
       [...remote].map(async ([address, indexes]) => {
-        const message = { kind: 'notes', notes: indexes.flatMap((index) => notes[index] ?? []), passed: true };
+        const message = { kind: 'notes', notes: indexes.flatMap((noteIndex) => notes[noteIndex] ?? []), passed: true };
         const answer = await this.effects.transport.ask(address, message, this.settings.newsAskMicroseconds);
         const isDelivered = answer.kind === 'answered' && answer.message.kind === 'heard';
         const undelivered = isDelivered
           ? ((answer.message['missed'] as readonly number[] | undefined) ?? [])
           : indexes.keys();
-        for (const index of undelivered) missed.push(indexes[index] ?? -1);
+        for (const position of undelivered) missed.push(indexes[position] ?? -1);
       }),
     );
     return missed;
--- a/source/edge-agent/proxies/loadTotals.ts
+++ b/source/edge-agent/proxies/loadTotals.ts
@@ -118,11 +118,9 @@
   private rowsSince(from: number | null): LoadUpdate['rows'] {
     const changed: Partial<Record<LoadTable, Readonly<Record<string, LoadVector>>>> = {};
     for (const [table, rows] of this.rows) {
-      const changedRows = [...rows].filter(([, { vector, change }]) =>
-        from === null ? vector.length > 0 : change > from,
-      );
-      if (changedRows.length === 0) continue;
-      changed[table] = Object.fromEntries(changedRows.map(([name, { vector }]) => [name, vector] as const));
+      const updates = [...rows].filter(([, { vector, change }]) => (from === null ? vector.length > 0 : change > from));
+      if (updates.length === 0) continue;
+      changed[table] = Object.fromEntries(updates.map(([name, { vector }]) => [name, vector] as const));
     }
     return changed;
   }
