--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -559,7 +559,7 @@
     }
     await Promise.all(
       [...remote].map(async ([address, indexes]) => {
-        const message = { kind: 'notes', notes: indexes.flatMap((noteIndex) => notes[noteIndex] ?? []), passed: true };
+        const message = { kind: 'notes', notes: indexes.flatMap((position) => notes[position] ?? []), passed: true };
         const answer = await this.effects.transport.ask(address, message, this.settings.newsAskMicroseconds);
         const isDelivered = answer.kind === 'answered' && answer.message.kind === 'heard';
         const undelivered = isDelivered
--- a/tests/agent-derived-names.test.ts
+++ b/tests/agent-derived-names.test.ts
@@ -7,79 +7,82 @@
 import { ShardDirectory, ShardLimits } from '../source/shared/directory/shardDirectory';
 import { ShardBook } from '../source/shared/directory/shardBook';
 
-const book = (entries = 1000, leastSize = 0): Readonly<{ names: DerivedNames; told: Map<string, number> }> => {
-  const told = new Map<string, number>();
+const setUpNames = (
+  entries = 1000,
+  leastSize = 0,
+): Readonly<{ names: DerivedNames; announced: Map<string, number> }> => {
+  const announced = new Map<string, number>();
   const names = new DerivedNames(
     { entries, leastSize },
-    ({ physical, size }: NamedKey) => void told.set(physical, size ?? 0),
-    (physical) => void told.delete(physical),
+    ({ physical, size }: NamedKey) => void announced.set(physical, size ?? 0),
+    (physical) => void announced.delete(physical),
   );
-  return { names, told };
+  return { names, announced };
 };
 const stored = (sequence: number, key: string, size: number): KvEvent => ({ sequence, kind: 'stored', key, size });
 const evicted = (sequence: number, key: string, size = 0): KvEvent => ({ sequence, kind: 'evicted', key, size });
 
-test("a holder's word alone makes an entry, with its size; a part that lost its end stays with the rest", () => {
-  const { names, told } = book();
+test('an event of the cache holder creates an entry with its size; a truncated part keeps its remaining size', () => {
+  const { names, announced } = setUpNames();
   names.event(stored(1, 's/a', 800));
   names.event(evicted(2, 's/a', 128));
-  assert.deepEqual([...told], [['s/a', 128]]);
+  assert.deepEqual([...announced], [['s/a', 128]]);
   names.event(evicted(3, 's/a'));
-  assert.equal(told.size, 0);
+  assert.equal(announced.size, 0);
 });
 
-test('late, doubled and reordered events come to the same end as ordered ones', () => {
+test('late, duplicate and reordered events lead to the same state as ordered ones', () => {
   const history = fc.array(
     fc.record({ key: fc.constantFrom('s/a', 's/b', 't/a'), size: fc.constantFrom(0, 0, 128, 800) }),
     { maxLength: 30 },
   );
   fc.assert(
-    fc.property(history, fc.infiniteStream(fc.nat()), (steps, chances) => {
+    fc.property(history, fc.infiniteStream(fc.nat()), (steps, positions) => {
       const events = steps.map(({ key, size }, index) =>
         size === 0 ? evicted(index + 1, key) : stored(index + 1, key, size),
       );
-      const ordered = book();
+      const ordered = setUpNames();
       for (const event of events) ordered.names.event(event);
-      const mixed = book();
-      const doubled = [...events, ...events]
-        .map((event) => ({ event, place: chances.next().value }))
+      const reordered = setUpNames();
+      const duplicated = [...events, ...events]
+        .map((event) => ({ event, place: positions.next().value }))
         .sort((left, right) => left.place - right.place);
-      for (const { event } of doubled) mixed.names.event(event);
-      assert.deepEqual([...mixed.told].sort(), [...ordered.told].sort());
+      for (const { event } of duplicated) reordered.names.event(event);
+      assert.deepEqual([...reordered.announced].sort(), [...ordered.announced].sort());
     }),
     { seed: 7, numRuns: 300 },
   );
 });
 
-test("the holder's list mends what was lost, and does not undo what came after it", () => {
-  const { names, told } = book();
+test('the list of the cache holder repairs lost events, and does not undo events after it', () => {
+  const { names, announced } = setUpNames();
   names.event(stored(1, 's/lost-removal', 800));
   names.event(stored(9, 's/after', 700));
   names.event(stored(3, 's/kept', 600));
   names.list({ bootEpoch: 'b', sequence: 5, keys: ['s/kept', 's/lost-event'], sizes: [600, 500] });
-  assert.deepEqual([...told].sort(), [
+  assert.deepEqual([...announced].sort(), [
     ['s/after', 700],
     ['s/kept', 600],
     ['s/lost-event', 500],
   ]);
   names.event(stored(2, 's/lost-removal', 800));
-  assert.ok(!told.has('s/lost-removal'), 'a late event from before the list is not believed');
+  assert.ok(!announced.has('s/lost-removal'), 'a late event from before the list is ignored');
 });
 
-test('memory is bounded, and small parts and dead salts are told to nobody', () => {
-  const { names, told } = book(10, 512);
+test('memory is bounded, and small parts and unused salts are not announced', () => {
+  const { names, announced } = setUpNames(10, 512);
   for (let part = 0; part < 50; part += 1) names.event(stored(part + 1, `s/${part}`, part % 2 === 0 ? 600 : 100));
   assert.equal(names.size, 10);
-  assert.deepEqual([...told.keys()].sort(), ['s/40', 's/42', 's/44', 's/46', 's/48']);
+  assert.deepEqual([...announced.keys()].sort(), ['s/40', 's/42', 's/44', 's/46', 's/48']);
   names.spreadOnly((name) => name === 's/44');
-  assert.deepEqual([...told.keys()], ['s/44']);
+  assert.deepEqual([...announced.keys()], ['s/44']);
   names.spreadOnly(() => true);
-  assert.equal(told.size, 5, 'what is of use again is told again');
+  assert.equal(announced.size, 5, 'a salt that is used again is announced again');
 });
 
 const shardOf = (): ShardDirectory => new ShardDirectory('e', 1, ShardLimits.usual, true, () => 0, 'derived');
 
-test('a shard of derived names: a gap in the numbers is no reason for a list, lost events are', () => {
+test('a shard of derived names needs a full list after lost events, but not after a gap in the sequence numbers', () => {
   const shard = shardOf();
   shard.observe('b1', 'w1');
   assert.equal(shard.events({ bootEpoch: 'b1', events: [stored(3, 's/a', 800)], last: 9, lost: false }), true);
@@ -92,7 +95,7 @@
   );
 });
 
-test('a restart empties a shard and counts anew; other weights only raise its epoch', () => {
+test('a restart empties a shard and restarts its sequence; other weights only raise its epoch', () => {
   const shard = shardOf();
   shard.observe('b1', 'w1');
   shard.events({ bootEpoch: 'b1', events: [stored(1, 's/a', 800)], last: 1 });
@@ -103,7 +106,7 @@
   assert.deepEqual([shard.epoch, shard.news.size, shard.after], [epoch + 2, 0, undefined]);
 });
 
-test('sizes travel with the news of a shard, as frame and as change', () => {
+test('sizes are replicated with a shard, in snapshots and in changes', () => {
   const shard = shardOf();
   const from = new ShardBook();
   from.set('e', shard.news);
--- a/tests/agent-doors.test.ts
+++ b/tests/agent-doors.test.ts
@@ -14,10 +14,11 @@
 
 const limit = 2_000_000;
 
-type Stand = Readonly<{
+/** One engine with the protocol client under test. */
+type EngineSetup = Readonly<{
   address: string;
   door: BackEndDoor;
-  /** Keeps a part; what is given back is the name under which the holder says so. */
+  /** Caches a part and returns the key under which the engine reports it. */
   keep: (part: string) => string;
   restart: () => void;
   weights: readonly [before: string, after: string];
@@ -25,7 +26,7 @@
   close: () => Promise<void>;
 }>;
 
-const own = async (): Promise<Stand> => {
+const openNative = async (): Promise<EngineSetup> => {
   const engine = new StandInEngine(
     {
       name: 'e',
@@ -63,7 +64,7 @@
   };
 };
 
-const platform = async (): Promise<Stand> => {
+const openPlatform = async (): Promise<EngineSetup> => {
   const engine = new PlatformEngine('e');
   const address = await engine.open();
   const door = new EngineDoor();
@@ -84,75 +85,81 @@
   };
 };
 
-const load = (stand: Stand, term: number): Directive => ({
+const load = (setup: EngineSetup, term: number): Directive => ({
   kind: 'loadWeights',
   term,
   steward: 'edge-1',
-  weights: stand.weights[1],
+  weights: setup.weights[1],
   drainMicroseconds: 0,
   model: 'm',
   engine: 'e',
 });
 
-/** Asks again until the engine says so; each ask is an answer on a real conn, and the limit is the test's own. */
-const until = async (stand: Stand, met: (status: EngineStatus) => boolean): Promise<EngineStatus> => {
+/** Polls the status over a real connection until it meets the condition; the time limit is that of the test. */
+const until = async (setup: EngineSetup, isMet: (status: EngineStatus) => boolean): Promise<EngineStatus> => {
   for (;;) {
-    const status = await stand.door.status(stand.address, limit);
-    if (status !== undefined && met(status)) return status;
+    const status = await setup.door.status(setup.address, limit);
+    if (status !== undefined && isMet(status)) return status;
   }
 };
 
 for (const [name, open] of [
-  ['own protocol', own],
-  ["users' platform", platform],
+  ['native protocol', openNative],
+  ["users' platform", openPlatform],
 ] as const)
-  describe(`the control side of an engine: ${name}`, () => {
-    const withStand = (sentence: string, act: (stand: Stand) => Promise<void>): void =>
-      void test(sentence, async () => {
-        const stand = await open();
+  describe(`the control protocol of an engine: ${name}`, () => {
+    const testWithEngine = (title: string, act: (setup: EngineSetup) => Promise<void>): void =>
+      void test(title, async () => {
+        const setup = await open();
         try {
-          await act(stand);
+          await act(setup);
         } finally {
-          await stand.close();
+          await setup.close();
         }
       });
 
-    withStand('its status tells its weights and that it takes work', async ({ door, address, weights }) => {
-      const status = await door.status(address, limit);
-      assert.equal(status?.weights, weights[0]);
-      assert.equal(status.accepting, true);
-      assert.ok(Number.isSafeInteger(status.inFlight));
-    });
+    testWithEngine(
+      'the status reports the weights and that the engine accepts requests',
+      async ({ door, address, weights }) => {
+        const status = await door.status(address, limit);
+        assert.equal(status?.weights, weights[0]);
+        assert.equal(status.accepting, true);
+        assert.ok(Number.isSafeInteger(status.inFlight));
+      },
+    );
 
-    withStand('events come in order after the one that was heard, with the boot they belong to', async (stand) => {
-      const { door, address } = stand;
-      const names = ['a1', 'a2', 'a3'].map(stand.keep);
-      const first = await door.events(address, 0, '', limit);
-      assert.ok(first !== undefined && first !== 'later');
-      assert.deepEqual(
-        first.events.map(({ key, kind }) => [key, kind]),
-        names.map((key) => [key, 'stored']),
-      );
-      assert.notEqual(first.bootEpoch, '');
-      const more = stand.keep('a4');
-      const second = await door.events(address, first.last, first.bootEpoch, limit);
-      assert.ok(second !== undefined && second !== 'later');
-      assert.deepEqual(
-        second.events.map(({ key }) => key),
-        [more],
-      );
-      assert.ok(second.events.every(({ sequence }) => sequence > first.last && sequence <= second.last));
-      const none = await door.events(address, second.last, first.bootEpoch, limit);
-      assert.ok(none !== undefined && none !== 'later');
-      assert.deepEqual([none.events, none.last], [[], second.last]);
-    });
+    testWithEngine(
+      'events after the last known one are returned in order, with the boot that they belong to',
+      async (setup) => {
+        const { door, address } = setup;
+        const names = ['a1', 'a2', 'a3'].map(setup.keep);
+        const first = await door.events(address, 0, '', limit);
+        assert.ok(first !== undefined && first !== 'later');
+        assert.deepEqual(
+          first.events.map(({ key, kind }) => [key, kind]),
+          names.map((key) => [key, 'stored']),
+        );
+        assert.notEqual(first.bootEpoch, '');
+        const more = setup.keep('a4');
+        const second = await door.events(address, first.last, first.bootEpoch, limit);
+        assert.ok(second !== undefined && second !== 'later');
+        assert.deepEqual(
+          second.events.map(({ key }) => key),
+          [more],
+        );
+        assert.ok(second.events.every(({ sequence }) => sequence > first.last && sequence <= second.last));
+        const none = await door.events(address, second.last, first.bootEpoch, limit);
+        assert.ok(none !== undefined && none !== 'later');
+        assert.deepEqual([none.events, none.last], [[], second.last]);
+      },
+    );
 
-    withStand('its list tells all it keeps, and goes on where its events do', async (stand) => {
-      const names = ['b1', 'b2'].map(stand.keep);
-      const list = await stand.door.list(stand.address, limit);
+    testWithEngine('the list contains all cached parts, and events continue after it', async (setup) => {
+      const names = ['b1', 'b2'].map(setup.keep);
+      const list = await setup.door.list(setup.address, limit);
       assert.deepEqual([...(list?.keys ?? [])].sort(), [...names].sort());
-      const more = stand.keep('b3');
-      const read = await stand.door.events(stand.address, list?.sequence ?? -1, list?.bootEpoch ?? '', limit);
+      const more = setup.keep('b3');
+      const read = await setup.door.events(setup.address, list?.sequence ?? -1, list?.bootEpoch ?? '', limit);
       assert.ok(read !== undefined && read !== 'later');
       assert.deepEqual(
         read.events.map(({ key }) => key),
@@ -161,34 +168,40 @@
       assert.equal(read.bootEpoch, list?.bootEpoch);
     });
 
-    withStand('a restart is another boot, and keeps nothing', async (stand) => {
-      stand.keep('c1');
-      const before = await stand.door.list(stand.address, limit);
-      stand.restart();
-      const after = await stand.door.list(stand.address, limit);
+    testWithEngine('a restart begins another boot with an empty cache', async (setup) => {
+      setup.keep('c1');
+      const before = await setup.door.list(setup.address, limit);
+      setup.restart();
+      const after = await setup.door.list(setup.address, limit);
       assert.ok(before !== undefined && after !== undefined);
       assert.notEqual(after.bootEpoch, before.bootEpoch);
       assert.deepEqual(after.keys, []);
     });
 
-    withStand('a directive is taken, given again does no more, and a lower term is refused', async (stand) => {
-      const first = await stand.door.directive(stand.address, load(stand, 7), limit);
-      assert.ok(first === 'done' || first === 'begun', first);
-      stand.finishLoad();
-      await until(stand, ({ weights, accepting, busy }) => weights === stand.weights[1] && accepting && busy !== true);
-      assert.equal(await stand.door.directive(stand.address, load(stand, 7), limit), 'done');
-      assert.equal(await stand.door.directive(stand.address, load(stand, 6), limit), 'oldTerm');
-    });
+    testWithEngine(
+      'a directive is accepted, has no effect when repeated, and is refused with a lower term',
+      async (setup) => {
+        const first = await setup.door.directive(setup.address, load(setup, 7), limit);
+        assert.ok(first === 'done' || first === 'begun', first);
+        setup.finishLoad();
+        await until(
+          setup,
+          ({ weights, accepting, busy }) => weights === setup.weights[1] && accepting && busy !== true,
+        );
+        assert.equal(await setup.door.directive(setup.address, load(setup, 7), limit), 'done');
+        assert.equal(await setup.door.directive(setup.address, load(setup, 6), limit), 'oldTerm');
+      },
+    );
 
-    withStand('who does not answer, or not at all, is undefined', async ({ door }) => {
+    testWithEngine('an engine that is silent or unreachable gives undefined', async ({ door }) => {
       const silent = net.createServer(() => undefined);
       await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', () => resolve()));
-      const there = `127.0.0.1:${(silent.address() as net.AddressInfo).port}`;
+      const silentAddress = `127.0.0.1:${(silent.address() as net.AddressInfo).port}`;
       const closed = net.createServer();
       await new Promise<void>((resolve) => closed.listen(0, '127.0.0.1', () => resolve()));
-      const gone = `127.0.0.1:${(closed.address() as net.AddressInfo).port}`;
+      const closedAddress = `127.0.0.1:${(closed.address() as net.AddressInfo).port}`;
       await new Promise<void>((resolve) => closed.close(() => resolve()));
-      for (const address of [there, gone]) {
+      for (const address of [silentAddress, closedAddress]) {
         assert.equal(await door.status(address, 50_000), undefined);
         assert.equal(await door.events(address, 0, '', 50_000, 10_000), undefined);
         assert.equal(await door.list(address, 50_000), undefined);
@@ -219,7 +232,7 @@
   }
 };
 
-test('platform: nonsense, cut answers and errors of an engine are no answer at all', async () => {
+test('platform: invalid, truncated and error responses of an engine count as no response', async () => {
   await withEngine(async (engine, door, address) => {
     for (const misdeed of ['garbage', 'wrongShape', 'cut', 'error', 'silent'] satisfies readonly Misdeed[]) {
       engine.misdeed = misdeed;
@@ -229,11 +242,11 @@
       assert.equal(await door.list(address, short), undefined, misdeed);
     }
     engine.misdeed = 'tooMany';
-    assert.equal(await door.events(address, 0, '', limit), 'later', 'it lives, and has no room for the call');
+    assert.equal(await door.events(address, 0, '', limit), 'later', 'the engine is alive but rejects the call');
   });
 });
 
-test('platform: an events call is held as long as it is said, and comes back with the first event', async () => {
+test('platform: a long poll for events waits for the given time and returns with the first event', async () => {
   await withEngine(async (engine, door, address) => {
     const held = door.events(address, 0, '', limit, 1_000_000);
     while (engine.heldFor.length === 0) await new Promise<void>((resolve) => setImmediate(resolve));
@@ -245,7 +258,7 @@
   });
 });
 
-test('platform: events that are no longer there are said to be lost, and sizes are told', async () => {
+test('platform: events that are no longer available are reported as lost, and sizes are reported', async () => {
   await withEngine(async (engine, door, address) => {
     for (const part of ['a', 'b', 'c', 'd', 'e']) engine.keep('s', part, 600);
     const read = await door.events(address, 1, '', limit);
@@ -258,7 +271,7 @@
   });
 });
 
-test('platform: an order says all that the page asks for, to the engine that is meant and no other', async () => {
+test('platform: an order has all fields of the API and reaches only the intended engine', async () => {
   await withEngine(async (engine, door, address) => {
     const directive: Directive = {
       kind: 'loadWeights',
@@ -288,14 +301,14 @@
   });
 });
 
-test('platform: one conn serves call after call', async () => {
+test('platform: one connection serves consecutive calls', async () => {
   await withEngine(async (engine, door, address) => {
     for (let turn = 0; turn < 5; turn += 1) await door.events(address, 0, '', limit);
     assert.equal(engine.conns, 1);
   });
 });
 
-test('platform: the list of engines, page by page, and what is no list', async () => {
+test('platform: the list of engines is read page by page, and invalid lists are rejected', async () => {
   const list = new PlatformList();
   const lister = new InstanceLister();
   const address = await list.open();
@@ -340,7 +353,7 @@
   await list.close();
 });
 
-test('the own protocol drains engines and is asked again and again; the platform does neither', () => {
+test('the native protocol drains engines and is polled; the platform protocol does neither', () => {
   assert.deepEqual(DoorTraits.usual, { drains: true, holdsEvents: false, derivedNames: false, storesHaveStatus: true });
   const door = new EngineDoor();
   assert.deepEqual([door.traits.drains, door.traits.holdsEvents, door.traits.derivedNames], [false, true, true]);
--- a/tests/agent-engine-list.test.ts
+++ b/tests/agent-engine-list.test.ts
@@ -17,29 +17,29 @@
   ...more,
 });
 
-type Desk = Readonly<{
-  keeper: EngineListKeeper;
+type ReaderSetup = Readonly<{
+  reader: EngineListKeeper;
   freshness: Freshness;
   world: World;
-  say: (...answers: readonly (ListPage | undefined)[]) => void;
+  setResponses: (...answers: readonly (ListPage | undefined)[]) => void;
   names: () => readonly string[];
-  hold: (term: number | undefined) => void;
-  pages: () => readonly (string | undefined)[];
+  setTerm: (term: number | undefined) => void;
+  requestedPages: () => readonly (string | undefined)[];
 }>;
 
-const desk = (freshness?: Freshness): Desk => {
+const setUp = (freshness?: Freshness): ReaderSetup => {
   const world = new World(1);
   const known = freshness ?? new Freshness(world.clock);
   let answers: (ListPage | undefined)[] = [];
   let term: number | undefined = 1;
-  const asked: (string | undefined)[] = [];
+  const requested: (string | undefined)[] = [];
   const lister: EngineLister = {
     page: (from) => {
-      asked.push(from);
+      requested.push(from);
       return Promise.resolve(answers.shift());
     },
   };
-  const keeper = new EngineListKeeper(
+  const reader = new EngineListKeeper(
     lister,
     known,
     () => term,
@@ -50,31 +50,31 @@
     () => undefined,
   );
   return {
-    keeper,
+    reader,
     freshness: known,
     world,
-    say: (...said) => {
-      answers = [...said];
+    setResponses: (...responses) => {
+      answers = [...responses];
     },
     names: () => Object.keys(known.engines?.engines ?? {}),
-    hold: (held) => {
+    setTerm: (held) => {
       term = held;
     },
-    pages: () => asked,
+    requestedPages: () => requested,
   };
 };
-const one = (...engines: readonly ListedEngine[]): ListPage => ({ engines, next: undefined });
+const lastPage = (...engines: readonly ListedEngine[]): ListPage => ({ engines, next: undefined });
 
-test('a read becomes the key engines, with what the list says of each', async () => {
-  const { keeper, freshness, say, world } = desk();
-  say(
-    one(
+test('a read is published as the key engines, with all fields of the list', async () => {
+  const { reader, freshness, setResponses, world } = setUp();
+  setResponses(
+    lastPage(
       engine('a', 1),
       engine('b', 2, { state: 'draining' }),
       engine('c', 3, { service: 'slips', weights: {}, capacity: 0 }),
     ),
   );
-  await keeper.read();
+  await reader.read();
   const engines = freshness.engines?.engines;
   assert.deepEqual(engines?.['a'], {
     kind: 'engine',
@@ -89,151 +89,157 @@
   assert.equal(engines?.['c']?.kind, 'app');
   assert.equal(freshness.revision('engines'), 2 ** 20 + 1);
   await world.runFor(3_000_000);
-  say(
-    one(
+  setResponses(
+    lastPage(
       engine('a', 1),
       engine('b', 2, { state: 'draining' }),
       engine('c', 3, { service: 'slips', weights: {}, capacity: 0 }),
     ),
   );
-  await keeper.read();
-  assert.equal(freshness.revision('engines'), 2 ** 20 + 1, 'the same list is the same revision');
-  assert.equal(freshness.statements().find(({ key }) => key === 'engines')?.ageMicroseconds, 0, 'and is young again');
+  await reader.read();
+  assert.equal(freshness.revision('engines'), 2 ** 20 + 1, 'an unchanged list keeps its revision');
+  assert.equal(freshness.statements().find(({ key }) => key === 'engines')?.ageMicroseconds, 0, 'and its age restarts');
 });
 
-test('no sound answer says nothing: the list before stands and gets older', async () => {
-  const { keeper, freshness, say, world, names } = desk();
-  say(one(engine('a', 1)));
-  await keeper.read();
+test('an invalid response is ignored: the previous list stays in use and its age grows', async () => {
+  const { reader, freshness, setResponses, world, names } = setUp();
+  setResponses(lastPage(engine('a', 1)));
+  await reader.read();
   await world.runFor(1_000_000);
-  say(undefined);
-  await keeper.read();
-  say({ engines: [engine('b', 2)], next: 'p' }, undefined);
-  await keeper.read();
-  say(one(engine('a', 1), engine('bad name with spaces', 2)));
-  await keeper.read();
+  setResponses(undefined);
+  await reader.read();
+  setResponses({ engines: [engine('b', 2)], next: 'p' }, undefined);
+  await reader.read();
+  setResponses(lastPage(engine('a', 1), engine('bad name with spaces', 2)));
+  await reader.read();
   assert.deepEqual(names(), ['a']);
   assert.equal(freshness.statements().find(({ key }) => key === 'engines')?.ageMicroseconds, 1_000_000);
 });
 
-test('a list with nothing on it is believed only when it is said again and again', async () => {
-  const { keeper, say, names, world } = desk();
-  say(one(engine('a', 1)));
-  await keeper.read();
+test('an empty list is accepted only after several consecutive reads', async () => {
+  const { reader, setResponses, names, world } = setUp();
+  setResponses(lastPage(engine('a', 1)));
+  await reader.read();
   for (let turn = 0; turn < EngineListDefaults.emptyReads - 1; turn += 1) {
     await world.runFor(600_000);
-    say(one());
-    await keeper.read();
+    setResponses(lastPage());
+    await reader.read();
     assert.deepEqual(names(), ['a']);
   }
   await world.runFor(600_000);
-  say(one());
-  await keeper.read();
+  setResponses(lastPage());
+  await reader.read();
   assert.deepEqual(names(), []);
 });
 
-test('pages are followed to the last one, and one that leads nowhere new ends the read', async () => {
-  const { keeper, say, names, pages } = desk();
-  say({ engines: [engine('a', 1)], next: 'p1' }, { engines: [engine('b', 2)], next: 'p2' }, one(engine('c', 3)));
-  await keeper.read();
+test('all pages are read, and a page that points to itself ends the read', async () => {
+  const { reader, setResponses, names, requestedPages } = setUp();
+  setResponses(
+    { engines: [engine('a', 1)], next: 'p1' },
+    { engines: [engine('b', 2)], next: 'p2' },
+    lastPage(engine('c', 3)),
+  );
+  await reader.read();
   assert.deepEqual(names(), ['a', 'b', 'c']);
-  assert.deepEqual(pages(), [undefined, 'p1', 'p2']);
-  say({ engines: [engine('d', 4)], next: 'p1' }, { engines: [], next: 'p1' });
-  await keeper.read();
+  assert.deepEqual(requestedPages(), [undefined, 'p1', 'p2']);
+  setResponses({ engines: [engine('d', 4)], next: 'p1' }, { engines: [], next: 'p1' });
+  await reader.read();
   assert.deepEqual(names(), ['a', 'b', 'c']);
-  say(...Array.from({ length: 9 }, (_, index) => ({ engines: [engine('e', 5)], next: `q${index}` })));
-  await keeper.read();
-  assert.deepEqual(names(), ['a', 'b', 'c'], 'a list without an end is none');
+  setResponses(...Array.from({ length: 9 }, (_, index) => ({ engines: [engine('e', 5)], next: `q${index}` })));
+  await reader.read();
+  assert.deepEqual(names(), ['a', 'b', 'c'], 'a list with too many pages is rejected');
 });
 
-test('an answer may show an earlier moment: who was just there is not gone, who has gone does not come back', async () => {
-  const { keeper, say, names, world } = desk();
-  const hear = async (...engines: readonly ListedEngine[]): Promise<readonly string[]> => {
+test('an outdated response neither ends an engine that was just listed nor revives an ended one', async () => {
+  const { reader, setResponses, names, world } = setUp();
+  const readListing = async (...engines: readonly ListedEngine[]): Promise<readonly string[]> => {
     await world.runFor(500_000);
-    say(one(...engines));
-    await keeper.read();
+    setResponses(lastPage(...engines));
+    await reader.read();
     return names();
   };
   const [a, b, c] = [engine('a', 1), engine('b', 2), engine('c', 3)];
-  assert.deepEqual(await hear(a, b), ['a', 'b']);
-  assert.deepEqual(await hear(a), ['a', 'b'], 'perhaps it slipped from one page to another');
-  assert.deepEqual(await hear(a), ['a'], 'longer than the list can be behind: it is gone');
-  assert.deepEqual(await hear(a, b, c), ['a', 'c'], 'and is one life, that is over');
-  assert.deepEqual(await hear(a), ['a', 'c'], 'from before c came up');
-  assert.deepEqual(await hear(a, c), ['a', 'c']);
+  assert.deepEqual(await readListing(a, b), ['a', 'b']);
+  assert.deepEqual(await readListing(a), ['a', 'b'], 'the entry may have moved between pages');
+  assert.deepEqual(await readListing(a), ['a'], 'missing for longer than the lag of the list: it has ended');
+  assert.deepEqual(await readListing(a, b, c), ['a', 'c'], 'an ended name does not come back');
+  assert.deepEqual(await readListing(a), ['a', 'c'], 'a response from before the start of c');
+  assert.deepEqual(await readListing(a, c), ['a', 'c']);
 });
 
-test('an engine listed without its models is no app where its service has engines', async () => {
-  const { keeper, say, freshness, world } = desk();
-  say(one(engine('a', 1), engine('b', 2, { weights: {} }), engine('c', 3, { service: 'slips', weights: {} })));
-  await keeper.read();
+test('an engine listed without its models is not an app if its service has engines', async () => {
+  const { reader, setResponses, freshness, world } = setUp();
+  setResponses(
+    lastPage(engine('a', 1), engine('b', 2, { weights: {} }), engine('c', 3, { service: 'slips', weights: {} })),
+  );
+  await reader.read();
   const kinds = (): unknown => Object.values(freshness.engines?.engines ?? {}).map(({ kind }) => kind);
   assert.deepEqual(kinds(), ['engine', 'engine', 'app']);
   await world.runFor(500_000);
-  say(one(engine('a', 1, { weights: {} }), engine('c', 3, { service: 'slips', weights: {} })));
-  await keeper.read();
-  assert.deepEqual(kinds(), ['engine', 'engine', 'app'], 'also when all of them have just started again');
+  setResponses(lastPage(engine('a', 1, { weights: {} }), engine('c', 3, { service: 'slips', weights: {} })));
+  await reader.read();
+  assert.deepEqual(kinds(), ['engine', 'engine', 'app'], 'also when all of them have just restarted');
 });
 
-test('who leaves does not stay after all', async () => {
-  const { keeper, say, freshness, world } = desk();
+test('a draining engine does not become ready again', async () => {
+  const { reader, setResponses, freshness, world } = setUp();
   for (const state of ['ready', 'draining', 'ready'] as const) {
     await world.runFor(500_000);
-    say(one(engine('a', 1, { state })));
-    await keeper.read();
+    setResponses(lastPage(engine('a', 1, { state })));
+    await reader.read();
   }
   assert.equal(freshness.engines?.engines['a']?.state, 'draining');
 });
 
-test('of two engines at one address the one that came up later is meant, and the other is over', async () => {
-  const { keeper, say, names, world } = desk();
-  const hear = async (...engines: readonly ListedEngine[]): Promise<readonly string[]> => {
+test('of two engines at one address the later one is used, and the other has ended', async () => {
+  const { reader, setResponses, names, world } = setUp();
+  const readListing = async (...engines: readonly ListedEngine[]): Promise<readonly string[]> => {
     await world.runFor(500_000);
-    say(one(...engines));
-    await keeper.read();
+    setResponses(lastPage(...engines));
+    await reader.read();
     return names();
   };
   const [before, after] = [engine('old', 1), engine('new', 1)];
-  assert.deepEqual(await hear(before), ['old']);
-  assert.deepEqual(await hear(before, after), ['new']);
-  assert.deepEqual(await hear(after, before), ['new'], 'in whatever order they are listed');
-  assert.deepEqual(await hear(before), ['new'], 'an answer from before it came up');
-  assert.deepEqual(await hear(before, after), ['new']);
+  assert.deepEqual(await readListing(before), ['old']);
+  assert.deepEqual(await readListing(before, after), ['new']);
+  assert.deepEqual(await readListing(after, before), ['new'], 'in any order of the list');
+  assert.deepEqual(await readListing(before), ['new'], 'a response from before its start');
+  assert.deepEqual(await readListing(before, after), ['new']);
 });
 
-test('of two engines at one address that come up in one answer the colder one is meant', async () => {
-  const { keeper, say, names } = desk();
-  say(one(engine('x', 1, { coldMicroseconds: 2_000_000 }), engine('y', 1)));
-  await keeper.read();
+test('of two engines at one address that appear in the same response the colder one is used', async () => {
+  const { reader, setResponses, names } = setUp();
+  setResponses(lastPage(engine('x', 1, { coldMicroseconds: 2_000_000 }), engine('y', 1)));
+  await reader.read();
   assert.deepEqual(names(), ['x']);
 });
 
-test('a new reader knows what the fleet knew: of two at one address the one it had not heard of is the later', async () => {
-  const first = desk();
-  first.say(one(engine('old', 1)));
-  await first.keeper.read();
-  const second = desk(first.freshness);
-  second.hold(2);
-  second.say(one(engine('new', 1), engine('old', 1)));
-  await second.keeper.read();
+test('a new reader starts from the known list: of two engines at one address the unknown one is the later', async () => {
+  const first = setUp();
+  first.setResponses(lastPage(engine('old', 1)));
+  await first.reader.read();
+  const second = setUp(first.freshness);
+  second.setTerm(2);
+  second.setResponses(lastPage(engine('new', 1), engine('old', 1)));
+  await second.reader.read();
   assert.deepEqual(second.names(), ['new']);
 });
 
-test('who does not hold the duty does not call, and what comes after its end is dropped', async () => {
-  const { keeper, say, names, hold, pages, freshness } = desk();
-  hold(undefined);
-  say(one(engine('a', 1)));
-  await keeper.read();
-  assert.equal(pages().length, 0);
-  hold(1);
-  await keeper.read();
+test('an agent without the lease makes no calls, and a response after the end of the lease is dropped', async () => {
+  const { reader, setResponses, names, setTerm, requestedPages, freshness } = setUp();
+  setTerm(undefined);
+  setResponses(lastPage(engine('a', 1)));
+  await reader.read();
+  assert.equal(requestedPages().length, 0);
+  setTerm(1);
+  await reader.read();
   assert.deepEqual(names(), ['a']);
   let term: number | undefined = 1;
   const slow = new EngineListKeeper(
     {
       page: () => {
         term = undefined;
-        return Promise.resolve(one(engine('b', 2)));
+        return Promise.resolve(lastPage(engine('b', 2)));
       },
     },
     freshness,
@@ -248,82 +254,82 @@
   assert.deepEqual(names(), ['a']);
 });
 
-test('a later term goes before all that an earlier one said, also where that never came here', async () => {
-  const first = desk();
+test('revisions of a later term exceed all of an earlier term, also those that never arrived here', async () => {
+  const first = setUp();
   for (const number of [1, 2, 3, 4, 5]) {
-    first.say(one(engine(`e${number}`, number)));
-    await first.keeper.read();
+    first.setResponses(lastPage(engine(`e${number}`, number)));
+    await first.reader.read();
   }
-  const elsewhere = first.freshness.revision('engines');
-  const { keeper, say, hold, freshness } = desk();
-  say(one(engine('e1', 1)));
-  await keeper.read();
-  hold(2);
-  say(one(engine('e1', 1)));
-  await keeper.read();
-  assert.ok(freshness.revision('engines') > elsewhere, 'though the text is the same');
+  const otherRevision = first.freshness.revision('engines');
+  const { reader, setResponses, setTerm, freshness } = setUp();
+  setResponses(lastPage(engine('e1', 1)));
+  await reader.read();
+  setTerm(2);
+  setResponses(lastPage(engine('e1', 1)));
+  await reader.read();
+  assert.ok(freshness.revision('engines') > otherRevision, 'although the text is the same');
 });
 
-const known = (fleet: HeldFleet): readonly (readonly string[])[] =>
+const knownEngines = (fleet: HeldFleet): readonly (readonly string[])[] =>
   fleet.agents.flatMap(({ process, agent }) =>
     process.alive ? [Object.keys(agent.freshness.engines?.engines ?? {})] : [],
   );
 
-test('in a fleet: one agent reads, all know within a second and a half, and a change of hands sends nobody back', async () => {
+test('in a fleet one agent reads, all know a change within 1.5 s, and no agent reverts when the lease holder changes', async () => {
   for (const seed of [1, 2, 3]) {
     const fleet = new HeldFleet(new World(seed), 5);
     const names = fleet.addEngines(3);
     await fleet.start();
     const { world, engines } = fleet;
-    assert.ok(await world.runUntil(() => known(fleet).every((all) => all.length === 3), 12_000_000));
+    assert.ok(await world.runUntil(() => knownEngines(fleet).every((all) => all.length === 3), 12_000_000));
     assert.ok(await world.runUntil(() => fleet.settled(names), 12_000_000));
     const revisions = new Map<string, number>();
-    const neverBack = (): void => {
+    const assertNoRevert = (): void => {
       for (const { name, process, agent } of fleet.agents) {
         if (!process.alive) continue;
         const revision = agent.freshness.revision('engines');
-        assert.ok(revision >= (revisions.get(name) ?? 0), `${name} went back`);
+        assert.ok(revision >= (revisions.get(name) ?? 0), `${name} reverted to a lower revision`);
         revisions.set(name, revision);
       }
     };
     engines.get('engine-2').state = 'draining';
-    const told = await world.runUntil(
+    const allKnow = await world.runUntil(
       () => fleet.agents.every(({ agent }) => agent.freshness.engines?.engines['engine-2']?.state === 'draining'),
       1_500_000,
     );
-    assert.ok(told, `seed ${seed}`);
+    assert.ok(allKnow, `seed ${seed}`);
     for (let turn = 0; turn < 3; turn += 1) {
       const lister = fleet.lister();
       assert.ok(lister !== undefined);
-      // Frozen in the middle of it all: it must not speak when it wakes.
+      // The lease holder is frozen while it reads, and must not publish after it resumes.
       lister.process.freeze();
       engines.add(`more-${turn}`, `10.3.1.${turn + 1}`, 'w1');
       for (let step = 0; step < 50; step += 1) {
         await world.runFor(100_000);
-        neverBack();
+        assertNoRevert();
       }
       lister.process.thaw();
       await world.runFor(1_000_000);
-      neverBack();
+      assertNoRevert();
       assert.ok(
-        known(fleet).every((all) => all.includes(`more-${turn}`)),
+        knownEngines(fleet).every((all) => all.includes(`more-${turn}`)),
         `seed ${seed}, turn ${turn}`,
       );
     }
     const before = engines.pageCalls.length;
     await world.runFor(4_000_000);
-    assert.equal(new Set(engines.pageCalls.slice(before).map(({ agent }) => agent)).size, 1, 'one reads, no other');
-    assert.ok(names.every((name) => known(fleet)[0]?.includes(name)));
+    assert.equal(new Set(engines.pageCalls.slice(before).map(({ agent }) => agent)).size, 1, 'only one agent reads');
+    assert.ok(names.every((name) => knownEngines(fleet)[0]?.includes(name)));
   }
 });
 
-test('when the list is away, engines go on being used', async () => {
+test('engines stay in use while the list service is unavailable', async () => {
   const fleet = new HeldFleet(new World(5), 3);
   fleet.addEngines(2);
   await fleet.start();
-  assert.ok(await fleet.world.runUntil(() => known(fleet).every((all) => all.length === 2), 12_000_000));
+  assert.ok(await fleet.world.runUntil(() => knownEngines(fleet).every((all) => all.length === 2), 12_000_000));
   fleet.engines.listAnswer = () => undefined;
   await fleet.world.runFor(20_000_000);
-  assert.ok(known(fleet).every((all) => all.length === 2));
+  assert.ok(knownEngines(fleet).every((all) => all.length === 2));
   assert.ok(fleet.stewardOf('engine-1') !== undefined);
 });
--- a/tests/agents-few.test.ts
+++ b/tests/agents-few.test.ts
@@ -16,14 +16,14 @@
 const noLoad: ProxyLoad = { engines: {}, classes: {}, waiting: {}, tenants: {} };
 const feeder = (name: string, zone: string): Feeder => ({ name, zone, address: `${name}:1` });
 
-describe('which agent feeds a proxy', () => {
+describe('selection of the agent that supplies a proxy', () => {
   const setUp = (known: readonly Feeder[]) => {
     const clock = handClock();
     const feeders = new Feeders({ name: 'p', zone: 'a', agentAddress: 'p:1' }, clock, () => known);
     return { clock, feeders };
   };
 
-  test('its own, then those of its zone, then others; a silent one is left alone for a while', () => {
+  test('the agent of the same machine first, then those of the zone, then others; a silent one is skipped for a while', () => {
     const { clock, feeders } = setUp([feeder('far', 'b'), feeder('near', 'a')]);
     assert.deepEqual(feeders.targets(false), ['p:1']);
     feeders.unheard('p:1');
@@ -32,25 +32,33 @@
     assert.equal(feeders.address, 'near:1');
     assert.equal(feeders.agent, 'near');
     clock.now += 600_000;
-    assert.deepEqual(feeders.targets(false), ['p:1', 'near:1'], 'the own one is tried again, and nothing is missed');
+    assert.deepEqual(
+      feeders.targets(false),
+      ['p:1', 'near:1'],
+      'the agent of the same machine is retried, and the current one is asked as well',
+    );
     feeders.unheard('p:1');
     feeders.unheard('near:1');
     assert.deepEqual(feeders.targets(false), ['far:1']);
     feeders.heard('far:1');
     clock.now += 700_000;
-    assert.deepEqual(feeders.targets(false), ['near:1', 'far:1'], 'the own one waits longer each time');
+    assert.deepEqual(
+      feeders.targets(false),
+      ['near:1', 'far:1'],
+      'the agent of the same machine is skipped longer each time',
+    );
     feeders.heard('near:1');
-    assert.equal(feeders.address, 'near:1', 'the nearer one again');
+    assert.equal(feeders.address, 'near:1', 'back to the nearer one');
     clock.now += 10_000_000;
     feeders.heard('p:1');
     assert.equal(feeders.address, 'p:1');
     feeders.heard('near:1');
-    assert.equal(feeders.address, 'p:1', 'a later one in line takes nothing over');
+    assert.equal(feeders.address, 'p:1', 'an agent of lower preference does not take over');
   });
 
-  test('where all are silent the one that was left alone longest is asked, and first contacts are needed', () => {
+  test('if all agents are silent, the one skipped longest is asked, and seeds are needed', () => {
     const { clock, feeders } = setUp([feeder('near', 'a')]);
-    assert.ok(feeders.isLost, 'nobody has been heard yet');
+    assert.ok(feeders.isLost, 'no agent has answered yet');
     feeders.heard('p:1');
     assert.ok(!feeders.isLost);
     feeders.unheard('p:1');
@@ -60,12 +68,12 @@
     assert.deepEqual(feeders.targets(false), ['p:1']);
   });
 
-  test('another one is asked beside it where what it knows is old', () => {
+  test('a second agent is asked in parallel if the data of the first is old', () => {
     const { feeders } = setUp([feeder('near', 'a')]);
     assert.deepEqual(feeders.targets(true), ['p:1', 'near:1']);
   });
 
-  test('the proxies of a zone spread over its agents', () => {
+  test('the proxies of a zone are distributed over its agents', () => {
     const known = ['x', 'y', 'z'].map((name) => feeder(name, 'a'));
     const chosen = Array.from({ length: 60 }, (_, number) => {
       const feeders = new Feeders({ name: `p${number}`, zone: 'a', agentAddress: 'none:1' }, handClock(), () => known);
@@ -78,12 +86,12 @@
     }
   });
 
-  test('one seed after the other is asked, and two that agree name the fleet', () => {
+  test('seeds are asked one after another, and two that agree determine the fleet', () => {
     const clock = handClock();
     const fleet = new FleetName();
     const contacts = new SeedContacts(clock, fleet, { seeds: ['s1', 's2', 's3'], isOnlyFleet: false });
     const first = contacts.next();
-    assert.equal(contacts.next(), undefined, 'not at once again');
+    assert.equal(contacts.next(), undefined, 'not again at once');
     clock.now += 200_000;
     assert.notEqual(contacts.next(), first);
     contacts.heard('s1', 'f');
@@ -98,7 +106,7 @@
   });
 });
 
-describe('what is said of a proxy', () => {
+describe('gossip entries of a proxy', () => {
   const setUp = () => {
     const clock = handClock();
     const proxyBook = new FactBook();
@@ -112,7 +120,7 @@
     );
     const agentOf = (name: string) => {
       const facts = new FactBook();
-      return { facts, fed: new FedProxies(facts, clock, { name, forgetMicroseconds: 60_000_000 }, () => true) };
+      return { facts, followers: new FedProxies(facts, clock, { name, forgetMicroseconds: 60_000_000 }, () => true) };
     };
     return { clock, proxyBook, agents, proxy, a1: agentOf('a1'), a2: agentOf('a2') };
   };
@@ -121,83 +129,83 @@
     for (const fact of from.withPrefix('')) to.put(fact);
   };
 
-  test('an agent calls a proxy silent that it no longer hears, and the proxy refutes it', () => {
+  test('an agent marks a proxy without requests as silent, and the proxy refutes it', () => {
     const { clock, proxyBook, proxy, a1 } = setUp();
     proxy.sayLoad({ ...noLoad, engines: { e1: 2 } });
-    a1.fed.hear('p', proxy.own());
+    a1.followers.hear('p', proxy.own());
     assert.deepEqual(loadIn(a1.facts)?.engines, { e1: 2 });
     clock.now += 1_400_000;
-    a1.fed.review();
+    a1.followers.review();
     assert.equal(loadIn(a1.facts)?.isSilent, undefined);
     clock.now += 200_000;
-    a1.fed.review();
+    a1.followers.review();
     assert.equal(loadIn(a1.facts)?.isSilent, true);
     assert.deepEqual(loadIn(a1.facts)?.engines, {});
     copy(a1.facts, proxyBook);
     proxy.sayLoad({ ...noLoad, engines: { e1: 2 } });
-    a1.fed.hear('p', proxy.own());
+    a1.followers.hear('p', proxy.own());
     assert.equal(loadIn(a1.facts)?.isSilent, undefined);
     assert.deepEqual(loadIn(a1.facts)?.engines, { e1: 2 });
   });
 
-  test('a proxy that went to another agent is not called silent by the one before', () => {
+  test('a proxy that moved to another agent is not marked silent by the previous one', () => {
     const { clock, agents, proxy, a1, a2 } = setUp();
     proxy.sayLoad(noLoad);
-    a1.fed.hear('p', proxy.own());
+    a1.followers.hear('p', proxy.own());
     agents.name = 'a2';
     proxy.sayLoad(noLoad);
-    a2.fed.hear('p', proxy.own());
+    a2.followers.hear('p', proxy.own());
     copy(a2.facts, a1.facts);
     clock.now += 5_000_000;
-    a1.fed.review();
+    a1.followers.review();
     assert.equal(loadIn(a1.facts)?.isSilent, undefined);
-    a2.fed.review();
-    assert.equal(loadIn(a2.facts)?.isSilent, true, 'the later one looks after it');
+    a2.followers.review();
+    assert.equal(loadIn(a2.facts)?.isSilent, true, 'the later agent is responsible for it');
   });
 
-  test('a proxy that began anew goes on above what its earlier life said', () => {
+  test('a restarted proxy continues with versions above those of its previous run', () => {
     const { clock, proxyBook, proxy, a1 } = setUp();
     for (let count = 1; count <= 5; count += 1) {
       clock.now += 1_000_000;
       proxy.sayLoad({ ...noLoad, engines: { e1: count } });
     }
-    a1.fed.hear('p', proxy.own());
-    const again = new FactBook();
-    const second = new ProxyFacts(
+    a1.followers.hear('p', proxy.own());
+    const restartedBook = new FactBook();
+    const restarted = new ProxyFacts(
       'p',
-      again,
+      restartedBook,
       clock,
       () => 1,
       () => 'a1',
     );
-    second.sayLoad(noLoad);
-    a1.fed.hear('p', second.own());
+    restarted.sayLoad(noLoad);
+    a1.followers.hear('p', restarted.own());
     assert.deepEqual(loadIn(a1.facts)?.engines, { e1: 5 }, 'an older version does not count');
-    copy(a1.facts, again);
-    second.sayLoad(noLoad);
-    a1.fed.hear('p', second.own());
+    copy(a1.facts, restartedBook);
+    restarted.sayLoad(noLoad);
+    a1.followers.hear('p', restarted.own());
     assert.deepEqual(loadIn(a1.facts)?.engines, {});
     assert.ok(proxyBook.size > 0);
   });
 
-  test('what is said of one that is long gone is forgotten, and a proxy speaks for itself only', () => {
+  test('the entries of a proxy long gone are removed, and a proxy can only write its own entries', () => {
     const { clock, proxy, a1 } = setUp();
     proxy.sayLoad(noLoad);
-    a1.fed.hear('p', proxy.own());
-    a1.fed.hear('p', [{ key: FactKeys.load('q'), version: [9, 9], value: {} }]);
+    a1.followers.hear('p', proxy.own());
+    a1.followers.hear('p', [{ key: FactKeys.load('q'), version: [9, 9], value: {} }]);
     assert.equal(a1.facts.get(FactKeys.load('q')), undefined);
     clock.now += 2_000_000;
-    a1.fed.review();
-    a1.fed.review();
+    a1.followers.review();
+    a1.followers.review();
     clock.now += 59_000_000;
-    a1.fed.review();
+    a1.followers.review();
     assert.ok(loadIn(a1.facts) !== undefined);
     clock.now += 2_000_000;
-    a1.fed.review();
+    a1.followers.review();
     assert.equal(loadIn(a1.facts), undefined);
   });
 
-  test('in a large fleet a load stands for a while', () => {
+  test('in a large fleet a load is updated less often', () => {
     const clock = handClock();
     const book = new FactBook();
     const proxy = new ProxyFacts(
@@ -217,9 +225,9 @@
   });
 });
 
-const few = { edges: 8, agents: 3 };
+const fewAgents = { edges: 8, agents: 3 };
 
-const started = (seed: number): Promise<FedFleet> => startedFleet(seed, few, Infinity);
+const started = (seed: number): Promise<FedFleet> => startedFleet(seed, fewAgents, Infinity);
 const callAll = async (world: World, fleet: SimFleet): Promise<void> => {
   const calls = fleet.edges.map((edge) =>
     fleet.callers.call(fleet.handle(edge), SimKinds.short, 'open1', 'key-open1-a'),
@@ -227,21 +235,21 @@
   assert.ok(await world.runUntil(() => calls.every(({ over }) => over), 30_000_000));
   for (const call of calls) assert.equal(call.status, 200, call.nonce);
 };
-const isFed = ({ proxy }: SimEdge): boolean => proxy.freshness.ageMicroseconds() < 900_000;
+const isSupplied = ({ proxy }: SimEdge): boolean => proxy.freshness.ageMicroseconds() < 900_000;
 
-describe('a fleet with an agent on few of its machines', () => {
-  test('every proxy is fed, counted by all, and serves', async () => {
+describe('a fleet with agents on few of its machines', () => {
+  test('every proxy is supplied, counted by all, and serves requests', async () => {
     const { world, fleet } = await started(5);
     for (const { name, proxy } of fleet.edges) {
       assert.ok(proxy.fresh(), name);
-      assert.equal(proxy.daemons(), few.edges, `${name} counts all proxies`);
+      assert.equal(proxy.daemons(), fewAgents.edges, `${name} counts all proxies`);
     }
     await callAll(world, fleet);
     assert.deepEqual(judgeAll(fleet).broken, []);
   });
 
   for (const how of ['killed', 'frozen'] as const)
-    test(`an agent that is ${how}: its proxies are fed by another within a second`, async () => {
+    test(`an agent that is ${how}: its proxies are supplied by another one within a second`, async () => {
       const { world, fleet } = await started(6);
       const { agentProcess } = fleet.edge(0);
       if (how === 'killed') agentProcess.kill();
@@ -257,29 +265,29 @@
       assert.deepEqual(judgeAll(fleet).broken, []);
     });
 
-  test('a proxy that starts anew, and a new one, find an agent through the seeds', async () => {
+  test('a restarted proxy and a new one find an agent through the seeds', async () => {
     const { world, fleet } = await started(7);
     const edge = fleet.edge(6);
     edge.proxyProcess.kill();
     fleet.startProxy(edge);
     assert.ok(await world.runUntil(() => edge.proxy.fresh() && edge.proxy.ready(), 1_500_000));
     await world.runFor(1_000_000);
-    assert.equal(edge.proxy.daemons(), few.edges);
+    assert.equal(edge.proxy.daemons(), fewAgents.edges);
     await callAll(world, fleet);
   });
 
-  test('all agents lost at once: their proxies are fed again once agents are back', async () => {
+  test('after the loss of all agents at once, proxies are supplied again when agents are back', async () => {
     const { world, fleet } = await started(8);
     for (const edge of fleet.edges) edge.agentProcess.kill();
     await world.runFor(4_000_000);
     for (const edge of fleet.edges) fleet.startAgent(edge);
-    assert.ok(await world.runUntil(() => fleet.edges.every(isFed), 4_000_000));
+    assert.ok(await world.runUntil(() => fleet.edges.every(isSupplied), 4_000_000));
     await world.runFor(1_500_000);
     await callAll(world, fleet);
     assert.deepEqual(judgeAll(fleet).broken, []);
   });
 
-  test('a proxy that is gone is no longer counted as there', async () => {
+  test('a proxy that is gone is no longer counted as present', async () => {
     const { world, fleet } = await started(9);
     const [gone, agents] = [fleet.edge(7), fleet.edges.filter((edge) => fleet.hasAgent(edge))];
     gone.proxyProcess.kill();
--- a/tests/list-rate.test.ts
+++ b/tests/list-rate.test.ts
@@ -19,11 +19,11 @@
 });
 
 /** The most calls in any window of a second. */
-const mostInASecond = (calls: readonly number[]): number =>
+const maxCallsPerSecond = (calls: readonly number[]): number =>
   Math.max(0, ...calls.map((first) => calls.filter((at) => at >= first && at < first + 1_000_000).length));
 
-/** A list of so many pages with one engine each, and a keeper that reads it again and again. */
-const reading = (
+/** A list with this many pages of one engine each, and a reader that reads it repeatedly. */
+const setUpReader = (
   callsPerSecond: number,
   pages: number,
   term: number | undefined,
@@ -31,23 +31,23 @@
   world: World;
   calls: number[];
   freshness: Freshness;
-  keeper: EngineListKeeper;
-  say: (answer: 'overRate' | undefined) => void;
+  reader: EngineListKeeper;
+  setResponse: (answer: 'overRate' | undefined) => void;
   run: (microseconds: number) => Promise<void>;
 }> => {
   const world = new World(1);
   const calls: number[] = [];
-  let said: 'overRate' | undefined;
+  let rejection: 'overRate' | undefined;
   const lister: EngineLister = {
     page: (from) => {
       calls.push(world.nowMicroseconds);
       const page = Number(from ?? 1);
       const next = page < pages ? String(page + 1) : undefined;
-      return Promise.resolve(said ?? { engines: [engine(page)], next });
+      return Promise.resolve(rejection ?? { engines: [engine(page)], next });
     },
   };
   const freshness = new Freshness(world.clock, undefined, 'listed');
-  const keeper = new EngineListKeeper(
+  const reader = new EngineListKeeper(
     lister,
     freshness,
     () => term,
@@ -57,34 +57,37 @@
     () => 3,
     () => undefined,
   );
-  const again = (): void => void keeper.read().then(() => world.plan(500_000, again));
+  const repeatRead = (): void => void reader.read().then(() => world.plan(500_000, repeatRead));
   return {
     world,
     calls,
     freshness,
-    keeper,
-    say: (answer) => {
-      said = answer;
+    reader,
+    setResponse: (answer) => {
+      rejection = answer;
     },
     run: async (microseconds) => {
-      if (calls.length === 0) again();
+      if (calls.length === 0) repeatRead();
       await world.runFor(microseconds);
     },
   };
 };
 
-describe('the rate of the list of engines', () => {
-  test('its holder stays under half of the rate, each page counted, and reads all of it all the same', async () => {
+describe('the call rate to the list of engines', () => {
+  test('the lease holder stays below half of the rate, counting each page, and still reads the whole list', async () => {
     for (const [rate, pages] of [
       [1, 1],
       [1, 4],
       [5, 3],
       [20, 30],
     ] as const) {
-      const { calls, freshness, run } = reading(rate, pages, 1);
+      const { calls, freshness, run } = setUpReader(rate, pages, 1);
       await run(60_000_000);
       assert.ok(calls.length <= rate * 0.5 * 60 + 1, `${calls.length} calls in a minute at ${rate} a second`);
-      assert.ok(mostInASecond(calls) <= Math.max(1, rate * 0.65), `${mostInASecond(calls)} of ${rate} in a second`);
+      assert.ok(
+        maxCallsPerSecond(calls) <= Math.max(1, rate * 0.65),
+        `${maxCallsPerSecond(calls)} of ${rate} in a second`,
+      );
       assert.ok(
         calls.length >= Math.min(rate * 0.45, 2 * pages * 0.9) * 60 - 2,
         `${calls.length} at ${rate}, ${pages}`,
@@ -93,34 +96,34 @@
     }
   });
 
-  test('at 47 a second a list of a few pages is read as often as without any rate', async () => {
+  test('at 47 calls per second a list of a few pages is read as often as without a limit', async () => {
     for (const pages of [1, 3, 5]) {
-      const [bounded, free] = [reading(47, pages, 1), reading(Infinity, pages, 1)];
+      const [bounded, free] = [setUpReader(47, pages, 1), setUpReader(Infinity, pages, 1)];
       await bounded.run(20_000_000);
       await free.run(20_000_000);
       assert.deepEqual(bounded.calls, free.calls, `${pages} pages`);
     }
-    const [alone, free] = [reading(47, 1, undefined), reading(Infinity, 1, undefined)];
+    const [alone, free] = [setUpReader(47, 1, undefined), setUpReader(Infinity, 1, undefined)];
     await alone.run(20_000_000);
     await free.run(20_000_000);
     assert.deepEqual(alone.calls, free.calls);
   });
 
-  test('who reads alone keeps to its share of a quarter of the rate', async () => {
-    const { calls, run, say } = reading(4, 2, undefined);
-    // Why no answers that count: a list that is known is not read alone.
-    say('overRate');
+  test('a reader without the lease keeps to its share of a quarter of the rate', async () => {
+    const { calls, run, setResponse } = setUpReader(4, 2, undefined);
+    // The first calls are rejected because an agent that knows a list does not read it without the lease.
+    setResponse('overRate');
     await run(1_000_000);
-    say(undefined);
+    setResponse(undefined);
     await run(120_000_000);
     assert.ok(calls.length > 0);
     assert.ok(calls.length <= ((4 * 0.25) / 3) * 121 + 2, `${calls.length} calls of one of three in two minutes`);
   });
 
-  test('turned away it waits longer each time, up to a bound, and is back to the usual after one answer', async () => {
-    const { calls, run, say } = reading(47, 1, 1);
+  test('rejected calls back off up to a bound, and one response restores the usual interval', async () => {
+    const { calls, run, setResponse } = setUpReader(47, 1, 1);
     await run(2_000_000);
-    say('overRate');
+    setResponse('overRate');
     calls.length = 0;
     await run(1);
     await run(12_000_000);
@@ -131,53 +134,53 @@
       gaps.every((gap) => gap <= 2_100_000),
       `${gaps.join(' ')}`,
     );
-    say(undefined);
+    setResponse(undefined);
     await run(4_000_000);
     calls.length = 0;
     await run(5_000_000);
     assert.ok(calls.length >= 9, `${calls.length}`);
   });
 
-  test('a pace lets a small burst through and no more than the rate in the long run', async () => {
+  test('the rate limiter allows a small burst and otherwise no more than the rate', async () => {
     const world = new World(1);
-    const pace = new CallPace(world.clock);
-    const waits = Array.from({ length: 12 }, () => pace.waitMicroseconds(20));
+    const rateLimiter = new CallPace(world.clock);
+    const waits = Array.from({ length: 12 }, () => rateLimiter.waitMicroseconds(20));
     assert.deepEqual(waits.slice(0, 7), [0, 0, 0, 0, 0, 50_000, 100_000]);
     await world.runFor(10_000_000);
-    assert.equal(pace.waitMicroseconds(20), 0);
+    assert.equal(rateLimiter.waitMicroseconds(20), 0);
   });
 
-  test('a long read says of no engine that it is gone before the list can be behind by so much', () => {
-    const lives = new EngineLives(() => 1_000_000);
-    lives.heard([engine(1), engine(2)], [], 0, 10_000_000);
+  test('a long read ends no engine before it is missing for longer than the lag of the list', () => {
+    const lifetimes = new EngineLives(() => 1_000_000);
+    lifetimes.heard([engine(1), engine(2)], [], 0, 10_000_000);
     const names = (listed: readonly ListedEngine[], asked: number): readonly string[] =>
-      lives.heard(listed, [], asked).map(({ name }) => name);
-    assert.deepEqual(names([engine(1)], 10_500_000), ['e-1', 'e-2'], 'the last page was seen half a second before');
+      lifetimes.heard(listed, [], asked).map(({ name }) => name);
+    assert.deepEqual(names([engine(1)], 10_500_000), ['e-1', 'e-2'], 'the last page was seen half a second earlier');
     assert.deepEqual(names([engine(1)], 11_000_000), ['e-1']);
   });
 
-  test('what another read alone meanwhile is gone above, in the same term only', async () => {
-    const { keeper, freshness, world } = reading(Infinity, 1, 1);
-    await keeper.read();
-    const alone = reading(Infinity, 2, undefined);
+  test('a revision published without the lease meanwhile is exceeded within the same term', async () => {
+    const { reader, freshness, world } = setUpReader(Infinity, 1, 1);
+    await reader.read();
+    const alone = setUpReader(Infinity, 2, undefined);
     alone.freshness.hear(freshness.statements().find(({ key }) => key === 'engines') as never, 0);
     alone.freshness.give(freshness.sent('engines') as never);
     await alone.world.runFor(10_000_000);
-    await alone.keeper.read();
-    const said = alone.freshness.revision('engines');
-    assert.equal(said, freshness.revision('engines') + 1);
+    await alone.reader.read();
+    const otherRevision = alone.freshness.revision('engines');
+    assert.equal(otherRevision, freshness.revision('engines') + 1);
     await world.runFor(10_000_000);
     freshness.hear(alone.freshness.statements().find(({ key }) => key === 'engines') as never, world.nowMicroseconds);
     freshness.give(alone.freshness.sent('engines') as never);
-    assert.equal(freshness.revision('engines'), said);
-    await keeper.read();
-    // The engine of the second page is not gone yet for this reader either way; what counts is one text a revision.
-    assert.ok(freshness.revision('engines') >= said);
+    assert.equal(freshness.revision('engines'), otherRevision);
+    await reader.read();
+    // Whether the engine of the second page is listed does not matter here; each revision must have only one text.
+    assert.ok(freshness.revision('engines') >= otherRevision);
     const [mine, theirs] = [freshness.applied('engines'), alone.freshness.applied('engines')];
     assert.ok(mine?.revision !== theirs?.revision || mine?.text === theirs?.text, 'one revision, one text');
   });
 
-  test('in a fleet: all daemons together stay within the rate, also when its holder is killed, and all know the list', async () => {
+  test('in a fleet all agents together stay within the rate, also when the lease holder is killed, and all know the list', async () => {
     for (const seed of [1, 2, 3]) {
       const rate = 4;
       const fleet = new HeldFleet(new World(seed), 5, { listCallsPerSecond: rate });
@@ -198,7 +201,7 @@
       fleet.restart(lister);
       await world.runFor(10_000_000);
       assert.ok(knows() && fleet.settled(names), `seed ${seed}`);
-      const most = mostInASecond(engines.pageCalls.map(({ atMicroseconds }) => atMicroseconds));
+      const most = maxCallsPerSecond(engines.pageCalls.map(({ atMicroseconds }) => atMicroseconds));
       assert.ok(most <= rate, `seed ${seed}: ${most} calls in a second`);
     }
   });
--- a/tests/support/heldEngines.ts
+++ b/tests/support/heldEngines.ts
@@ -12,7 +12,7 @@
 import type { SimProcess } from '../../source/fleet-simulator/world/simProcess';
 import type { World } from '../../source/fleet-simulator/world/world';
 
-/** One directive as the engine got it; what judges read. */
+/** One directive as an engine received it, for the checks of the tests. */
 export type GotDirective = Readonly<{
   engine: string;
   holder: string;
@@ -22,6 +22,7 @@
   atMicroseconds: number;
 }>;
 
+/** State of one simulated engine. `state` is what the list reports; `loading` are the weights being loaded. */
 export type HeldEngine = {
   readonly name: string;
   readonly machine: string;
@@ -43,17 +44,17 @@
 const loadMicroseconds = 400_000;
 const keptEvents = 200;
 
-/** Engines whose events calls are held, and the list of them that something outside the fleet keeps, on virtual time. */
+/** Simulated engines with long polls for events, and the external service that lists them, in virtual time. */
 export class HeldEngines {
   public readonly got: GotDirective[] = [];
   public readonly engines = new Map<string, HeldEngine>();
   public readonly calls = { status: 0, list: 0, events: 0, pages: 0 };
-  /** What the list answers besides the truth; undefined: the truth. */
+  /** Replaces the responses of the list service; undefined: it lists the actual engines. */
   public listAnswer: ((from: string | undefined) => ListPage | undefined) | undefined;
-  /** Whether calls for events look at which engine is meant. */
+  /** Whether calls for events check the name of the intended engine. */
   public eventsHearMeant = true;
   public pageSize = 50;
-  /** Who asked for a page of the list, and when. */
+  /** The caller and time of each call for a page of the list. */
   public readonly pageCalls: { agent: string; atMicroseconds: number }[] = [];
 
   public constructor(
@@ -88,6 +89,7 @@
     return found;
   }
 
+  /** Caches a key with this size, or evicts it with size 0, and records the event. */
   public keep(name: string, key: string, size: number): void {
     const engine = this.get(name);
     engine.sequence += 1;
@@ -98,7 +100,7 @@
     for (const wake of [...engine.waiting]) wake();
   }
 
-  /** A crash: held calls break off, and it is gone for good. */
+  /** Crashes an engine for good: its pending long polls fail. */
   public crash(name: string): void {
     const engine = this.get(name);
     engine.alive = false;
@@ -106,7 +108,7 @@
   }
 
   public listed(): readonly ListedEngine[] {
-    // Why without those of no service: a store stands on no list.
+    // Engines without a service are stores, which are not listed.
     const listed = [...this.engines.values()].filter(({ service }) => service !== '');
     return listed.map(({ name, machine, service, state, weights }) => ({
       name,
@@ -137,7 +139,7 @@
   public doorOf(agent: SimProcess): BackEndDoor {
     const at = (address: string): HeldEngine | undefined =>
       [...this.engines.values()].filter(({ machine }) => `${machine}:1` === address).at(-1);
-    const meantIs = (engine: HeldEngine | undefined, meant: string | undefined): boolean =>
+    const isIntended = (engine: HeldEngine | undefined, meant: string | undefined): boolean =>
       engine?.alive === true && (meant === undefined || meant === engine.name);
     const ask = <Result>(
       address: string,
@@ -147,7 +149,7 @@
     ): Promise<Result | undefined> =>
       this.call(agent, address.split(':', 1)[0] ?? '', limit, () => {
         const engine = at(address);
-        return engine !== undefined && meantIs(engine, meant) ? act(engine) : undefined;
+        return engine !== undefined && isIntended(engine, meant) ? act(engine) : undefined;
       });
     return {
       traits: { drains: false, holdsEvents: true, derivedNames: true, storesHaveStatus: false },
@@ -184,23 +186,23 @@
         this.call(agent, address.split(':', 1)[0] ?? '', limit, () => {
           this.calls.events += 1;
           const engine = at(address);
-          return engine !== undefined && meantIs(engine, this.eventsHearMeant ? meant : undefined)
+          return engine !== undefined && isIntended(engine, this.eventsHearMeant ? meant : undefined)
             ? this.held(engine, after, hold)
             : undefined;
         }),
       directive: async (address, directive, limit) => {
         if (directive.kind !== 'loadWeights') return 'failed';
-        const outcome = await ask(address, limit, (engine) => this.direct(engine, directive));
+        const outcome = await ask(address, limit, (engine) => this.handleDirective(engine, directive));
         return outcome ?? 'failed';
       },
     };
   }
 
-  private direct(
+  private handleDirective(
     engine: HeldEngine,
     directive: Readonly<{ steward: string; term: number; weights: string; engine?: string }>,
   ): DirectiveOutcome {
-    const outcome = this.judged(engine, directive);
+    const outcome = this.outcomeOf(engine, directive);
     this.got.push({
       engine: engine.name,
       holder: directive.steward,
@@ -220,7 +222,7 @@
     return outcome;
   }
 
-  private judged(
+  private outcomeOf(
     engine: HeldEngine,
     { term, weights, engine: meant }: Readonly<{ term: number; weights: string; engine?: string }>,
   ): DirectiveOutcome {
@@ -252,7 +254,7 @@
     return engine.alive ? read() : undefined;
   }
 
-  /** There, the act, and back; a cut link or a dead side says nothing until the limit. */
+  /** Simulates a call over the network; with a cut link or a dead side it returns nothing until the limit. */
   private call<Result>(
     agent: SimProcess,
     machine: string,
--- a/tests/support/heldFleet.ts
+++ b/tests/support/heldFleet.ts
@@ -12,7 +12,7 @@
 export const thawMicroseconds = 300_000;
 export const weightsWithinMicroseconds = 8_000_000;
 
-/** Keepers and agents on virtual time, beside engines whose events calls are held and whose list is kept outside. */
+/** Simulated control nodes and agents in virtual time, with long-poll engines and an external list of engines. */
 export class HeldFleet {
   public readonly keepers: SimFleet;
   public readonly engines: HeldEngines;
@@ -26,7 +26,7 @@
   ) {
     this.keepers = new SimFleet(world, { ...usualShape, edges: 0, engines: 0, spares: 0 });
     this.engines = new HeldEngines(world, this.keepers.network);
-    for (let number = 1; number <= agents; number += 1) this.agents.push(this.made(number));
+    for (let number = 1; number <= agents; number += 1) this.agents.push(this.make(number));
   }
 
   public addEngines(count: number, weights = 'w1', checksTerms = true): readonly string[] {
@@ -45,12 +45,12 @@
     for (const keeper of this.keepers.keepers) this.keepers.startKeeper(keeper);
     for (const { agent } of this.agents) void agent.start();
     if ((await this.keepers.take('blueprint', this.blueprint(weights))) === undefined)
-      throw new Error('the first blueprint was not taken');
+      throw new Error('the first blueprint was not accepted');
   }
 
   public async name(weights: string): Promise<void> {
     if ((await this.keepers.take('blueprint', this.blueprint(weights))) === undefined)
-      throw new Error('the new weights were not taken');
+      throw new Error('the new weights were not accepted');
   }
 
   public agent(index: number): HeldAgent {
@@ -65,7 +65,7 @@
 
   public restart(agent: HeldAgent): void {
     agent.process.kill();
-    const made = this.made(Number(agent.name.split('-')[1]));
+    const made = this.make(Number(agent.name.split('-')[1]));
     agent.process = made.process;
     agent.agent = made.agent;
     void made.agent.start();
@@ -85,7 +85,7 @@
     return engines.every((engine) => this.stewardOf(engine) !== undefined) && this.lister() !== undefined;
   }
 
-  private made(number: number): HeldAgent {
+  private make(number: number): HeldAgent {
     const name = `edge-${number}`;
     const machine = `10.2.0.${number}`;
     const process = new SimProcess(this.world, `${name}-agent`, machine);
@@ -122,19 +122,19 @@
   }
 }
 
-/** What no engine may ever have seen. Judged from the engines' own records. */
+/** Violations of the order of lease terms and holders, from the directives that the engines recorded. */
 export const directiveFaults = (got: readonly GotDirective[]): readonly string[] => {
-  const faults: string[] = [];
+  const violations: string[] = [];
   for (const [index, later] of got.entries())
     for (const earlier of got.slice(0, index)) {
       if (earlier.engine !== later.engine) continue;
       if (earlier.term === later.term && earlier.holder !== later.holder)
-        faults.push(`${later.engine}: one term, two holders`);
-      if (later.term < earlier.term) faults.push(`${later.engine}: term ${later.term} after ${earlier.term}`);
+        violations.push(`${later.engine}: two holders in one term`);
+      if (later.term < earlier.term) violations.push(`${later.engine}: term ${later.term} after ${earlier.term}`);
       if (earlier.holder !== later.holder && later.atMicroseconds - earlier.atMicroseconds < leaseTermMicroseconds)
-        faults.push(
+        violations.push(
           `${later.engine}: ${later.holder} ${later.atMicroseconds - earlier.atMicroseconds} us after ${earlier.holder}`,
         );
     }
-  return [...new Set(faults)];
+  return [...new Set(violations)];
 };
--- a/tests/support/platformEngine.ts
+++ b/tests/support/platformEngine.ts
@@ -3,11 +3,12 @@
 import { ControlHeaders, ControlPaths } from '../../platform/engines/controlNames';
 
 type Event = readonly [number, '+' | '-', string, string, number, string];
+/** How a simulated server misbehaves. */
 export type Misdeed = 'none' | 'garbage' | 'cut' | 'silent' | 'wrongShape' | 'error' | 'tooMany';
 
 const model = 'm';
 
-/** The control side of an engine or store as the users' page tells it: reports, orders, events, lists. */
+/** The control API of an engine or store as the users' platform documents it: reports, orders, events, lists. */
 export class PlatformEngine {
   public version = 1;
   public isBusy = false;
@@ -56,7 +57,7 @@
     for (const wake of [...this.waiting]) wake();
   }
 
-  /** What was told to load is loaded now; the page says that all kept parts go. */
+  /** Finishes the load of the ordered version; as documented, all cached parts are evicted. */
   public finishLoad(): void {
     if (this.loading !== undefined) this.version = this.loading;
     this.loading = undefined;
@@ -168,7 +169,7 @@
   }
 }
 
-/** The platform's own list, page by page. */
+/** The paginated list of instances of the users' platform. */
 export class PlatformList {
   public misdeed: 'none' | 'tooMany' | 'garbage' | 'wrongShape' = 'none';
   public instances: readonly Readonly<Record<string, unknown>>[] = [];
