--- a/source/edge-agent/desk/workDesk.ts
+++ b/source/edge-agent/desk/workDesk.ts
@@ -110,10 +110,10 @@
   }
 
   /**
-   * Ends a reservation. `good`: the first event of the response arrived, so the engine has prefilled the prompt; otherwise
+   * Ends a reservation. `succeeded`: the first event of the response arrived, so the engine has prefilled the prompt; otherwise
    * the request failed.
    */
-  public done(engine: string, order: string, good: boolean): void {
+  public done(engine: string, order: string, succeeded: boolean): void {
     const reservations = this.engines.get(engine) ?? [];
     const match = reservations.find((reservation) => reservation.order === order);
     if (match === undefined) return;
@@ -123,9 +123,9 @@
     );
     const location = this.prefixes.get(match.prefix);
     if (location?.engine !== engine) return;
-    if (good) this.remember(match.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
+    if (succeeded) this.remember(match.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
     else if (!location.done) this.prefixes.delete(match.prefix);
-    if (good || !location.done) this.wakeWaiters(match.prefix);
+    if (succeeded || !location.done) this.wakeWaiters(match.prefix);
   }
 
   /** Drops the reservations and prefixes of all engines that are not listed. */
--- a/tests/support/heldFleet.ts
+++ b/tests/support/heldFleet.ts
@@ -31,9 +31,9 @@
 
   public addEngines(count: number, weights = 'w1', checksTerms = true): readonly string[] {
     return Array.from({ length: count }, (_, index) => {
-      const name = `engine-${index + 1}`;
-      this.engines.add(name, `10.3.0.${index + 1}`, weights, 'pool', checksTerms);
-      return name;
+      const engineName = `engine-${index + 1}`;
+      this.engines.add(engineName, `10.3.0.${index + 1}`, weights, 'pool', checksTerms);
+      return engineName;
     });
   }
 
