--- a/source/edge-agent/desk/workDesk.ts
+++ b/source/edge-agent/desk/workDesk.ts
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Ends a reservation. `succeeded`: the first event of the response arrived, so the engine has prefilled the prompt; otherwise
-   * the request failed.
+   * Ends a reservation. `succeeded`: the first event of the response arrived, so the engine has prefilled the prompt;
+   * otherwise the request failed.
    */
   public done(engine: string, order: string, succeeded: boolean): void {
     const reservations = this.engines.get(engine) ?? [];
