--- a/source/edge-agent/agentProgram.ts
+++ b/source/edge-agent/agentProgram.ts
@@ -39,7 +39,8 @@
     Logs.part('agent:notice')(`Agent ${settings.name} listens on ${address}.`);
     Programs.onTerm(parts.stopLimitMicroseconds, async () => {
       await agent.resign();
-      // The agent stays for a while because its proxy still answers accepted requests and needs a fresh configuration for it.
+      // The agent stays for a while because its proxy still answers accepted requests and needs a fresh configuration for
+      // that.
       await agent.linger(parts.lingerMicroseconds);
       await agent.leave();
       await pages?.close();
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -146,7 +146,7 @@
 const maxReadFactor = 1.75;
 const maxLeaseRequestFactor = 2;
 
-/** For this time after a document or the status of an engine changed here, gossip is exchanged as often as in a small fleet. */
+/** After a document or an engine's status changes here, gossip is as frequent as in a small fleet for this time. */
 const urgentMicroseconds = 1_000_000;
 
 /** A proxy without a request for this time is considered stopped. */
@@ -396,8 +396,8 @@
   }
 
   /**
-   * As `intervalFactor`, for information that proxies need: there are more proxies than agents, and each asks less often the
-   * more of them there are.
+   * As `intervalFactor`, for information that proxies need: there are more proxies than agents, and each asks less often
+   * the more of them there are.
    */
   private proxyIntervalFactor(max: number): number {
     return Math.max(this.intervalFactor(max), FleetPace.of(this.facts.countOf('load'), max));
@@ -430,7 +430,7 @@
       : Math.max(farEvery, Math.ceil(this.membership.zoneSize() / 2 / this.intervalFactor(maxGossipFactor)));
   }
 
-  /** Probes the agents that this one watches; an agent is suspected only after indirect probes by other agents failed too. */
+  /** Probes the agents that this one watches; an agent is suspected only after probes by other agents failed too. */
   private async probeMembers(): Promise<void> {
     this.proxies.review();
     await Promise.all(
--- a/source/shared/desk/messages.ts
+++ b/source/shared/desk/messages.ts
@@ -1,8 +1,8 @@
 /**
  * The costs of placing a request on one engine, in whole microseconds. `cost`: all costs except prefill and waiting for
- * other requests; `read`: prefill of the parts that are not cached there; `rest`: prefill of the remainder if the shared parts
- * were cached there; `move`: transfer of the shared parts from another engine; `copy`: cost of one more copy of them
- * there, negative if that copy is useful.
+ * other requests; `read`: prefill of the parts that are not cached there; `rest`: prefill of the remainder if the shared
+ * parts were cached there; `move`: transfer of the shared parts from another engine; `copy`: cost of one more copy of
+ * them there, negative if that copy is useful.
  */
 export type DeskOffer = readonly [
   engine: string,
--- a/source/shared/weights/weightsRounds.ts
+++ b/source/shared/weights/weightsRounds.ts
@@ -7,7 +7,7 @@
 
 /** The order and timing in which the engines of a pool load new weights. */
 export const WeightsRounds = {
-  /** How many engines of a pool change at once: about a quarter, so that the others carry the load and loading stays fast. */
+  /** How many engines change at once: about a quarter of the pool, so that the others carry the load and loading stays fast. */
   width: (engines: number): number => (engines <= 3 ? 1 : Math.max(2, Math.floor(engines / 4))),
 
   /** The round of an engine; every engine controller computes the same one. */
