--- a/source/edge-agent/core-link/bodyFetch.ts
+++ b/source/edge-agent/core-link/bodyFetch.ts
@@ -1,68 +1,69 @@
-/**
- * Fetches one text from several control nodes. One that falls silent holds nothing up: after a while the next one is asked beside it. At
- * most two are asked at a time, since on a thin link a further answer only delays those that are on their way.
- */
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 
-/** How many nodes are asked at a time. */
-const mostOpen = 2;
+/** The most requests in flight at a time. */
+const maxInFlight = 2;
 
 export type BodyFetchLimits = Readonly<{
-  /** How long one node may take for the whole text. */
+  /** The timeout of one node for the whole document. */
   askMicroseconds: number;
-  /** How long one node is waited for before another is asked beside it. */
+  /** The time without an answer after which a second node is asked in parallel. */
   staggerMicroseconds: number;
 }>;
 
+/**
+ * Fetches one document from several control nodes with hedged requests: a node that does not answer delays nothing, because after a
+ * while the next node is asked in parallel. At most two requests are in flight, since on a slow link a further answer only delays those
+ * already being transferred.
+ */
 export class BodyFetch {
-  private readonly waiting: string[];
-  private open = 0;
-  private isOver = false;
-  private settle: (isTaken: boolean) => void = () => undefined;
+  private readonly remaining: string[];
+  private inFlight = 0;
+  private isFinished = false;
+  private resolveRun: (isAccepted: boolean) => void = () => undefined;
 
-  /** `take` is given each answer; true: it is what was wanted. */
+  /** `accept` is called with each answer and returns true if it is the wanted document. */
   public constructor(
     private readonly transport: Transport,
     private readonly clock: Clock,
     private readonly limits: BodyFetchLimits,
     private readonly message: Message,
     addresses: readonly string[],
-    private readonly take: (answer: Message) => boolean,
+    private readonly accept: (answer: Message) => boolean,
   ) {
-    this.waiting = [...addresses];
+    this.remaining = [...addresses];
   }
 
-  /** False: none of the nodes has the text. */
+  /** Resolves to false if none of the nodes returned the document. */
   public run(): Promise<boolean> {
     return new Promise((resolve) => {
-      this.settle = resolve;
-      this.askNext();
+      this.resolveRun = resolve;
+      this.requestNext();
     });
   }
 
-  private askNext(): void {
-    if (this.isOver || this.open >= mostOpen) return;
-    const address = this.waiting.shift();
+  private requestNext(): void {
+    if (this.isFinished || this.inFlight >= maxInFlight) return;
+    const address = this.remaining.shift();
     if (address === undefined) {
-      if (this.open === 0) this.end(false);
+      if (this.inFlight === 0) this.finish(false);
       return;
     }
-    this.open += 1;
-    this.clock.after(this.limits.staggerMicroseconds, () => this.askNext());
-    void this.ask(address);
+    this.inFlight += 1;
+    this.clock.after(this.limits.staggerMicroseconds, () => this.requestNext());
+    void this.request(address);
   }
 
-  private async ask(address: string): Promise<void> {
+  private async request(address: string): Promise<void> {
     const answer = await this.transport.ask(address, this.message, this.limits.askMicroseconds);
-    this.open -= 1;
-    if (this.isOver) return;
-    if (answer.kind === 'answered' && this.take(answer.message)) this.end(true);
-    else this.askNext();
+    this.inFlight -= 1;
+    if (this.isFinished) return;
+    if (answer.kind === 'answered' && this.accept(answer.message)) this.finish(true);
+    else this.requestNext();
   }
 
-  private end(isTaken: boolean): void {
-    this.isOver = true;
-    this.settle(isTaken);
+  private finish(isAccepted: boolean): void {
+    this.isFinished = true;
+    this.resolveRun(isAccepted);
   }
 }
--- a/source/edge-agent/core-link/coreLink.ts
+++ b/source/edge-agent/core-link/coreLink.ts
@@ -14,51 +14,51 @@
   type WordsAnswer,
 } from '../../shared/register/majorityRead';
 
-type Wanted = ReturnType<Freshness['wanted']>[number];
+type MissingDocument = ReturnType<Freshness['wanted']>[number];
 
-/** What one address said: the fleet it leads to, and a keeper's words. */
-type Said = Readonly<{ fleet: string; words: WordsAnswer | undefined; led: readonly string[] }>;
+/** The answer of one address: its fleet, the control node's state report, and the addresses of members that it names. */
+type NodeAnswer = Readonly<{ fleet: string; report: WordsAnswer | undefined; memberAddresses: readonly string[] }>;
 
-/** `words`: all its words, as a keeper does that has changed or has begun anew. `other`: that it has nothing new, or none. */
+/** `words`: a full state report, which a control node sends after a change or a restart. `other`: an unchanged report, or none. */
 type LastAnswer = 'silent' | 'words' | 'other';
 
-/** Starting value, ours: with how many readings of the keepers one also says who one is. */
-const ownWordEvery = 10;
+/** Every so many reads the request also carries this agent's own member entry. */
+const ownEntryEveryReads = 10;
 
-/** Starting value, ours: how much longer than for its words a keeper may take for a whole document. */
-const bodyPatience = 5;
+/** The timeout for a whole document, as a multiple of the timeout for a state report. */
+const documentTimeoutFactor = 5;
 
-/** Most addresses that one keeper without a voice may name. */
-const mostLed = 16;
+/** The most member addresses that are taken from one non-voting control node. */
+const maxNamedAddresses = 16;
 
 const addressesIn = (value: unknown): readonly string[] =>
-  Array.isArray(value) ? value.filter((item) => typeof item === 'string').slice(0, mostLed) : [];
+  Array.isArray(value) ? value.filter((item) => typeof item === 'string').slice(0, maxNamedAddresses) : [];
 
 export type CoreLinkSettings = Readonly<{
   seeds: readonly string[];
   askMicroseconds: number;
-  /** What colleagues have read not longer ago than this need not be read again; 0: each reads for itself. */
+  /** A configuration age below this, learned by gossip from other agents' reads, makes an own read unnecessary; 0: always read. */
   sharedReadMicroseconds: () => number;
-  /** At the latest after this it is read all the same. */
+  /** The longest time between two own reads, whatever gossip brings. */
   ownReadMicroseconds: () => number;
-  /** Whether the keepers are where the list of engines comes from. */
+  /** Whether the list of engines comes from the control nodes. */
   readsEngines: boolean;
-  /** No address here ever belongs to another fleet. */
+  /** Whether none of the addresses can belong to another fleet. */
   isOnlyFleet: boolean;
 }>;
 
-/** The agent's link to the core: a majority read several times a second, and the bodies it finds to be missing. */
+/** The agent's link to the control nodes: does a majority read several times a second and fetches the documents that it lacks. */
 export class CoreLink {
-  private toldApart = false;
-  private readMicroseconds = -Infinity;
+  private hasReportedMixedFleets = false;
+  private lastReadMicroseconds = -Infinity;
   private readonly notice = Logs.part('agent:notice');
-  private view: MembersView | undefined;
-  private led: readonly string[] = [];
-  private readonly kept = new KeptWords();
-  /** What each address said when it was last asked. */
-  private readonly last = new Map<string, LastAnswer>();
-  private reading = 0;
-  private fetching = false;
+  private membersView: MembersView | undefined;
+  private namedAddresses: readonly string[] = [];
+  private readonly stateReports = new KeptWords();
+  /** The kind of the last answer of each address. */
+  private readonly lastAnswers = new Map<string, LastAnswer>();
+  private readCount = 0;
+  private isFetching = false;
   private seeds: readonly string[];
 
   public constructor(
@@ -66,12 +66,12 @@
     private readonly fleetName: FleetName,
     private readonly freshness: Freshness,
     private readonly settings: CoreLinkSettings,
-    private readonly own: () => unknown,
+    private readonly ownEntry: () => unknown,
   ) {
     this.seeds = settings.seeds;
   }
 
-  /** Other first contacts than those that were told at the start. */
+  /** Replaces the seed addresses after a change of the settings. */
   public seedsAre(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
@@ -81,152 +81,166 @@
   }
 
   public keepers(): Readonly<Record<string, CoreMember>> {
-    return this.view?.members ?? {};
+    return this.membersView?.members ?? {};
   }
 
   public sets(): readonly (readonly string[])[] {
-    return this.view?.sets ?? [];
+    return this.membersView?.sets ?? [];
   }
 
-  /** The revision of the list of members that this agent goes by. */
+  /** The revision of the list of control nodes that this agent uses. */
   public membersRevision(): number {
-    return this.view?.revision ?? 0;
+    return this.membersView?.revision ?? 0;
   }
 
-  /** A member says that there is a newer list of members than the one that this agent goes by. */
+  /** Takes a list of control nodes from one of them if it is newer than the present one. */
   public learnView(view: MembersView): void {
-    if (this.view === undefined || view.revision > this.view.revision) this.view = view;
+    if (this.membersView === undefined || view.revision > this.membersView.revision) this.membersView = view;
   }
 
   public async read(): Promise<void> {
-    const asked = this.effects.clock.nowMicroseconds();
-    // Why: a statement tells its age, whoever read it; so a few reads serve all, and the youngest spread by themselves.
+    const startMicroseconds = this.effects.clock.nowMicroseconds();
+    // A few agents' reads serve all agents: each confirmed revision carries its age, and gossip spreads the most recent one.
     if (
       this.freshness.ageOf('blueprint') < this.settings.sharedReadMicroseconds() &&
-      asked - this.readMicroseconds < this.settings.ownReadMicroseconds()
+      startMicroseconds - this.lastReadMicroseconds < this.settings.ownReadMicroseconds()
     )
       return;
     const addresses = this.addresses();
-    this.kept.only(addresses);
-    for (const address of this.last.keys()) if (!addresses.includes(address)) this.last.delete(address);
-    const said = new Map<string, Said>();
-    const asks = addresses.map(async (address) => void said.set(address, await this.words(address)));
-    // Why not for those that were silent: each reading would be late by the whole patience, and the next one after it.
-    await Promise.all(asks.filter((_, index) => this.last.get(addresses[index] ?? '') !== 'silent'));
-    this.reading += 1;
-    let read = this.judge(said);
-    if (read.statements.length === 0) {
-      // Why for them after all: the others are no majority, or none knows the fleet yet.
-      await Promise.all(asks);
-      // Why only until a list is known: keepers that stand by lead to the members, and no further.
-      if (this.view === undefined) this.led = [...said.values()].flatMap(({ led }) => led);
+    this.stateReports.only(addresses);
+    for (const address of this.lastAnswers.keys()) if (!addresses.includes(address)) this.lastAnswers.delete(address);
+    const answers = new Map<string, NodeAnswer>();
+    const requests = addresses.map(async (address) => void answers.set(address, await this.requestReport(address)));
+    // Addresses that did not answer last time are not awaited, because they would delay each read, and the next one, by the whole timeout.
+    await Promise.all(requests.filter((_, index) => this.lastAnswers.get(addresses[index] ?? '') !== 'silent'));
+    this.readCount += 1;
+    let result = this.evaluate(answers);
+    if (result.statements.length === 0) {
+      // Those are awaited only if the others are no majority or the fleet name is not known yet.
+      await Promise.all(requests);
+      // Standby control nodes name the members; these addresses are only needed until a list of members is known.
+      if (this.membersView === undefined)
+        this.namedAddresses = [...answers.values()].flatMap(({ memberAddresses }) => memberAddresses);
       const bySeeds = addresses.filter((address) => this.seeds.includes(address));
-      if (this.fleetName.name === '') this.chooseFleet(bySeeds.flatMap((address) => said.get(address) ?? []));
-      read = this.judge(said);
+      if (this.fleetName.name === '') this.chooseFleet(bySeeds.flatMap((address) => answers.get(address) ?? []));
+      result = this.evaluate(answers);
     }
-    if (read.view !== undefined && (this.view === undefined || read.view.revision >= this.view.revision))
-      this.view = read.view;
-    if (read.statements.length > 0) this.readMicroseconds = asked;
+    if (
+      result.view !== undefined &&
+      (this.membersView === undefined || result.view.revision >= this.membersView.revision)
+    )
+      this.membersView = result.view;
+    if (result.statements.length > 0) this.lastReadMicroseconds = startMicroseconds;
     const now = this.effects.clock.nowMicroseconds();
-    for (const statement of read.statements.filter(({ key }) => this.reads(key)))
-      this.freshness.hear({ ...statement, ageMicroseconds: now - asked }, now);
-    // Why only those that just answered: one that is gone would cost the whole patience. Why not waited for: the age of
-    // what is applied goes on meanwhile, and readings keep it young.
-    void this.fetchBodies(addresses.filter((address) => said.get(address)?.words !== undefined));
-  }
-
-  private judge(said: ReadonlyMap<string, Said>): MajorityRead {
-    // Why one answer a keeper: a seed and a member entry may name the same one.
-    const byKeeper = new Map(
-      [...said.values()].flatMap(({ words }) => (words === undefined ? [] : [[words.stamp.keeper, words] as const])),
+    for (const statement of result.statements.filter(({ key }) => this.readsDocument(key)))
+      this.freshness.hear({ ...statement, ageMicroseconds: now - startMicroseconds }, now);
+    // Only nodes that just answered are asked, because one that is down would cost the whole timeout. The fetch is not awaited, because
+    // reads must go on confirming the applied configuration while its age grows.
+    void this.fetchMissingDocuments(addresses.filter((address) => answers.get(address)?.report !== undefined));
+  }
+
+  private evaluate(answers: ReadonlyMap<string, NodeAnswer>): MajorityRead {
+    // One answer per control node counts: a seed and a member entry may have different addresses of the same node.
+    const byControlNode = new Map(
+      [...answers.values()].flatMap(({ report }) =>
+        report === undefined ? [] : [[report.stamp.keeper, report] as const],
+      ),
     );
-    return MajorityReads.judge([...byKeeper.values()], this.fleetName.name, (key) => this.freshness.applied(key));
+    return MajorityReads.judge([...byControlNode.values()], this.fleetName.name, (key) => this.freshness.applied(key));
   }
 
-  private reads(key: DocumentKey): boolean {
+  private readsDocument(key: DocumentKey): boolean {
     return key !== 'engines' || this.settings.readsEngines;
   }
 
-  private chooseFleet(said: readonly Said[]): void {
-    const names = said.map(({ fleet }) => fleet);
+  private chooseFleet(answers: readonly NodeAnswer[]): void {
+    const names = answers.map(({ fleet }) => fleet);
     const chosen = this.settings.isOnlyFleet ? FleetVotes.judgeOnly(names) : FleetVotes.judge(names, this.seeds.length);
     if (chosen !== '') {
       this.fleetName.learn(chosen);
       this.notice(`This agent belongs to the fleet ${chosen}.`);
-    } else if (!this.toldApart && new Set(names.filter((name) => name !== '')).size > 1) {
-      this.toldApart = true;
-      this.notice('The seeds lead to different fleets. The setting fleet says which one is meant.');
+    } else if (!this.hasReportedMixedFleets && new Set(names.filter((name) => name !== '')).size > 1) {
+      this.hasReportedMixedFleets = true;
+      this.notice('The seeds lead to different fleets. Set `fleet` to choose one.');
     }
   }
 
   private addresses(): readonly string[] {
     const members = [
-      ...Object.values(this.view?.members ?? {}),
+      ...Object.values(this.membersView?.members ?? {}),
       ...Object.values(this.freshness.coreMembers?.members ?? {}),
     ].map(({ address }) => address);
-    return [...new Set([...members, ...(this.view === undefined ? this.led : []), ...this.seeds])];
+    return [...new Set([...members, ...(this.membersView === undefined ? this.namedAddresses : []), ...this.seeds])];
   }
 
-  private async words(address: string): Promise<Said> {
-    // Why the own word only now and then: it is for operators and newcomers, and hardly ever changes. Why also where one
-    // may have begun anew: it has forgotten whom it met, and operators find the daemons through it.
-    const saysOwn = this.reading % ownWordEvery === 0 || this.last.get(address) !== 'other';
-    const own = saysOwn ? { own: this.own() } : {};
+  private async requestReport(address: string): Promise<NodeAnswer> {
+    // The own member entry is only sent on some reads, because it is for operators and for new agents and hardly ever changes. It is
+    // also sent to a control node that may have restarted: such a node has forgotten the agents, and operators find them through it.
+    const includesOwn = this.readCount % ownEntryEveryReads === 0 || this.lastAnswers.get(address) !== 'other';
+    const own = includesOwn ? { own: this.ownEntry() } : {};
     const answer = await this.effects.transport.ask(
       address,
-      { kind: 'words', ...own, known: this.kept.known(address) },
+      { kind: 'words', ...own, known: this.stateReports.known(address) },
       this.settings.askMicroseconds,
     );
-    this.last.set(address, answer.kind === 'silent' ? 'silent' : answer.message.kind === 'words' ? 'words' : 'other');
-    if (answer.kind !== 'answered') return { fleet: '', words: undefined, led: [] };
+    this.lastAnswers.set(
+      address,
+      answer.kind === 'silent' ? 'silent' : answer.message.kind === 'words' ? 'words' : 'other',
+    );
+    if (answer.kind !== 'answered') return { fleet: '', report: undefined, memberAddresses: [] };
     const { message } = answer;
-    const words = this.wordsIn(address, message);
-    return { fleet: words?.stamp.fleet ?? String(message['fleet'] ?? ''), words, led: addressesIn(message['led']) };
+    const report = this.reportFrom(address, message);
+    return {
+      fleet: report?.stamp.fleet ?? String(message['fleet'] ?? ''),
+      report,
+      memberAddresses: addressesIn(message['led']),
+    };
   }
 
-  private wordsIn(address: string, message: Message): WordsAnswer | undefined {
+  private reportFrom(address: string, message: Message): WordsAnswer | undefined {
     const now = this.effects.clock.nowMicroseconds();
-    if (message.kind === 'wordsSame') return this.kept.again(address, message['known'], now);
+    if (message.kind === 'wordsSame') return this.stateReports.again(address, message['known'], now);
     if (message.kind !== 'words') return undefined;
-    const words = message as unknown as WordsAnswer;
-    this.kept.keep(address, words, message['known'], now);
-    return words;
+    const report = message as unknown as WordsAnswer;
+    this.stateReports.keep(address, report, message['known'], now);
+    return report;
   }
 
-  private async fetchBodies(addresses: readonly string[]): Promise<void> {
-    if (this.fetching) return;
-    this.fetching = true;
+  private async fetchMissingDocuments(addresses: readonly string[]): Promise<void> {
+    if (this.isFetching) return;
+    this.isFetching = true;
     try {
-      await this.fetchFrom(addresses);
+      await this.fetchAllFrom(addresses);
     } finally {
-      this.fetching = false;
+      this.isFetching = false;
     }
   }
 
-  /** What is wanted is looked up anew after each text: a newer revision may have become known meanwhile. */
-  private async fetchFrom(addresses: readonly string[]): Promise<void> {
+  /** The list of missing documents is read again after each fetch, because a newer revision may have become known meanwhile. */
+  private async fetchAllFrom(addresses: readonly string[]): Promise<void> {
     const tried = new Set<string>();
-    for (let wanted = this.nextWanted(tried); wanted !== undefined; wanted = this.nextWanted(tried)) {
-      tried.add(wanted.digest);
-      if (await this.fetchOne(wanted, addresses)) this.notice(`Applied ${wanted.key} revision ${wanted.revision}.`);
+    for (let missing = this.nextMissing(tried); missing !== undefined; missing = this.nextMissing(tried)) {
+      tried.add(missing.digest);
+      if (await this.fetchDocument(missing, addresses))
+        this.notice(`Applied ${missing.key} revision ${missing.revision}.`);
     }
   }
 
-  private nextWanted(tried: ReadonlySet<string>): Wanted | undefined {
-    return this.freshness.wanted().find(({ key, digest }) => this.reads(key) && !tried.has(digest));
+  private nextMissing(tried: ReadonlySet<string>): MissingDocument | undefined {
+    return this.freshness.wanted().find(({ key, digest }) => this.readsDocument(key) && !tried.has(digest));
   }
 
-  private fetchOne({ key, revision, digest }: Wanted, addresses: readonly string[]): Promise<boolean> {
+  private fetchDocument({ key, revision, digest }: MissingDocument, addresses: readonly string[]): Promise<boolean> {
     const { transport, clock, random } = this.effects;
     const { askMicroseconds } = this.settings;
-    // Each agent begins with another node, so that a change does not load one link with the texts of all.
+    // Agents start with a random node, so that a change does not put the transfers of all agents on the link of one node.
     const first = Math.floor(random.fraction() * addresses.length);
-    const inTurn = [...addresses.slice(first), ...addresses.slice(0, first)];
-    // Why longer: a long document over a thin link takes its time, and asking anew only makes it later.
-    const limits = { askMicroseconds: askMicroseconds * bodyPatience, staggerMicroseconds: askMicroseconds };
-    // Why compare the digest only: a keeper may hold the same text under a revision of its own view.
-    const take = (answer: Message): boolean =>
+    const rotatedAddresses = [...addresses.slice(first), ...addresses.slice(0, first)];
+    // The timeout is longer than for a read, because a long document takes time on a slow link and a retry only delays it more.
+    const limits = { askMicroseconds: askMicroseconds * documentTimeoutFactor, staggerMicroseconds: askMicroseconds };
+    // The digest alone identifies the document: a control node may know the same text under another revision.
+    const accept = (answer: Message): boolean =>
       Statements.isBody(answer) && this.freshness.give({ ...answer, key, revision });
-    return new BodyFetch(transport, clock, limits, { kind: 'body', key, digest }, inTurn, take).run();
+    return new BodyFetch(transport, clock, limits, { kind: 'body', key, digest }, rotatedAddresses, accept).run();
   }
 }
--- a/source/edge-agent/core-link/keptWords.ts
+++ b/source/edge-agent/core-link/keptWords.ts
@@ -1,49 +1,55 @@
 import type { KeyWord } from '../../shared/register/types';
 import type { WordsAnswer } from '../../shared/register/majorityRead';
 
-type Kept = Readonly<{ words: WordsAnswer; known: string; atMicroseconds: number }>;
+type CachedReport = Readonly<{ report: WordsAnswer; tag: string; receivedMicroseconds: number }>;
 
-const aged = (word: KeyWord, microseconds: number): KeyWord =>
-  word.weights === undefined
-    ? word
+const withAdvancedAges = (keyState: KeyWord, elapsedMicroseconds: number): KeyWord =>
+  keyState.weights === undefined
+    ? keyState
     : {
-        ...word,
+        ...keyState,
         weights: Object.fromEntries(
-          Object.entries(word.weights).map(([service, age]) => [
+          Object.entries(keyState.weights).map(([service, age]) => [
             service,
-            { ...age, ageMicroseconds: age.ageMicroseconds === null ? null : age.ageMicroseconds + microseconds },
+            {
+              ...age,
+              ageMicroseconds: age.ageMicroseconds === null ? null : age.ageMicroseconds + elapsedMicroseconds,
+            },
           ]),
         ),
       };
 
 /**
- * The last words of each keeper. Why kept: they are asked several times a second and hardly ever change, so a keeper says
- * "as you know them" in a few bytes. That is an answer of now like any other; only the ages go on.
+ * Caches the last state report of each control node. Reports are requested several times a second and hardly ever change, so a node
+ * answers an unchanged one with its tag in a few bytes. Such an answer is as current as a full one; only the ages in it advance.
  */
 export class KeptWords {
-  private readonly kept = new Map<string, Kept>();
+  private readonly reports = new Map<string, CachedReport>();
 
-  /** What to tell the keeper at an address that one knows of it; empty: nothing. */
+  /** The tag of the cached report of an address, to be sent with the request; empty if there is none. */
   public known(address: string): string {
-    return this.kept.get(address)?.known ?? '';
+    return this.reports.get(address)?.tag ?? '';
   }
 
-  public keep(address: string, words: WordsAnswer, known: unknown, nowMicroseconds: number): void {
-    if (typeof known === 'string' && known !== '' && Array.isArray(words.words))
-      this.kept.set(address, { words, known, atMicroseconds: nowMicroseconds });
-    else this.kept.delete(address);
+  public keep(address: string, report: WordsAnswer, tag: unknown, nowMicroseconds: number): void {
+    if (typeof tag === 'string' && tag !== '' && Array.isArray(report.words))
+      this.reports.set(address, { report, tag, receivedMicroseconds: nowMicroseconds });
+    else this.reports.delete(address);
   }
 
-  /** The words that a keeper confirms, as old as they are by now. */
-  public again(address: string, known: unknown, nowMicroseconds: number): WordsAnswer | undefined {
-    const kept = this.kept.get(address);
-    if (kept === undefined || kept.known !== known) return undefined;
-    const passed = nowMicroseconds - kept.atMicroseconds;
-    return { ...kept.words, words: kept.words.words.map((word) => aged(word, passed)) };
+  /** The cached report that a control node confirmed by its tag, with the ages advanced to now; undefined if the tag differs. */
+  public again(address: string, tag: unknown, nowMicroseconds: number): WordsAnswer | undefined {
+    const cached = this.reports.get(address);
+    if (cached === undefined || cached.tag !== tag) return undefined;
+    const elapsedMicroseconds = nowMicroseconds - cached.receivedMicroseconds;
+    return {
+      ...cached.report,
+      words: cached.report.words.map((keyState) => withAdvancedAges(keyState, elapsedMicroseconds)),
+    };
   }
 
-  /** Addresses that are asked no more. */
+  /** Removes the reports of all other addresses. */
   public only(addresses: readonly string[]): void {
-    for (const address of this.kept.keys()) if (!addresses.includes(address)) this.kept.delete(address);
+    for (const address of this.reports.keys()) if (!addresses.includes(address)) this.reports.delete(address);
   }
 }
--- a/source/edge-agent/membership/membership.ts
+++ b/source/edge-agent/membership/membership.ts
@@ -22,34 +22,34 @@
   boot: string;
 }>;
 
-/** What follows from who belongs to the fleet, as long as no news of a member comes in. */
-type Drawn = Readonly<{
-  changes: number;
+/** Values derived from the list of members; valid until a member's gossip entry changes. */
+type DerivedMembers = Readonly<{
+  memberChanges: number;
   all: readonly MemberFact[];
   present: readonly MemberFact[];
   names: readonly string[];
-  colleagues: () => readonly string[];
-  neighbours: () => readonly string[];
-  watched: () => readonly string[];
+  gossipPeers: () => readonly string[];
+  zonePeers: () => readonly string[];
+  probeTargets: () => readonly string[];
   zoneSize: number;
 }>;
 
-/** Who belongs to the fleet, as news says. It steers placement and duties, never what is right. */
+/** The members of the fleet as known by gossip. It guides placement and candidacies for leases; correctness never depends on it. */
 export class Membership {
   public readonly news = new Emittery<{ changed: MemberFact }>();
   private incarnation = 1;
-  private readonly suspectSince = new Map<string, number>();
-  private readonly missed = new Map<string, number>();
-  private drawn: Drawn | undefined;
+  private readonly notAliveSince = new Map<string, number>();
+  private readonly failedProbes = new Map<string, number>();
+  private derived: DerivedMembers | undefined;
 
   public constructor(
     private readonly self: Self,
-    private readonly book: FactBook,
+    private readonly facts: FactBook,
     private readonly clock: Clock,
     private readonly settings: MembershipSettings,
     private readonly log: Log,
   ) {
-    this.say(self.name, 'alive', this.incarnation);
+    this.publish(self.name, 'alive', this.incarnation);
   }
 
   public get selfIncarnation(): number {
@@ -57,16 +57,16 @@
   }
 
   public all(): readonly MemberFact[] {
-    return this.drawnNow().all;
+    return this.derivedNow().all;
   }
 
   public present(): readonly MemberFact[] {
-    return this.drawnNow().present;
+    return this.derivedNow().present;
   }
 
-  /** The names of those; the same list as long as no news of a member comes in. */
+  /** The names of the present members; the same array object until a member's gossip entry changes. */
   public presentNames(): readonly string[] {
-    return this.drawnNow().names;
+    return this.derivedNow().names;
   }
 
   public alive(name: string): boolean {
@@ -75,120 +75,120 @@
   }
 
   public member(name: string): MemberFact | undefined {
-    return this.book.value<MemberFact>(FactKeys.member(name));
+    return this.facts.value<MemberFact>(FactKeys.member(name));
   }
 
-  /** The few this daemon exchanges news with. */
+  /** The small set of agents that this agent gossips with. */
   public colleagues(): readonly MemberFact[] {
-    return this.named(this.drawnNow().colleagues());
+    return this.membersNamed(this.derivedNow().gossipPeers());
   }
 
-  /** As many again within its own zone: what is said there crosses no link between zones. */
+  /** A second set of the same size within the own zone: gossip with these crosses no link between zones. */
   public neighbours(): readonly MemberFact[] {
-    return this.named(this.drawnNow().neighbours());
+    return this.membersNamed(this.derivedNow().zonePeers());
   }
 
-  /** Daemons in the own zone, this one included. */
+  /** The number of agents in the own zone, this one included. */
   public zoneSize(): number {
-    return this.drawnNow().zoneSize;
+    return this.derivedNow().zoneSize;
   }
 
-  /** Those for whom this daemon is one of the watchers; each daemon is watched by the same number of others. */
+  /** The agents that this agent probes; each agent is probed by the same number of others. */
   public watched(): readonly MemberFact[] {
-    return this.named(this.drawnNow().watched());
+    return this.membersNamed(this.derivedNow().probeTargets());
   }
 
-  /** After news came in: a worse word about oneself, or about an earlier life, is refuted with a higher incarnation. */
+  /** Called after gossip came in: refutes a worse state of this agent, or an entry of its earlier process, with a higher incarnation. */
   public defend(): void {
-    const fact = this.book.get(FactKeys.member(this.self.name));
+    const fact = this.facts.get(FactKeys.member(this.self.name));
     const value = fact?.value as MemberFact | undefined;
     if (fact === undefined || (value?.state === 'alive' && value.boot === this.self.boot)) return;
     this.incarnation = Math.max(this.incarnation, fact.version[0]) + 1;
-    this.say(this.self.name, 'alive', this.incarnation);
+    this.publish(this.self.name, 'alive', this.incarnation);
   }
 
   public heard(name: string): void {
-    this.missed.delete(name);
+    this.failedProbes.delete(name);
   }
 
-  /** One more ask without an answer; true when others should be asked before anything is said. */
+  /** Counts a failed probe; true once other agents should be asked to probe before the member is suspected. */
   public unheard(name: string): boolean {
-    const count = (this.missed.get(name) ?? 0) + 1;
-    this.missed.set(name, count);
+    const count = (this.failedProbes.get(name) ?? 0) + 1;
+    this.failedProbes.set(name, count);
     return count >= 2;
   }
 
   public suspect(name: string): void {
-    const fact = this.book.get(FactKeys.member(name));
+    const fact = this.facts.get(FactKeys.member(name));
     const member = fact?.value as MemberFact | undefined;
     if (fact === undefined || member?.state !== 'alive') return;
-    this.say(name, 'suspect', fact.version[0]);
-    this.log(`Daemon ${name} is suspected.`);
+    this.publish(name, 'suspect', fact.version[0]);
+    this.log(`Agent ${name} is suspected to have failed.`);
   }
 
   public leave(): void {
-    this.say(this.self.name, 'left', this.incarnation);
+    this.publish(this.self.name, 'left', this.incarnation);
   }
 
   public tick(): void {
     const now = this.clock.nowMicroseconds();
     for (const member of this.all()) {
       if (member.state === 'alive') {
-        this.suspectSince.delete(member.name);
+        this.notAliveSince.delete(member.name);
         continue;
       }
-      const since = this.suspectSince.get(member.name) ?? now;
-      this.suspectSince.set(member.name, since);
-      const fact = this.book.get(FactKeys.member(member.name));
+      const since = this.notAliveSince.get(member.name) ?? now;
+      this.notAliveSince.set(member.name, since);
+      const fact = this.facts.get(FactKeys.member(member.name));
       if (member.state === 'suspect' && now - since >= this.settings.goneMicroseconds) {
-        this.say(member.name, 'gone', fact?.version[0] ?? 0);
-        this.suspectSince.set(member.name, now);
-        this.log(`Daemon ${member.name} is gone.`);
+        this.publish(member.name, 'gone', fact?.version[0] ?? 0);
+        this.notAliveSince.set(member.name, now);
+        this.log(`Agent ${member.name} is considered dead.`);
       } else if (member.state !== 'suspect' && now - since >= this.settings.forgetMicroseconds) {
-        this.book.forget(FactKeys.member(member.name));
-        this.suspectSince.delete(member.name);
+        this.facts.forget(FactKeys.member(member.name));
+        this.notAliveSince.delete(member.name);
       }
     }
   }
 
   /**
-   * Why kept: whom all the others watch takes the square of the fleet to work out, and members change seldom. Why each only
-   * when it is asked for: while a whole fleet starts, members change far more often than anybody looks after others.
+   * The derived values are cached, because the assignment of probes costs the square of the fleet's size and members change seldom. Each
+   * is computed on first use, because while a whole fleet starts members change far more often than probes are sent.
    */
-  private drawnNow(): Drawn {
-    const changes = this.book.changesOf('member');
-    if (this.drawn?.changes === changes) return this.drawn;
+  private derivedNow(): DerivedMembers {
+    const memberChanges = this.facts.changesOf('member');
+    if (this.derived?.memberChanges === memberChanges) return this.derived;
     const { self, settings } = this;
-    const all = this.book.withPrefix('member/').map(({ value }) => value as MemberFact);
+    const all = this.facts.withPrefix('member/').map(({ value }) => value as MemberFact);
     const present = all.filter(MemberStates.isPresent);
     const names = present.map(({ name }) => name);
-    const near = present.filter(({ zone }) => zone === self.zone).map(({ name }) => name);
-    const watches = (name: string): boolean => {
+    const sameZone = present.filter(({ zone }) => zone === self.zone).map(({ name }) => name);
+    const isProbeTarget = (name: string): boolean => {
       const others = names.filter((other) => other !== name);
       const rank = Rendezvous.rank(name, self.name, others);
       return rank >= 0 && rank < settings.watchers;
     };
-    this.drawn = {
-      changes,
+    this.derived = {
+      memberChanges,
       all,
       present,
       names,
-      colleagues: once(() => Rendezvous.colleagues(self.name, names, settings.colleagues)),
-      neighbours: once(() => Rendezvous.colleagues(self.name, near, settings.colleagues)),
-      zoneSize: near.length,
-      watched: once(() => names.filter((name) => name !== self.name && watches(name))),
+      gossipPeers: once(() => Rendezvous.colleagues(self.name, names, settings.colleagues)),
+      zonePeers: once(() => Rendezvous.colleagues(self.name, sameZone, settings.colleagues)),
+      zoneSize: sameZone.length,
+      probeTargets: once(() => names.filter((name) => name !== self.name && isProbeTarget(name))),
     };
-    return this.drawn;
+    return this.derived;
   }
 
-  private named(names: readonly string[]): readonly MemberFact[] {
+  private membersNamed(names: readonly string[]): readonly MemberFact[] {
     return names.flatMap((name) => this.member(name) ?? []);
   }
 
-  private say(name: string, state: MemberState, incarnation: number): void {
+  private publish(name: string, state: MemberState, incarnation: number): void {
     const value: MemberFact =
       name === this.self.name ? { ...this.self, state } : { ...(this.member(name) as MemberFact), state };
-    this.book.put({ key: FactKeys.member(name), version: MemberVersions.of(incarnation, state), value });
+    this.facts.put({ key: FactKeys.member(name), version: MemberVersions.of(incarnation, state), value });
     void this.news.emit('changed', value);
   }
 }
--- a/source/edge-agent/stewards/dutyHolder.ts
+++ b/source/edge-agent/stewards/dutyHolder.ts
@@ -4,6 +4,7 @@
 import type { CoreLink } from '../core-link/coreLink';
 import type { MembersView } from '../../shared/register/majorityRead';
 
+/** The state of a lease at the agent: not held, requested, or held until a time on the agent's clock. */
 export type DutyState =
   | Readonly<{ kind: 'idle' }>
   | Readonly<{ kind: 'asking'; term: number }>
@@ -14,16 +15,18 @@
   | Readonly<{ kind: 'granted'; term: number; untilMicroseconds: number }>
   | Readonly<{ kind: 'ended' }>;
 
+/** One voter's answer to one ballot. */
 type BallotAnswer = Readonly<{
   duty: string;
   granted: boolean;
   term: number;
   holder: string;
   waitMicroseconds: number;
-  /** Missing: the keeper is of an earlier build, and forgets none. */
+  /** The highest term of any lease that the voter has forgotten. Missing: the voter runs an earlier build, which forgets none. */
   floor?: number;
 }>;
 
+/** The state machine of one lease on the holder's side. */
 export const DutyStates = {
   step: (state: DutyState, event: DutyEvent): DutyState => {
     switch (event.kind) {
@@ -38,25 +41,25 @@
 } as const;
 
 /**
- * Part of a lease that its holder does not use. Why: voters count the lease by their own clocks. Two clocks that each run
- * wrong by up to 5 per mille are 1 per cent apart, and the holder must stop first all the same.
+ * The part of a lease that its holder does not use. Voters measure the lease by their own clocks: two clocks that each drift by up to
+ * 5 per mille differ by 1 per cent, and the holder must still stop first.
  */
 export const unusedPerMille = 11;
 
-/** Starting value, ours: so many duties are named in one sentence. */
-const mostNamed = 6;
+/** The most leases named in one log line. */
+const maxLoggedLeases = 6;
 
 export type DutySettings = Readonly<{ leaseMicroseconds: number; askMicroseconds: number }>;
 
-/** One agent's side of all duties. It stops by its own clock before any voter may let the duty go. */
+/** The holder's side of all leases of one agent. By its own clock a lease ends before any voter may grant it to another candidate. */
 export class DutyHolder {
   private readonly states = new Map<string, DutyState>();
-  private readonly notBefore = new Map<string, number>();
+  private readonly retryNotBefore = new Map<string, number>();
   private readonly highestTerms = new Map<string, number>();
-  /** Why kept: a renewal may still be on its way when a duty is given back, and must not bring it back to life. */
-  private readonly givenBack = new Map<string, number>();
-  /** The highest term that voters say any duty they have forgotten may have had. */
-  private floor = 0;
+  /** Terms of released leases, so that a renewal still in flight at the release does not bring the lease back. */
+  private readonly releasedTerms = new Map<string, number>();
+  /** The highest term of any lease that voters have forgotten, as reported by them. */
+  private forgottenTermFloor = 0;
 
   public constructor(
     private readonly self: string,
@@ -66,76 +69,78 @@
     private readonly notice: Log = () => undefined,
   ) {}
 
-  /** The term when held at this very moment. Asked right before each act of a steward. */
-  public term(duty: string): number | undefined {
-    const state = this.states.get(duty);
+  /** The term of a lease that is held at this moment, else undefined. Checked right before each action under the lease. */
+  public term(lease: string): number | undefined {
+    const state = this.states.get(lease);
     return state?.kind === 'holding' && this.effects.clock.nowMicroseconds() < state.untilMicroseconds
       ? state.term
       : undefined;
   }
 
   public held(): readonly string[] {
-    return [...this.states.keys()].filter((duty) => this.term(duty) !== undefined);
+    return [...this.states.keys()].filter((lease) => this.term(lease) !== undefined);
   }
 
-  public sawTerm(duty: string, term: number): void {
-    if (term > (this.highestTerms.get(duty) ?? 0)) this.highestTerms.set(duty, term);
+  public sawTerm(lease: string, term: number): void {
+    if (term > (this.highestTerms.get(lease) ?? 0)) this.highestTerms.set(lease, term);
   }
 
-  public end(duty: string): void {
-    this.step(duty, { kind: 'ended' });
+  public end(lease: string): void {
+    this.transition(lease, { kind: 'ended' });
   }
 
-  /** Gives duties up: it holds them no more, and voters may let others have them at once. */
-  public async giveBack(duties: readonly string[]): Promise<void> {
-    const ballots = duties.flatMap((duty) => {
-      const term = this.term(duty);
-      return term === undefined ? [] : [{ duty, candidate: this.self, term }];
+  /** Releases leases: they are no longer held here, and voters may grant them to others at once. */
+  public async giveBack(leases: readonly string[]): Promise<void> {
+    const ballots = leases.flatMap((lease) => {
+      const term = this.term(lease);
+      return term === undefined ? [] : [{ duty: lease, candidate: this.self, term }];
     });
     for (const { duty, term } of ballots) {
       this.end(duty);
-      this.givenBack.set(duty, term);
+      this.releasedTerms.set(duty, term);
     }
     if (ballots.length > 0) await this.withdraw(ballots);
   }
 
-  /** A round of ballots for each duty named, renewals and new ones together; one message a keeper. */
+  /** Runs a voting round for each lease named, renewals and new ones together, with one message per control node. */
   public async ballot(wanted: readonly string[]): Promise<void> {
-    this.tellLapsed();
-    const outdated = await this.round(wanted);
-    // Why at once: who has just started knows no terms, and has learned them by now.
-    if (outdated.length > 0) await this.round(outdated);
+    this.logLapsed();
+    const outdated = await this.runRound(wanted);
+    // The second round follows at once: an agent that has just started knows no terms and has learned them from the refusals.
+    if (outdated.length > 0) await this.runRound(outdated);
   }
 
-  /** Why one sentence for all: when the core is away every duty lapses at once. */
-  private tellLapsed(): void {
-    const lapsed = [...this.states].flatMap(([duty, state]) =>
-      state.kind === 'holding' && this.term(duty) === undefined ? [duty] : [],
+  /** Logs one line for all lapsed leases, because all of them lapse together when the control nodes are unreachable. */
+  private logLapsed(): void {
+    const lapsed = [...this.states].flatMap(([lease, state]) =>
+      state.kind === 'holding' && this.term(lease) === undefined ? [lease] : [],
     );
     if (lapsed.length === 0) return;
-    for (const duty of lapsed) this.step(duty, { kind: 'ended' });
-    const more = lapsed.length > mostNamed ? ` and ${lapsed.length - mostNamed} more` : '';
-    this.notice(`Duties lapsed without renewal: ${lapsed.slice(0, mostNamed).join(', ')}${more}.`);
+    for (const lease of lapsed) this.transition(lease, { kind: 'ended' });
+    const more = lapsed.length > maxLoggedLeases ? ` and ${lapsed.length - maxLoggedLeases} more` : '';
+    this.notice(`Duties lapsed without renewal: ${lapsed.slice(0, maxLoggedLeases).join(', ')}${more}.`);
   }
 
-  /** Returns the duties whose ballots were refused for their low term alone. */
-  private async round(wanted: readonly string[]): Promise<readonly string[]> {
-    const asked = this.effects.clock.nowMicroseconds();
-    const duties = wanted.filter((duty) => this.term(duty) !== undefined || asked >= (this.notBefore.get(duty) ?? 0));
-    if (duties.length === 0) return [];
-    const ballots = duties.map((duty) => {
-      const held = this.term(duty);
-      const term = held ?? Math.max(this.floor, this.highestTerms.get(duty) ?? 0) + 1;
-      if (held === undefined) this.step(duty, { kind: 'asked', term });
-      return { duty, candidate: this.self, term, leaseMicroseconds: this.settings.leaseMicroseconds };
+  /** Returns the leases whose ballots were refused only because of an outdated term. */
+  private async runRound(wanted: readonly string[]): Promise<readonly string[]> {
+    const startMicroseconds = this.effects.clock.nowMicroseconds();
+    const leases = wanted.filter(
+      (lease) => this.term(lease) !== undefined || startMicroseconds >= (this.retryNotBefore.get(lease) ?? 0),
+    );
+    if (leases.length === 0) return [];
+    const ballots = leases.map((lease) => {
+      const heldTerm = this.term(lease);
+      const term = heldTerm ?? Math.max(this.forgottenTermFloor, this.highestTerms.get(lease) ?? 0) + 1;
+      if (heldTerm === undefined) this.transition(lease, { kind: 'asked', term });
+      return { duty: lease, candidate: this.self, term, leaseMicroseconds: this.settings.leaseMicroseconds };
     });
     const membersRevision = this.link.membersRevision();
     const sets = this.link.sets();
     const votes = new Map<string, string[]>();
     const outdated = new Set<string>();
-    const keepers = Object.entries(this.link.keepers());
+    const controlNodes = Object.entries(this.link.keepers());
     await Promise.all(
-      keepers.map(async ([keeper, { address }]) => {
+      controlNodes.map(async ([voter, { address }]) => {
         const answer = await this.effects.transport.ask(
           address,
           { kind: 'ballots', ballots, membersRevision },
@@ -146,42 +151,43 @@
         if (view !== undefined) this.link.learnView(view as MembersView);
         for (const vote of answer.message['answers'] as readonly BallotAnswer[]) {
           this.sawTerm(vote.duty, vote.term);
-          this.floor = Math.max(this.floor, vote.floor ?? 0);
+          this.forgottenTermFloor = Math.max(this.forgottenTermFloor, vote.floor ?? 0);
           if (!vote.granted && vote.waitMicroseconds === 0) outdated.add(vote.duty);
-          if (vote.granted) votes.set(vote.duty, [...(votes.get(vote.duty) ?? []), keeper]);
+          if (vote.granted) votes.set(vote.duty, [...(votes.get(vote.duty) ?? []), voter]);
         }
       }),
     );
-    const missed: typeof ballots = [];
-    const again: string[] = [];
+    const failedBallots: typeof ballots = [];
+    const retryAtOnce: string[] = [];
     for (const ballot of ballots) {
       const { duty, term } = ballot;
-      if (this.givenBack.get(duty) === term) continue;
-      // Why from the moment of asking: the voters count from later, so this end comes first.
+      if (this.releasedTerms.get(duty) === term) continue;
+      // The lease is counted from the sending of the request: voters count from a later moment, so it ends here first.
       if (Stamps.reached(sets, votes.get(duty) ?? []))
-        this.step(duty, {
+        this.transition(duty, {
           kind: 'granted',
           term,
-          untilMicroseconds: asked + Math.floor((this.settings.leaseMicroseconds * (1000 - unusedPerMille)) / 1000),
+          untilMicroseconds:
+            startMicroseconds + Math.floor((this.settings.leaseMicroseconds * (1000 - unusedPerMille)) / 1000),
         });
       else if (this.term(duty) === undefined) {
-        this.step(duty, { kind: 'ended' });
-        missed.push(ballot);
-        // Why not for those that were granted somewhere: a split vote is ended by chance, not in haste.
+        this.transition(duty, { kind: 'ended' });
+        failedBallots.push(ballot);
+        // A ballot that some voter granted is a split vote and is not retried at once; the random delay below resolves it.
         if (outdated.has(duty) && (votes.get(duty) ?? []).length === 0) {
-          again.push(duty);
+          retryAtOnce.push(duty);
           continue;
         }
-        // Why by chance: candidates that split the votes once would split them again in step.
-        this.notBefore.set(
+        // The delay is random, because candidates that split the votes once would split them again if they retried in step.
+        this.retryNotBefore.set(
           duty,
           this.effects.clock.nowMicroseconds() +
             Math.floor(this.effects.random.fraction() * this.settings.leaseMicroseconds * 0.4),
         );
-      } else this.notBefore.delete(duty);
+      } else this.retryNotBefore.delete(duty);
     }
-    if (missed.length > 0) await this.withdraw(missed);
-    return again;
+    if (failedBallots.length > 0) await this.withdraw(failedBallots);
+    return retryAtOnce;
   }
 
   private async withdraw(
@@ -195,7 +201,7 @@
     );
   }
 
-  private step(duty: string, event: DutyEvent): void {
-    this.states.set(duty, DutyStates.step(this.states.get(duty) ?? { kind: 'idle' }, event));
+  private transition(lease: string, event: DutyEvent): void {
+    this.states.set(lease, DutyStates.step(this.states.get(lease) ?? { kind: 'idle' }, event));
   }
 }
--- a/source/edge-agent/stewards/dutyLine.ts
+++ b/source/edge-agent/stewards/dutyLine.ts
@@ -6,41 +6,46 @@
 import type { Membership } from '../membership/membership';
 import type { DutyHolder } from './dutyHolder';
 
-/** A duty and the news that tells who has it. */
+/** A lease and the key of the gossip entry that names its holder. */
 export type DutySubject = Readonly<{ duty: string; factKey: string; name: string }>;
 
 export const DutySubjects = {
+  /** The control of one engine or store. */
   engine: (name: string): DutySubject => ({ duty: `engine/${name}`, factKey: FactKeys.steward(name), name }),
-  /** Reading the list of engines, where something outside the fleet keeps it. */
+  /** Reading the list of engines from a source outside the fleet. */
   list: { duty: 'list', factKey: FactKeys.listDuty, name: 'list' } satisfies DutySubject,
 } as const;
 
 export type DutyLineSettings = Readonly<{
+  /** A holder whose gossip entry has not changed for this time counts as absent. */
   vacantAfterMicroseconds: number;
+  /** The delay of a candidacy per place in the rendezvous order. */
   rankMicroseconds: number;
+  /** The time after the start without candidacies. */
   settleMicroseconds: number;
+  /** A lease is handed over after another agent was first in the order for this time. */
   giveBackMicroseconds: number;
-  /** How often a holder that goes on says so; 0: at each ballot. */
+  /** The interval at which a holder refreshes its gossip entry; 0: at each ballot. */
   heartbeatMicroseconds: number;
 }>;
 
-/** Starting value, ours: how much longer word of a holder may take in a large fleet. */
-const mostPatience = 2.5;
+/** The largest factor by which the absence timeout grows in a large fleet. */
+const maxAbsenceFactor = 2.5;
 
-/** Who is next in line for a duty: when to stand for one that seems vacant, when to hand one over. */
+/** Decides when this agent becomes a candidate for a lease that seems vacant and when it hands one over; announces holders by gossip. */
 export class DutyLine {
   private readonly vacantSince = new Map<string, number>();
-  private readonly misplacedSince = new Map<string, number>();
-  private readonly heartbeats = new Map<string, Readonly<{ mark: string; atMicroseconds: number }>>();
+  private readonly notFirstSince = new Map<string, number>();
+  private readonly heartbeats = new Map<string, Readonly<{ version: string; atMicroseconds: number }>>();
   private readonly startedMicroseconds: number;
-  private readonly said = new Map<string, number>();
-  private minor = 0;
-  /** Places in line by subject, as long as the members are the same. */
-  private ranks: Readonly<{ of: readonly string[]; bySubject: Map<string, number> }> = { of: [], bySubject: new Map() };
+  private readonly announcedMicroseconds = new Map<string, number>();
+  private announcements = 0;
+  /** Cached places in the rendezvous order by lease, valid while the members stay the same. */
+  private ranks: Readonly<{ names: readonly string[]; byName: Map<string, number> }> = { names: [], byName: new Map() };
 
   public constructor(
     private readonly self: string,
-    private readonly duties: DutyHolder,
+    private readonly leases: DutyHolder,
     private readonly membership: Membership,
     private readonly facts: FactBook,
     private readonly clock: Clock,
@@ -54,84 +59,85 @@
   }
 
   /**
-   * For how long at least no directive had left when the term right before this one was given up. Why only that one:
-   * of a term between nobody here knows whether it was held.
+   * The least time that had passed without a directive when the term right before this one was released; 0 if not known. After an older
+   * term it is not known, because a term in between may have been held.
    */
   public restBefore(subject: DutySubject, term: number): number {
     const fact = this.holderOf(subject);
     return fact !== undefined && fact.holder === '' && fact.term === term - 1 ? (fact.restMicroseconds ?? 0) : 0;
   }
 
-  /** What goes on is said again only so often: others need it to see that the holder is there, and no more. */
+  /** Refreshes an unchanged entry only at the heartbeat interval: others need it just to see that the holder is alive. */
   public saySometimes(subject: DutySubject, term: number, holder: string): void {
     const now = this.clock.nowMicroseconds();
     const known = this.facts.value<StewardFact>(subject.factKey);
-    const said = this.said.get(subject.duty) ?? -Infinity;
-    if (known?.holder !== holder || known.term !== term || now - said >= this.settings.heartbeatMicroseconds)
+    const announced = this.announcedMicroseconds.get(subject.duty) ?? -Infinity;
+    if (known?.holder !== holder || known.term !== term || now - announced >= this.settings.heartbeatMicroseconds)
       this.say(subject, term, holder);
   }
 
   public say(subject: DutySubject, term: number, holder: string, restMicroseconds?: number): void {
-    this.said.set(subject.duty, this.clock.nowMicroseconds());
-    this.minor += 1;
+    this.announcedMicroseconds.set(subject.duty, this.clock.nowMicroseconds());
+    this.announcements += 1;
     const rest = restMicroseconds === undefined ? {} : { restMicroseconds };
     const value: StewardFact = { engine: subject.name, holder, term, ...rest };
-    this.facts.put({ key: subject.factKey, version: [term, this.minor], value });
+    this.facts.put({ key: subject.factKey, version: [term, this.announcements], value });
   }
 
-  /** Whether a duty should be asked for: vacant for as long as this agent's place in line demands. */
+  /** Whether this agent should request a lease: it has been vacant for the delay that belongs to the agent's place in the order. */
   public standsFor(subject: DutySubject, names: readonly string[]): boolean {
-    const { duty } = subject;
+    const { duty: lease } = subject;
     const now = this.clock.nowMicroseconds();
     const fact = this.facts.get(subject.factKey);
     const value = fact?.value as StewardFact | undefined;
     if (fact !== undefined && value !== undefined) {
-      this.duties.sawTerm(duty, value.term);
-      const mark = fact.version.join('.');
-      const beat = this.heartbeats.get(duty);
-      if (beat?.mark !== mark) this.heartbeats.set(duty, { mark, atMicroseconds: now });
-      const fresh = now - (this.heartbeats.get(duty)?.atMicroseconds ?? 0) < this.vacantAfter(names.length);
-      if (fresh && value.holder !== this.self && this.membership.alive(value.holder)) {
-        this.vacantSince.delete(duty);
+      this.leases.sawTerm(lease, value.term);
+      const version = fact.version.join('.');
+      const heartbeat = this.heartbeats.get(lease);
+      if (heartbeat?.version !== version) this.heartbeats.set(lease, { version, atMicroseconds: now });
+      const isFresh =
+        now - (this.heartbeats.get(lease)?.atMicroseconds ?? 0) < this.absenceTimeoutMicroseconds(names.length);
+      if (isFresh && value.holder !== this.self && this.membership.alive(value.holder)) {
+        this.vacantSince.delete(lease);
         return false;
       }
     }
-    // Why wait at the start: an agent that knows only itself would win every duty.
+    // There are no candidacies right after the start, because an agent that does not know the others yet would win every lease.
     if (now - this.startedMicroseconds < this.settings.settleMicroseconds) return false;
-    const since = this.vacantSince.get(duty) ?? now;
-    this.vacantSince.set(duty, since);
+    const since = this.vacantSince.get(lease) ?? now;
+    this.vacantSince.set(lease, since);
     return now - since >= Math.max(0, this.rankOf(subject, names)) * this.settings.rankMicroseconds;
   }
 
-  /** Why kept: while a large fleet starts, every daemon looks at every duty again and again. */
+  /** The ranks are cached, because every agent checks every lease again and again while a large fleet starts. */
   private rankOf({ name }: DutySubject, names: readonly string[]): number {
-    if (this.ranks.of !== names) this.ranks = { of: names, bySubject: new Map() };
-    const known = this.ranks.bySubject.get(name);
+    if (this.ranks.names !== names) this.ranks = { names, byName: new Map() };
+    const known = this.ranks.byName.get(name);
     if (known !== undefined) return known;
     const rank = Rendezvous.rank(`steward/${name}`, this.self, names);
-    this.ranks.bySubject.set(name, rank);
+    this.ranks.byName.set(name, rank);
     return rank;
   }
 
-  /** Why longer among many: word of the holder goes from one to the next, and must not seem to have ended on its way. */
-  private vacantAfter(daemons: number): number {
-    return this.settings.vacantAfterMicroseconds * FleetPace.of(daemons, mostPatience);
+  /** Grows with the fleet, because the holder's heartbeat spreads by gossip over more hops and must not look expired on its way. */
+  private absenceTimeoutMicroseconds(agents: number): number {
+    return this.settings.vacantAfterMicroseconds * FleetPace.of(agents, maxAbsenceFactor);
   }
 
-  /** The one to hand the duty over to, once this agent has not been first in line for long enough. */
+  /** The agent to hand the lease over to, once another one has been first in the order for long enough. */
   public handsOver(subject: DutySubject, names: readonly string[]): string | undefined {
-    const { duty } = subject;
+    const { duty: lease } = subject;
     const now = this.clock.nowMicroseconds();
     const first = Rendezvous.first(`steward/${subject.name}`, names);
     if (first === this.self || first === undefined) {
-      this.misplacedSince.delete(duty);
+      this.notFirstSince.delete(lease);
       return undefined;
     }
-    const since = this.misplacedSince.get(duty) ?? now;
-    this.misplacedSince.set(duty, since);
+    const since = this.notFirstSince.get(lease) ?? now;
+    this.notFirstSince.set(lease, since);
     if (now - since < this.settings.giveBackMicroseconds) return undefined;
-    this.misplacedSince.delete(duty);
-    this.vacantSince.set(duty, now + this.settings.giveBackMicroseconds);
+    this.notFirstSince.delete(lease);
+    this.vacantSince.set(lease, now + this.settings.giveBackMicroseconds);
     return first;
   }
 }
--- a/source/edge-agent/stewards/engineSteward.ts
+++ b/source/edge-agent/stewards/engineSteward.ts
@@ -16,30 +16,30 @@
 
 export type EngineStewardSettings = Readonly<{ askMicroseconds: number; unreachableAfter: number }>;
 
-/** Starting value, ours: a fill of which nobody has spoken for so long is given up. */
-const fillMicroseconds = 30_000_000;
+/** A fill without any progress report for this time is given up. */
+const fillTimeoutMicroseconds = 30_000_000;
 
-/** Starting value, ours: longer than a proxy may act on a list that is not confirmed, and on its way besides. */
+/** Longer than a proxy may act on an unconfirmed list of engines, plus the time that a request takes to the engine. */
 const drainAfterMicroseconds = 2_000_000;
 
-/** One engine or store under one term: its status, its events, its directives and its grants. */
+/** Controls one engine or store under one lease term by polling: reads its status and events, sends directives, grants imports. */
 export class EngineSteward implements Steward {
   private readonly shard: ShardDirectory;
-  private readonly word: EngineWord;
-  private missed = 0;
-  private changing = false;
-  /** By the steady time: what is waited for is that the looks of others have grown too old. */
+  private readonly statusPublisher: EngineWord;
+  private failedPolls = 0;
+  private isChangingWeights = false;
+  /** On the steady clock. The wait that starts here ends when the proxies' observations of the engine have become too old to use. */
   private fencedMicroseconds: number;
-  private directed = '';
-  private look: Promise<void> = Promise.resolve();
+  private lastDirective = '';
+  private currentPoll: Promise<void> = Promise.resolve();
   private drainingSince: number | undefined;
 
   public constructor(
     public readonly name: string,
     public readonly term: number,
     private readonly self: string,
-    private readonly holds: () => boolean,
-    private readonly door: BackEndDoor,
+    private readonly holdsLease: () => boolean,
+    private readonly backEnds: BackEndDoor,
     private readonly facts: FactBook,
     shards: ShardBook,
     private readonly freshness: Freshness,
@@ -49,20 +49,20 @@
     kind: Engine['kind'],
     private readonly log: Log,
   ) {
-    // Why empty: what an earlier steward knew of fills in flight is not known here; committed blocks are ordered anew.
+    // The shard starts empty, because an earlier controller's fills in flight are not known here; committed blocks are requested anew.
     this.shard = new ShardDirectory(name, term, ShardLimits.usual, kind === 'engine', () => clock.nowMicroseconds());
     shards.set(name, this.shard.news);
-    this.word = new EngineWord(name, term, facts);
-    // Why from now: the steward before may have let the old names be used up to its last moment.
+    this.statusPublisher = new EngineWord(name, term, facts);
+    // The fence counts from now, because the previous controller may have allowed the old names until its last moment.
     this.fencedMicroseconds = clock.steadyMicroseconds();
   }
 
   public grant(fill: string, epoch: number, keys: readonly NamedKey[]): GrantAnswer {
-    return this.holds() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
+    return this.holdsLease() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
   }
 
   public note(note: DirectoryNote): void {
-    if (this.holds()) this.shard.note(note);
+    if (this.holdsLease()) this.shard.note(note);
   }
 
   public counts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
@@ -70,69 +70,69 @@
     return { committed: this.shard.news.size, used, quarantined, charged };
   }
 
-  /** One look at the engine; called again and again while the duty is held. */
+  /** Polls the engine once; called periodically while the lease is held. */
   public tend(engine: Engine): Promise<void> {
-    this.look = this.tendNow(engine);
-    return this.look;
+    this.currentPoll = this.reconcileNow(engine);
+    return this.currentPoll;
   }
 
-  /** Resolves when nothing is on its way to the engine any more. */
+  /** Resolves when no request to the engine is in flight any more. */
   public async quiet(): Promise<void> {
-    await this.look.catch(() => undefined);
+    await this.currentPoll.catch(() => undefined);
   }
 
-  private async tendNow(engine: Engine): Promise<void> {
-    const asked = this.clock.nowMicroseconds();
-    const status = await this.door.status(engine.address, this.settings.askMicroseconds);
-    if (!this.holds()) return;
+  private async reconcileNow(engine: Engine): Promise<void> {
+    const sentMicroseconds = this.clock.nowMicroseconds();
+    const status = await this.backEnds.status(engine.address, this.settings.askMicroseconds);
+    if (!this.holdsLease()) return;
     if (status === undefined) {
-      this.missed += 1;
-      if (this.missed >= this.settings.unreachableAfter) this.say(engine, undefined);
+      this.failedPolls += 1;
+      if (this.failedPolls >= this.settings.unreachableAfter) this.publishStatus(engine, undefined);
       return;
     }
-    this.missed = 0;
+    this.failedPolls = 0;
     if (this.shard.observe(status.bootEpoch, status.weights)) {
       this.fencedMicroseconds = this.clock.steadyMicroseconds();
       this.log(`The shard of ${this.name} is at epoch ${this.shard.epoch}.`);
     }
-    const drained = await this.direct(engine, status);
-    if (!this.holds()) return;
-    this.say(engine, drained ? { ...status, accepting: false } : status);
-    // Why not while it changes: nobody may name kept blocks of an engine that is about to run other weights.
-    if (!this.changing) this.pulses.saw(this.name, this.term, this.shard.epoch, asked);
-    this.shard.giveUpFills(this.clock.nowMicroseconds() - fillMicroseconds);
-    this.makeRoom();
+    const drained = await this.sendDirectiveIfDue(engine, status);
+    if (!this.holdsLease()) return;
+    this.publishStatus(engine, drained ? { ...status, accepting: false } : status);
+    // Not while the weights change: no proxy may reference cached blocks of an engine that is about to run other weights.
+    if (!this.isChangingWeights) this.pulses.saw(this.name, this.term, this.shard.epoch, sentMicroseconds);
+    this.shard.giveUpFills(this.clock.nowMicroseconds() - fillTimeoutMicroseconds);
+    this.fenceIfQuarantineFills();
     await this.readEvents(engine);
   }
 
-  /** Quarantine that fills up would end all imports; a new epoch with a fenced reclaim is the one way to free it. */
-  private makeRoom(): void {
+  /** A full quarantine would stop all imports; only a new epoch with a fenced reclaim frees it. */
+  private fenceIfQuarantineFills(): void {
     if (this.shard.quarantined * 2 < ShardLimits.usual.quarantinedBlocks) return;
     this.shard.fence();
-    this.log(`Half of the quarantine of ${this.name} is taken; its shard is fenced at epoch ${this.shard.epoch}.`);
+    this.log(`Half of the quarantine of ${this.name} is used; its shard is fenced at epoch ${this.shard.epoch}.`);
   }
 
-  /** True when the engine was told to take nothing more. */
-  private async direct(engine: Engine, status: EngineStatus): Promise<boolean> {
+  /** Sends the directive that is due, if any; true if it was a drain. */
+  private async sendDirectiveIfDue(engine: Engine, status: EngineStatus): Promise<boolean> {
     if (engine.kind !== 'engine') return false;
     const wanted = this.wantedDirective(engine, status);
-    const changes = wanted?.kind === 'loadWeights';
-    if (changes && !this.changing) {
-      // Why fence first: the engine keeps its blocks when it changes, and an order on its way could meet them on new weights.
+    const changesWeights = wanted?.kind === 'loadWeights';
+    if (changesWeights && !this.isChangingWeights) {
+      // The fence comes first: the engine keeps its blocks across the change, and a request in flight could use them on new weights.
       this.shard.fence();
       this.fencedMicroseconds = this.clock.steadyMicroseconds();
     }
-    this.changing = changes;
+    this.isChangingWeights = changesWeights;
     if (wanted === undefined) return false;
-    // Why say it first: proxies stop choosing the engine while it finishes what it has.
-    this.say(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);
-    if (changes && this.clock.steadyMicroseconds() - this.fencedMicroseconds < PulseLimits.quietMicroseconds)
+    // The status is published first, so that proxies stop choosing the engine while it finishes its requests.
+    this.publishStatus(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);
+    if (changesWeights && this.clock.steadyMicroseconds() - this.fencedMicroseconds < PulseLimits.quietMicroseconds)
       return false;
-    // Why again and again: a deaf or rebooted engine has forgotten it, and a directive given twice does no more than once.
-    const outcome = await this.door.directive(engine.address, wanted, this.settings.askMicroseconds);
+    // The directive is repeated, because an engine that missed it or has rebooted does not know it; directives are idempotent.
+    const outcome = await this.backEnds.directive(engine.address, wanted, this.settings.askMicroseconds);
     const label = `${wanted.kind} ${wanted.kind === 'loadWeights' ? wanted.weights : ''}`;
-    if (label !== this.directed) this.log(`Engine ${this.name} was told: ${label}: ${outcome}.`);
-    this.directed = label;
+    if (label !== this.lastDirective) this.log(`Sent directive ${label} to engine ${this.name}: ${outcome}.`);
+    this.lastDirective = label;
     return wanted.kind === 'drain';
   }
 
@@ -154,33 +154,34 @@
     }
     if (engine.state === 'ready') this.drainingSince = undefined;
     else this.drainingSince ??= this.clock.steadyMicroseconds();
-    // Why not at once: by then every proxy knows the list or takes nothing, so no order meets an engine that says no.
-    const allKnow = this.clock.steadyMicroseconds() - (this.drainingSince ?? Infinity) >= drainAfterMicroseconds;
-    if (engine.state === 'draining' && status.accepting && allKnow) return { kind: 'drain', ...base };
+    // The drain is delayed until every proxy knows the new list or accepts no requests, so that no request reaches a draining engine.
+    const proxiesKnow = this.clock.steadyMicroseconds() - (this.drainingSince ?? Infinity) >= drainAfterMicroseconds;
+    if (engine.state === 'draining' && status.accepting && proxiesKnow) return { kind: 'drain', ...base };
     if (engine.state === 'ready' && !status.accepting) return { kind: 'resume', ...base };
     return undefined;
   }
 
   private pool(service: string): Readonly<Record<string, EngineFact | undefined>> {
     const engines = Object.entries(this.freshness.engines?.engines ?? {}).filter(
-      ([, { kind, service: of, state }]) => kind === 'engine' && of === service && state === 'ready',
+      ([, { kind, service: engineService, state }]) =>
+        kind === 'engine' && engineService === service && state === 'ready',
     );
     return Object.fromEntries(engines.map(([name]) => [name, this.facts.value<EngineFact>(FactKeys.engine(name))]));
   }
 
-  private say(engine: Engine, status: EngineStatus | undefined): void {
-    this.word.say(engine, status, this.changing);
+  private publishStatus(engine: Engine, status: EngineStatus | undefined): void {
+    this.statusPublisher.say(engine, status, this.isChangingWeights);
   }
 
   private async readEvents(engine: Engine): Promise<void> {
     const { bootEpoch } = this.shard.news.present;
     const after = this.shard.after;
     if (after !== undefined) {
-      const read = await this.door.events(engine.address, after, bootEpoch, this.settings.askMicroseconds);
-      if (!this.holds() || read === undefined || read === 'later' || this.shard.events(read)) return;
-      this.log(`The events of ${this.name} have a gap; its list is read.`);
+      const read = await this.backEnds.events(engine.address, after, bootEpoch, this.settings.askMicroseconds);
+      if (!this.holdsLease() || read === undefined || read === 'later' || this.shard.events(read)) return;
+      this.log(`The events of ${this.name} have a gap; reading its whole list.`);
     }
-    const list = await this.door.list(engine.address, this.settings.askMicroseconds);
-    if (this.holds() && list !== undefined) this.shard.list(list);
+    const list = await this.backEnds.list(engine.address, this.settings.askMicroseconds);
+    if (this.holdsLease() && list !== undefined) this.shard.list(list);
   }
 }
--- a/source/edge-agent/stewards/engineWord.ts
+++ b/source/edge-agent/stewards/engineWord.ts
@@ -3,7 +3,7 @@
 import type { FactBook } from '../../shared/news/facts';
 import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
 
-/** A steward's word on its engine, said to the fleet only when it changes. */
+/** Publishes the status of an engine by gossip, only when it changes. */
 export class EngineWord {
   private sequence = 0;
 
@@ -13,26 +13,26 @@
     private readonly facts: FactBook,
   ) {}
 
-  /** Undefined: the engine does not answer. */
+  /** `status` is undefined if the engine does not answer. */
   public say(engine: Engine, status: EngineStatus | undefined, changing: boolean): void {
-    const before = this.facts.value<EngineFact>(FactKeys.engine(this.name));
+    const previous = this.facts.value<EngineFact>(FactKeys.engine(this.name));
     const value: EngineFact = {
       engine: this.name,
       kind: engine.kind === 'store' ? 'store' : 'engine',
       address: engine.address,
-      bootEpoch: status?.bootEpoch ?? before?.bootEpoch ?? '',
-      weights: status?.weights ?? before?.weights ?? '',
-      capacity: status?.capacity ?? before?.capacity ?? 0,
+      bootEpoch: status?.bootEpoch ?? previous?.bootEpoch ?? '',
+      weights: status?.weights ?? previous?.weights ?? '',
+      capacity: status?.capacity ?? previous?.capacity ?? 0,
       inFlight: status?.inFlight ?? 0,
       accepting: status?.accepting ?? false,
       changing,
       reachable: status !== undefined,
     };
-    // Why only changes: at rest the fleet should be quiet.
+    // Only changes are published, so that an idle fleet sends little gossip.
     if (
-      before !== undefined &&
+      previous !== undefined &&
       (this.facts.get(FactKeys.engine(this.name))?.version[0] ?? 0) === this.term &&
-      JSON.stringify(before) === JSON.stringify(value)
+      JSON.stringify(previous) === JSON.stringify(value)
     )
       return;
     this.sequence += 1;
--- a/source/edge-agent/stewards/eventReader.ts
+++ b/source/edge-agent/stewards/eventReader.ts
@@ -5,154 +5,158 @@
 
 export type EventReaderSettings = Readonly<{
   askMicroseconds: number;
-  /** How long a call is held, and the one that finds out whether the holder is there at all. */
+  /** How long the holder may delay its answer to a long poll. */
   holdMicroseconds: number;
+  /** The same for the polls that find out whether the holder answers at all. */
   firstHoldMicroseconds: number;
-  /** Least time between the beginnings of two calls. */
+  /** Least time between the starts of two calls. */
   pauseMicroseconds: number;
-  /** Calls in a row without an answer until the holder counts as away. */
+  /** Failed calls in a row after which the holder counts as unreachable. */
   unreachableAfter: number;
-  /** Least time between two readings of the holder's list. */
-  listMicroseconds: number;
+  /** Least time between two reads of the holder's whole list. */
+  listIntervalMicroseconds: number;
 }>;
 
-/** Starting values, ours. Why held no longer: an engine that says nothing any more is only seen when the call should be back. */
+/** The hold is short, because an engine that has stopped answering is only noticed when the call times out. */
 export const EventReaderDefaults: EventReaderSettings = {
   askMicroseconds: 350_000,
   holdMicroseconds: 400_000,
   firstHoldMicroseconds: 200_000,
   pauseMicroseconds: 250_000,
   unreachableAfter: 2,
-  listMicroseconds: 3_000_000,
+  listIntervalMicroseconds: 3_000_000,
 };
 
-const mostBackOffMicroseconds = 500_000;
-/** A list may be long. */
-const listMicroseconds = 700_000;
+const maxBackOffMicroseconds = 500_000;
+/** The timeout of a list call; a list may be long. */
+const listTimeoutMicroseconds = 700_000;
 
+/** Whether a cache holder answers. */
 export type HolderSight = Readonly<{ kind: 'unknown' | 'there' | 'away' }>;
 
-/** Reads one holder's events in one held call after the other, which is also how it sees that the holder lives. */
+/** Reads one cache holder's events by long polling, which also serves as the health check of the holder. */
 export class EventReader {
   private readonly notice = Logs.part('agent:notice');
-  private sightNow: HolderSight = { kind: 'unknown' };
-  private missed = 0;
-  private calling = false;
-  private stopped = false;
-  private nextMicroseconds = 0;
-  /** Another one answers in its place: whatever that says is not about this one. */
-  private replaced = false;
-  private listNeeded = false;
-  private listedMicroseconds = -Infinity;
+  private currentReachability: HolderSight = { kind: 'unknown' };
+  private failedCalls = 0;
+  private isCalling = false;
+  private isStopped = false;
+  private nextCallMicroseconds = 0;
+  /** Whether another process answers at the address; its answers do not describe this holder. */
+  private isReplaced = false;
+  private isListNeeded = false;
+  private lastListMicroseconds = -Infinity;
 
   public constructor(
     private readonly name: string,
     private readonly shard: ShardDirectory,
-    private readonly holds: () => boolean,
-    private readonly door: BackEndDoor,
+    private readonly holdsLease: () => boolean,
+    private readonly backEnds: BackEndDoor,
     private readonly clock: Clock,
     private readonly settings: EventReaderSettings,
-    /** Whether its name is that of one life, so that another boot is another engine. */
-    private readonly namesLife: boolean,
-    /** The boot that a steward before saw; empty: none did. */
-    private lifeBoot: string,
-    /** The weights that the holder is known to be on; empty where it has none. */
+    /** Whether the name stands for one process run, so that another boot epoch is another engine. */
+    private readonly isNamePerBoot: boolean,
+    /** The boot epoch seen by a previous controller; empty if none saw one. */
+    private knownBootEpoch: string,
+    /** The weights that the holder runs; empty if it has none. */
     private readonly weights: () => string,
-    private readonly changed: () => void,
+    private readonly onChange: () => void,
     private readonly log: Log,
   ) {}
 
   public get sight(): HolderSight {
-    return this.sightNow;
+    return this.currentReachability;
   }
 
   public stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
-  /** Begins the next call when it is due. Called again and again; never two calls at once. */
+  /** Starts the next call if it is due. Called periodically; there are never two calls at once. */
   public tick(address: string): void {
-    if (this.calling || this.stopped || this.clock.nowMicroseconds() < this.nextMicroseconds) return;
-    this.calling = true;
+    if (this.isCalling || this.isStopped || this.clock.nowMicroseconds() < this.nextCallMicroseconds) return;
+    this.isCalling = true;
     void this.call(address)
       .catch((error: unknown) => this.log(`A call for the events of ${this.name} failed: ${String(error)}.`))
       .finally(() => {
-        this.calling = false;
+        this.isCalling = false;
       });
   }
 
   private async call(address: string): Promise<void> {
-    const asked = this.clock.nowMicroseconds();
-    // Why short at first, and after a miss: whether the holder is there must be known soon.
+    const startMicroseconds = this.clock.nowMicroseconds();
+    // The first poll, and one after a failed call, is short, because it must soon be known whether the holder answers.
     const hold =
-      this.sightNow.kind === 'there' && this.missed === 0
+      this.currentReachability.kind === 'there' && this.failedCalls === 0
         ? this.settings.holdMicroseconds
         : this.settings.firstHoldMicroseconds;
-    this.nextMicroseconds = asked + this.settings.pauseMicroseconds;
+    this.nextCallMicroseconds = startMicroseconds + this.settings.pauseMicroseconds;
     const { bootEpoch } = this.shard.news.present;
     const after = this.shard.after ?? 0;
     const limit = hold + this.settings.askMicroseconds;
-    const read = await this.door.events(address, after, bootEpoch, limit, hold, this.meant());
-    if (!this.holds() || this.stopped) return;
-    if (this.isAnother(read)) {
-      // Why for good: a life that is over does not come back, and orders for it would all be turned away.
-      this.replaced = true;
-      this.missed = this.settings.unreachableAfter;
+    const read = await this.backEnds.events(address, after, bootEpoch, limit, hold, this.expectedName());
+    if (!this.holdsLease() || this.isStopped) return;
+    if (this.isOtherProcess(read)) {
+      // This is final: a process that has ended does not come back, and all requests for it would be rejected.
+      this.isReplaced = true;
+      this.failedCalls = this.settings.unreachableAfter;
     }
-    if (read === undefined || this.replaced) return this.miss();
-    this.missed = 0;
-    if (this.sightNow.kind === 'away') this.notice(`Holder ${this.name} answers again.`);
-    this.sightNow = { kind: 'there' };
-    if (read === 'later') this.nextMicroseconds = this.clock.nowMicroseconds() + mostBackOffMicroseconds;
-    else await this.take(address, read, after);
-    if (this.holds() && !this.stopped) this.changed();
+    if (read === undefined || this.isReplaced) return this.recordFailure();
+    this.failedCalls = 0;
+    if (this.currentReachability.kind === 'away') this.notice(`Cache holder ${this.name} answers again.`);
+    this.currentReachability = { kind: 'there' };
+    if (read === 'later') this.nextCallMicroseconds = this.clock.nowMicroseconds() + maxBackOffMicroseconds;
+    else await this.applyEvents(address, read, after);
+    if (this.holdsLease() && !this.isStopped) this.onChange();
   }
 
-  private isAnother(read: KvEvents | 'later' | undefined): boolean {
-    if (!this.namesLife || read === undefined || read === 'later') return false;
-    if (this.lifeBoot === '') this.lifeBoot = read.bootEpoch;
-    return read.bootEpoch !== this.lifeBoot;
+  private isOtherProcess(read: KvEvents | 'later' | undefined): boolean {
+    if (!this.isNamePerBoot || read === undefined || read === 'later') return false;
+    if (this.knownBootEpoch === '') this.knownBootEpoch = read.bootEpoch;
+    return read.bootEpoch !== this.knownBootEpoch;
   }
 
-  private meant(): string | undefined {
-    return this.namesLife ? this.name : undefined;
+  private expectedName(): string | undefined {
+    return this.isNamePerBoot ? this.name : undefined;
   }
 
-  private miss(): void {
-    this.missed += 1;
+  private recordFailure(): void {
+    this.failedCalls += 1;
     const now = this.clock.nowMicroseconds();
-    if (this.missed < this.settings.unreachableAfter) {
-      // Why at once: a call that breaks off is the first sign of an engine that is gone.
-      this.nextMicroseconds = now;
+    if (this.failedCalls < this.settings.unreachableAfter) {
+      // The retry follows at once, because a broken call is the first sign of a failed engine.
+      this.nextCallMicroseconds = now;
       return;
     }
-    if (this.sightNow.kind !== 'away')
-      this.notice(`Holder ${this.name} ${this.replaced ? 'is over, another one answers' : 'does not answer'}.`);
-    this.sightNow = { kind: 'away' };
-    const backOff = this.settings.pauseMicroseconds * 2 ** (this.missed - this.settings.unreachableAfter);
-    this.nextMicroseconds = now + Math.min(mostBackOffMicroseconds, backOff);
-    this.changed();
+    if (this.currentReachability.kind !== 'away')
+      this.notice(
+        `Cache holder ${this.name} ${this.isReplaced ? 'was replaced by another process' : 'does not answer'}.`,
+      );
+    this.currentReachability = { kind: 'away' };
+    const backOff = this.settings.pauseMicroseconds * 2 ** (this.failedCalls - this.settings.unreachableAfter);
+    this.nextCallMicroseconds = now + Math.min(maxBackOffMicroseconds, backOff);
+    this.onChange();
   }
 
-  private async take(address: string, read: KvEvents, after: number): Promise<void> {
+  private async applyEvents(address: string, read: KvEvents, after: number): Promise<void> {
     const known = this.shard.news.present.bootEpoch;
     if (this.shard.observe(read.bootEpoch, this.weights())) {
       this.log(`The shard of ${this.name} is at epoch ${this.shard.epoch}.`);
-      // Why from the start: the numbers of another boot say nothing about this one's events.
+      // Reading starts anew, because event numbers of another boot do not apply to this one.
       if (known !== read.bootEpoch && after > 0) {
-        this.nextMicroseconds = this.clock.nowMicroseconds();
+        this.nextCallMicroseconds = this.clock.nowMicroseconds();
         return;
       }
     }
-    if (!this.shard.events(read)) this.listNeeded = true;
+    if (!this.shard.events(read)) this.isListNeeded = true;
     const now = this.clock.nowMicroseconds();
-    // Why rationed: a list holds up the holder's work, and what it would mend costs only a reading.
-    if (!this.listNeeded || now - this.listedMicroseconds < this.settings.listMicroseconds) return;
-    this.listedMicroseconds = now;
-    const list = await this.door.list(address, listMicroseconds, this.meant());
-    if (list === undefined || !this.holds() || this.stopped) return;
-    this.listNeeded = false;
+    // The rate of list reads is limited, because a list delays the holder's work and missing entries only cost cache misses.
+    if (!this.isListNeeded || now - this.lastListMicroseconds < this.settings.listIntervalMicroseconds) return;
+    this.lastListMicroseconds = now;
+    const list = await this.backEnds.list(address, listTimeoutMicroseconds, this.expectedName());
+    if (list === undefined || !this.holdsLease() || this.isStopped) return;
+    this.isListNeeded = false;
     this.shard.list(list);
-    this.log(`The list of ${this.name} was read: ${list.keys.length} parts.`);
+    this.log(`Read the list of ${this.name}: ${list.keys.length} parts.`);
   }
 }
--- a/source/edge-agent/stewards/heldSteward.ts
+++ b/source/edge-agent/stewards/heldSteward.ts
@@ -17,16 +17,17 @@
 export type HeldStewardSettings = Readonly<{
   askMicroseconds: number;
   events: EventReaderSettings;
-  /** How often an engine is looked at while nothing happens, and while it changes. */
+  /** The interval of status requests to an idle engine. */
   statusMicroseconds: number;
+  /** The interval of status requests while an engine changes its weights. */
   changingLookMicroseconds: number;
-  /** So long after it was said that an engine changes it is told to: by then no proxy chooses it. */
+  /** The delay from publishing that an engine changes its weights to the directive: by then no proxy chooses the engine. */
   markMicroseconds: () => number;
-  /** So long after its duty began a steward gives no directive: the one before may have given one until then. */
+  /** The time after the start of its lease without directives: until then one of the previous controller may still arrive. */
   directiveWaitMicroseconds: number;
-  /** Within this time of their taking new weights stand everywhere. */
+  /** The time limit for new weights, from the acceptance of the change until all engines run them. */
   weightsWithinMicroseconds: number;
-  /** Smallest part of a prompt worth telling the fleet of. */
+  /** The size of the smallest prompt part that is published to the fleet. */
   leastPart: number;
 }>;
 
@@ -39,52 +40,52 @@
   leastPart: 512,
 } as const;
 
-/** A status shows an engine as it was a moment before. */
+/** How far a status may lag behind the state of the engine. */
 const statusLagMicroseconds = 600_000;
 
-type Look = Readonly<{ status: EngineStatus; atMicroseconds: number }>;
+type ObservedStatus = Readonly<{ status: EngineStatus; atMicroseconds: number }>;
 
-/** The steward of a holder whose events calls are held: it lives by them, and looks at the engine only when it must. */
+/** Controls a cache holder that supports long polling for events: it follows the events and requests the status only when needed. */
 export class HeldSteward implements Steward {
   private readonly shard: ShardDirectory;
   private readonly reader: EventReader;
-  private readonly word: EngineWord;
+  private readonly statusPublisher: EngineWord;
   private weightsWithinMicroseconds: number;
-  private readonly sinceMicroseconds: number;
+  private readonly leaseStartMicroseconds: number;
   private work: Promise<void> = Promise.resolve();
-  private working = false;
+  private isWorking = false;
   private engine: Engine;
-  private looked: Look | undefined;
-  private nextLookMicroseconds = -Infinity;
-  /** By the steady time: since when no directive has left, as far as it can be told. */
-  private restSince: number;
-  private directed: Readonly<{ weights: string; atMicroseconds: number }> | undefined;
-  private changing = false;
-  private markedMicroseconds = 0;
-  /** By the clock that looks go by. */
+  private lastObserved: ObservedStatus | undefined;
+  private nextStatusMicroseconds = -Infinity;
+  /** On the steady clock: since when no directive is known to have been sent. */
+  private noDirectiveSince: number;
+  private lastDirective: Readonly<{ weights: string; atMicroseconds: number }> | undefined;
+  private isChangingWeights = false;
+  private changePublishedMicroseconds = 0;
+  /** On the same clock as the times of the status requests. */
   private changingSince = -Infinity;
-  private known = false;
-  private salts: ReadonlySet<string> | undefined;
+  private hasPublishedShard = false;
+  private spreadSalts: ReadonlySet<string> | undefined;
 
   public constructor(
     public readonly name: string,
     public readonly term: number,
     private readonly self: string,
-    private readonly holds: () => boolean,
-    private readonly door: BackEndDoor,
+    private readonly holdsLease: () => boolean,
+    private readonly backEnds: BackEndDoor,
     private readonly facts: FactBook,
     private readonly shards: ShardBook,
     private readonly freshness: Freshness,
     private readonly clock: Clock,
     private readonly settings: HeldStewardSettings,
-    /** For how long the steward before had given no directive when it gave the duty up. */
-    private readonly restBeforeMicroseconds: number,
+    /** For how long the previous controller had sent no directive when it released the lease. */
+    private readonly previousNoDirectiveMicroseconds: number,
     private readonly liveSalts: LiveSalts,
     engine: Engine,
     private readonly log: Log,
   ) {
     this.engine = engine;
-    this.word = new EngineWord(name, term, facts);
+    this.statusPublisher = new EngineWord(name, term, facts);
     this.weightsWithinMicroseconds = settings.weightsWithinMicroseconds;
     const limits = { ...ShardLimits.usual, leastSize: settings.leastPart };
     this.shard = new ShardDirectory(
@@ -98,19 +99,19 @@
     this.reader = new EventReader(
       name,
       this.shard,
-      holds,
-      door,
+      holdsLease,
+      backEnds,
       clock,
       settings.events,
       engine.kind === 'engine',
       facts.value<EngineFact>(FactKeys.engine(name))?.bootEpoch ?? '',
-      () => this.status()?.weights ?? '',
-      () => this.heard(),
+      () => this.knownStatus()?.weights ?? '',
+      () => this.onEventsCall(),
       log,
     );
-    // Why by the steady time: it is never ahead, and the steward before must have ended by then.
-    this.sinceMicroseconds = clock.steadyMicroseconds();
-    this.restSince = this.sinceMicroseconds - restBeforeMicroseconds;
+    // The steady clock is used because it never runs ahead: the previous controller's lease must have ended by then.
+    this.leaseStartMicroseconds = clock.steadyMicroseconds();
+    this.noDirectiveSince = this.leaseStartMicroseconds - previousNoDirectiveMicroseconds;
   }
 
   public weightsWithinIs(microseconds: number): void {
@@ -118,14 +119,14 @@
   }
 
   public grant(fill: string, epoch: number, keys: readonly NamedKey[]): GrantAnswer {
-    return this.holds() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
+    return this.holdsLease() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
   }
 
   public restMicroseconds(): number {
-    return this.clock.steadyMicroseconds() - this.restSince;
+    return this.clock.steadyMicroseconds() - this.noDirectiveSince;
   }
 
-  /** Names follow from the identity, so there is nothing to register and nothing to attest. */
+  /** Does nothing: names are derived from the identity, so there is nothing to register or to attest. */
   public note(): void {
     return;
   }
@@ -138,14 +139,14 @@
   public tend(engine: Engine): Promise<void> {
     this.engine = engine;
     this.reader.tick(engine.address);
-    this.spread();
-    // Why not awaited by the others: a look at one engine must not hold up the stewards of all.
-    if (engine.kind === 'engine' && !this.working) {
-      this.working = true;
-      this.work = this.tendEngine().finally(() => {
-        this.working = false;
+    this.updateSpreadFilter();
+    // The work is not awaited, because a slow engine must not delay the controllers of the others.
+    if (engine.kind === 'engine' && !this.isWorking) {
+      this.isWorking = true;
+      this.work = this.reconcileEngine().finally(() => {
+        this.isWorking = false;
       });
-      this.work.catch((error: unknown) => this.log(`A step of the steward of ${this.name} failed: ${String(error)}.`));
+      this.work.catch((error: unknown) => this.log(`Controlling ${this.name} failed: ${String(error)}.`));
     }
     return Promise.resolve();
   }
@@ -159,15 +160,20 @@
     this.reader.stop();
   }
 
-  /** What the engine is known to be like: its own word, and until there is one that of the list. */
-  private status(): EngineStatus | undefined {
+  /** The known status of the engine: its own last answer, or what the list of engines says until there is one. */
+  private knownStatus(): EngineStatus | undefined {
     const { bootEpoch } = this.shard.news.present;
     const model = this.pool()?.model ?? '';
     const { capacity = 0, weights } = this.engine;
     if (this.engine.kind === 'store') return { bootEpoch, weights: '', capacity: 0, inFlight: 0, accepting: true };
-    const own = this.looked?.status;
-    if (own !== undefined)
-      return { ...own, bootEpoch, weights: own.models?.[model] ?? own.weights, capacity: own.capacity || capacity };
+    const observed = this.lastObserved?.status;
+    if (observed !== undefined)
+      return {
+        ...observed,
+        bootEpoch,
+        weights: observed.models?.[model] ?? observed.weights,
+        capacity: observed.capacity || capacity,
+      };
     return weights === undefined
       ? undefined
       : { bootEpoch, weights: weights[model] ?? '', capacity, inFlight: 0, accepting: true };
@@ -178,97 +184,104 @@
     return service?.kind === 'pool' ? service : undefined;
   }
 
-  /** An events call came back, or the holder went away. */
-  private heard(): void {
+  /** Called when an events call was answered or the holder has become unreachable. */
+  private onEventsCall(): void {
     const { kind } = this.reader.sight;
     if (kind === 'there') {
-      // Why only now: what the steward before knew is better than nothing, and no worse than what is known here.
-      if (!this.known) this.shards.set(this.name, this.shard.news);
-      this.known = true;
+      // The shard of the previous controller is replaced only now: until the first events arrive, this one knows no more.
+      if (!this.hasPublishedShard) this.shards.set(this.name, this.shard.news);
+      this.hasPublishedShard = true;
     }
-    this.say();
+    this.publishStatus();
   }
 
-  private say(): void {
+  private publishStatus(): void {
     const { kind } = this.reader.sight;
     if (kind === 'unknown') return;
-    const status = this.status();
-    if (kind === 'away') this.word.say(this.engine, undefined, this.changing);
-    else if (status !== undefined) this.word.say(this.engine, status, this.changing);
+    const status = this.knownStatus();
+    if (kind === 'away') this.statusPublisher.say(this.engine, undefined, this.isChangingWeights);
+    else if (status !== undefined) this.statusPublisher.say(this.engine, status, this.isChangingWeights);
   }
 
-  private spread(): void {
+  private updateSpreadFilter(): void {
     const salts =
       this.engine.kind === 'store'
         ? this.liveSalts.store()
         : this.liveSalts.engine(this.engine.service, this.shard.news.present.weights);
-    if (salts === this.salts) return;
-    this.salts = salts;
+    if (salts === this.spreadSalts) return;
+    this.spreadSalts = salts;
     this.shard.spreadOnly((name) => salts === undefined || salts.has(name.slice(0, name.lastIndexOf('/'))));
   }
 
-  private async tendEngine(): Promise<void> {
+  private async reconcileEngine(): Promise<void> {
     if (this.reader.sight.kind !== 'there') return;
-    if (this.lookIsDue()) await this.look();
-    const status = this.status();
-    if (status === undefined || !this.holds()) return;
+    if (this.isStatusDue()) await this.requestStatus();
+    const status = this.knownStatus();
+    if (status === undefined || !this.holdsLease()) return;
     this.shard.observe(this.shard.news.present.bootEpoch, status.weights);
-    const wanted = this.wanted(status);
-    if (wanted === undefined) {
-      this.changing = status.busy === true;
-      this.say();
+    const dueDirective = this.directiveIfDue(status);
+    if (dueDirective === undefined) {
+      this.isChangingWeights = status.busy === true;
+      this.publishStatus();
       return;
     }
-    if (this.stillWaitsMicroseconds() > 0) return;
-    if (!this.changing) {
-      this.changing = true;
-      this.markedMicroseconds = this.clock.steadyMicroseconds();
+    if (this.directiveWaitLeftMicroseconds() > 0) return;
+    if (!this.isChangingWeights) {
+      this.isChangingWeights = true;
+      this.changePublishedMicroseconds = this.clock.steadyMicroseconds();
       this.changingSince = this.clock.nowMicroseconds();
     }
-    this.say();
-    if (this.clock.steadyMicroseconds() - this.markedMicroseconds < this.settings.markMicroseconds()) return;
-    if (status.busy !== true && this.mayDirect(wanted.weights)) await this.direct(wanted);
+    this.publishStatus();
+    if (this.clock.steadyMicroseconds() - this.changePublishedMicroseconds < this.settings.markMicroseconds()) return;
+    if (status.busy !== true && this.maySendDirective(dueDirective.weights)) await this.sendDirective(dueDirective);
   }
 
-  /** Why none for a first holder: nobody gave directives before it. Negative: so long it has been free to. */
-  private stillWaitsMicroseconds(): number {
-    const wait = this.term <= 1 ? 0 : this.settings.directiveWaitMicroseconds - this.restBeforeMicroseconds;
-    return this.sinceMicroseconds + wait - this.clock.steadyMicroseconds();
+  /** The remaining wait before directives may be sent; negative after its end. The first holder of a lease has no predecessor to wait for. */
+  private directiveWaitLeftMicroseconds(): number {
+    const wait = this.term <= 1 ? 0 : this.settings.directiveWaitMicroseconds - this.previousNoDirectiveMicroseconds;
+    return this.leaseStartMicroseconds + wait - this.clock.steadyMicroseconds();
   }
 
-  private lookIsDue(): boolean {
+  private isStatusDue(): boolean {
     const now = this.clock.nowMicroseconds();
-    if (now < this.nextLookMicroseconds) return false;
-    if (this.looked === undefined && this.engine.weights === undefined) return true;
-    // Why before it is told to: the list may be late, and an order that holds already need not be given.
-    if (this.changing && (this.looked === undefined || this.looked.atMicroseconds < this.changingSince)) return true;
-    if (this.directed !== undefined && this.status()?.weights !== this.directed.weights) return true;
-    if (this.looked?.status.busy === true) return true;
-    const last = this.looked?.atMicroseconds;
-    return last !== undefined && now - last >= this.settings.statusMicroseconds;
+    if (now < this.nextStatusMicroseconds) return false;
+    if (this.lastObserved === undefined && this.engine.weights === undefined) return true;
+    // A status is requested before the directive, because the list of engines may be outdated and the engine may run the weights already.
+    if (
+      this.isChangingWeights &&
+      (this.lastObserved === undefined || this.lastObserved.atMicroseconds < this.changingSince)
+    )
+      return true;
+    if (this.lastDirective !== undefined && this.knownStatus()?.weights !== this.lastDirective.weights) return true;
+    if (this.lastObserved?.status.busy === true) return true;
+    const lastMicroseconds = this.lastObserved?.atMicroseconds;
+    return lastMicroseconds !== undefined && now - lastMicroseconds >= this.settings.statusMicroseconds;
   }
 
-  private async look(): Promise<void> {
-    const asked = this.clock.nowMicroseconds();
-    const status = await this.door.status(this.engine.address, this.settings.askMicroseconds, this.name);
-    this.nextLookMicroseconds = asked + this.settings.changingLookMicroseconds;
-    if (status !== undefined && this.holds()) this.looked = { status, atMicroseconds: asked };
+  private async requestStatus(): Promise<void> {
+    const sentMicroseconds = this.clock.nowMicroseconds();
+    const status = await this.backEnds.status(this.engine.address, this.settings.askMicroseconds, this.name);
+    this.nextStatusMicroseconds = sentMicroseconds + this.settings.changingLookMicroseconds;
+    if (status !== undefined && this.holdsLease()) this.lastObserved = { status, atMicroseconds: sentMicroseconds };
   }
 
-  /** An engine that leaves gets no more weights: it would not live to use them. */
-  private wanted(status: EngineStatus): Extract<Directive, { kind: 'loadWeights' }> | undefined {
+  /** The directive to load new weights if it is due. An engine that is leaving the fleet gets none, as it would not serve with them. */
+  private directiveIfDue(status: EngineStatus): Extract<Directive, { kind: 'loadWeights' }> | undefined {
     const { service, state } = this.engine;
     const intended = this.freshness.weightsSince(service);
     const pool = this.pool();
     if (state !== 'ready' || pool === undefined || intended === undefined || pool.weights !== intended.weights)
       return undefined;
-    // Why not an engine without the model: there is nothing on it to bring to other weights.
+    // Empty weights mean that the engine does not run the model, so there is nothing to change on it.
     if (status.weights === intended.weights || status.weights === '') return undefined;
     const limit = this.weightsWithinMicroseconds;
     const now = this.clock.nowMicroseconds();
-    const mayFrom = now + this.stillWaitsMicroseconds();
-    // Why go on: what was begun is seen through, whatever the others do meanwhile.
-    if (!this.changing && !WeightsRounds.isDue(this.name, intended, this.poolFacts(), service, now, limit, mayFrom))
+    const mayFromMicroseconds = now + this.directiveWaitLeftMicroseconds();
+    // A change that has begun is completed, whatever the other engines do meanwhile.
+    if (
+      !this.isChangingWeights &&
+      !WeightsRounds.isDue(this.name, intended, this.poolFacts(), service, now, limit, mayFromMicroseconds)
+    )
       return undefined;
     return {
       kind: 'loadWeights',
@@ -281,23 +294,28 @@
     };
   }
 
-  /** Why a look first: an order that got no answer may have been taken, and one that holds need not be given again. */
-  private mayDirect(weights: string): boolean {
-    const looked = this.looked?.atMicroseconds ?? -Infinity;
-    if (looked < this.changingSince) return false;
-    return this.directed?.weights !== weights || looked > this.directed.atMicroseconds + statusLagMicroseconds;
+  /** Requires a newer status first: a directive without an answer may have been accepted, and one in effect need not be repeated. */
+  private maySendDirective(weights: string): boolean {
+    const observedMicroseconds = this.lastObserved?.atMicroseconds ?? -Infinity;
+    if (observedMicroseconds < this.changingSince) return false;
+    return (
+      this.lastDirective?.weights !== weights ||
+      observedMicroseconds > this.lastDirective.atMicroseconds + statusLagMicroseconds
+    );
   }
 
-  private async direct(wanted: Extract<Directive, { kind: 'loadWeights' }>): Promise<void> {
-    // Why right before: the lease may have ended while the engine was looked at.
-    if (!this.holds()) return;
+  private async sendDirective(directive: Extract<Directive, { kind: 'loadWeights' }>): Promise<void> {
+    // The lease is checked right before sending, because it may have ended during the status request.
+    if (!this.holdsLease()) return;
     const atMicroseconds = this.clock.nowMicroseconds();
-    this.directed = { weights: wanted.weights, atMicroseconds };
-    const outcome = await this.door.directive(this.engine.address, wanted, this.settings.askMicroseconds);
-    // Why after the answer, or the limit: it may have been on its way until now.
-    this.restSince = this.clock.steadyMicroseconds();
-    this.log(`Engine ${this.name} was told to load ${wanted.weights} under term ${this.term}: ${outcome}.`);
-    this.nextLookMicroseconds = this.clock.nowMicroseconds() + this.settings.changingLookMicroseconds;
+    this.lastDirective = { weights: directive.weights, atMicroseconds };
+    const outcome = await this.backEnds.directive(this.engine.address, directive, this.settings.askMicroseconds);
+    // The time is taken after the answer or the timeout, because the directive may have been in flight until now.
+    this.noDirectiveSince = this.clock.steadyMicroseconds();
+    this.log(
+      `Sent engine ${this.name} the directive to load ${directive.weights} under term ${this.term}: ${outcome}.`,
+    );
+    this.nextStatusMicroseconds = this.clock.nowMicroseconds() + this.settings.changingLookMicroseconds;
   }
 
   private poolFacts(): Readonly<Record<string, EngineFact | undefined>> {
--- a/source/edge-agent/stewards/liveSalts.ts
+++ b/source/edge-agent/stewards/liveSalts.ts
@@ -5,20 +5,20 @@
 
 type Salts = ReadonlySet<string>;
 
-/** Under which salts parts may still be asked for. */
+/** The cache salts under which requests may still look up prompt parts. */
 export class LiveSalts {
-  private of: Blueprint | undefined;
-  private readonly sets = new Map<string, Salts>();
+  private cachedFor: Blueprint | undefined;
+  private readonly cachedSets = new Map<string, Salts>();
 
   public constructor(private readonly freshness: Freshness) {}
 
-  /** On an engine: those of its pool under the weights it is on. Undefined: it cannot be told. */
+  /** For an engine: the salts of its pool under the weights that it runs; undefined if the pool is not known. */
   public engine(service: string, weights: string): Salts | undefined {
     const pool = this.freshness.blueprint?.services[service];
-    return pool?.kind === 'pool' ? this.kept(`${service}/${weights}`, [[pool, weights]]) : undefined;
+    return pool?.kind === 'pool' ? this.cached(`${service}/${weights}`, [[pool, weights]]) : undefined;
   }
 
-  /** In a store: those of all pools, under the weights of now and those right before. */
+  /** For a store: the salts of all pools under the present and the previous weights; undefined without a configuration. */
   public store(): Salts | undefined {
     const { blueprint } = this.freshness;
     if (blueprint === undefined) return undefined;
@@ -27,24 +27,24 @@
         ? [pool.weights, this.freshness.weightsSince(name)?.previous ?? pool.weights].map((weights) => [pool, weights])
         : [],
     );
-    return this.kept(`all ${pairs.map(([, weights]) => weights).join(' ')}`, pairs);
+    return this.cached(`all ${pairs.map(([, weights]) => weights).join(' ')}`, pairs);
   }
 
-  /** Why kept: a long list of tenants is a hash for each, and this is asked again and again. */
-  private kept(key: string, pairs: readonly (readonly [Pool, string])[]): Salts {
+  /** The sets are cached, because each tenant costs a hash and the sets are needed again and again. */
+  private cached(key: string, pairs: readonly (readonly [Pool, string])[]): Salts {
     const { blueprint } = this.freshness;
     if (blueprint === undefined) return new Set();
-    if (this.of !== blueprint) {
-      this.of = blueprint;
-      this.sets.clear();
+    if (this.cachedFor !== blueprint) {
+      this.cachedFor = blueprint;
+      this.cachedSets.clear();
     }
-    const known = this.sets.get(key);
-    if (known !== undefined) return known;
+    const found = this.cachedSets.get(key);
+    if (found !== undefined) return found;
     const domains = Identities.domains(blueprint.tenants);
-    const made = new Set(
+    const salts = new Set(
       pairs.flatMap(([pool, weights]) => domains.map((domain) => PromptParts.salt(pool, weights, domain))),
     );
-    this.sets.set(key, made);
-    return made;
+    this.cachedSets.set(key, salts);
+    return salts;
   }
 }
--- a/source/edge-agent/stewards/stewardship.ts
+++ b/source/edge-agent/stewards/stewardship.ts
@@ -19,169 +19,169 @@
 export type StewardshipSettings = DutyLineSettings &
   Readonly<{
     askMicroseconds: number;
-    /** Whether this fleet reads a list of engines that something outside keeps. */
+    /** Whether this fleet reads the list of engines from an outside source. */
     readsList: boolean;
-    /** Where events calls are held. */
+    /** For cache holders that support long polling for events. */
     held: HeldStewardSettings;
   }>;
 
-/** All duties of one agent: renews what it holds, stands for what is vacant, hands over what another is first in line for. */
+/** Manages all leases of one agent: renews those it holds, requests vacant ones, and hands over those for which another agent ranks first. */
 export class Stewardship {
-  private readonly stewards = new Map<string, Steward>();
-  private readonly salts: LiveSalts;
-  private readonly line: DutyLine;
+  private readonly controllers = new Map<string, Steward>();
+  private readonly liveSalts: LiveSalts;
+  private readonly candidacy: DutyLine;
   private weightsWithinMicroseconds: number;
-  /** Duties on their way to others: neither renewed nor taken up again. */
-  private readonly leaving = new Set<string>();
-  private resigned = false;
+  /** Names of engines whose leases are being handed over: these are neither renewed nor requested. */
+  private readonly handingOver = new Set<string>();
+  private hasResigned = false;
 
   public constructor(
     private readonly self: string,
-    private readonly duties: DutyHolder,
+    private readonly leases: DutyHolder,
     private readonly membership: Membership,
     private readonly facts: FactBook,
     private readonly shards: ShardBook,
     private readonly freshness: Freshness,
     private readonly pulses: Pulses,
-    private readonly door: BackEndDoor,
+    private readonly backEnds: BackEndDoor,
     private readonly effects: Effects,
     private readonly settings: StewardshipSettings,
     private readonly log: Log,
   ) {
-    this.salts = new LiveSalts(freshness);
+    this.liveSalts = new LiveSalts(freshness);
     this.weightsWithinMicroseconds = settings.held.weightsWithinMicroseconds;
-    this.line = new DutyLine(self, duties, membership, facts, effects.clock, settings);
+    this.candidacy = new DutyLine(self, leases, membership, facts, effects.clock, settings);
   }
 
   public steward(engine: string): Steward | undefined {
-    return this.duties.term(`engine/${engine}`) === undefined ? undefined : this.stewards.get(engine);
+    return this.leases.term(`engine/${engine}`) === undefined ? undefined : this.controllers.get(engine);
   }
 
   public held(): readonly Steward[] {
-    return [...this.stewards.values()].filter(({ name }) => this.duties.term(`engine/${name}`) !== undefined);
+    return [...this.controllers.values()].filter(({ name }) => this.leases.term(`engine/${name}`) !== undefined);
   }
 
   public holderOf(engine: string): StewardFact | undefined {
-    return this.line.holderOf(DutySubjects.engine(engine));
+    return this.candidacy.holderOf(DutySubjects.engine(engine));
   }
 
-  /** The term under which this agent reads the list of engines at this very moment. */
+  /** The term under which this agent may read the list of engines at this moment, else undefined. */
   public listTerm(): number | undefined {
-    return this.resigned ? undefined : this.duties.term(DutySubjects.list.duty);
+    return this.hasResigned ? undefined : this.leases.term(DutySubjects.list.duty);
   }
 
-  /** Another time within which new weights stand everywhere, for stewards that are and those to come. */
+  /** Replaces the time limit for new weights, for present and future controllers. */
   public weightsWithinIs(microseconds: number): void {
     this.weightsWithinMicroseconds = microseconds;
-    for (const steward of this.stewards.values()) steward.weightsWithinIs?.(microseconds);
+    for (const controller of this.controllers.values()) controller.weightsWithinIs?.(microseconds);
   }
 
   public async ballot(): Promise<void> {
-    if (this.resigned) return;
-    const engines = this.tended();
-    for (const name of [...this.stewards.keys()]) if (!engines.some(([engine]) => engine === name)) this.drop(name);
+    if (this.hasResigned) return;
+    const engines = this.controlledEngines();
+    for (const name of [...this.controllers.keys()]) if (!engines.some(([engine]) => engine === name)) this.drop(name);
     this.shards.keepOnly(engines.map(([name]) => name));
     const names = this.membership.presentNames();
-    const wanted = this.settings.readsList && this.wantsList(names) ? [DutySubjects.list.duty] : [];
+    const wanted = this.settings.readsList && this.wantsListLease(names) ? [DutySubjects.list.duty] : [];
     for (const [engine] of engines) {
       const subject = DutySubjects.engine(engine);
-      if (this.leaving.has(engine)) continue;
-      if (this.duties.term(subject.duty) !== undefined) {
-        const first = this.line.handsOver(subject, names);
+      if (this.handingOver.has(engine)) continue;
+      if (this.leases.term(subject.duty) !== undefined) {
+        const first = this.candidacy.handsOver(subject, names);
         if (first === undefined) wanted.push(subject.duty);
         else {
-          this.log(`Hands the duty for ${engine} over to ${first}.`);
-          void this.giveUp([engine]);
+          this.log(`Handing the lease of ${engine} over to ${first}.`);
+          void this.release([engine]);
         }
-      } else if (this.line.standsFor(subject, names)) wanted.push(subject.duty);
+      } else if (this.candidacy.standsFor(subject, names)) wanted.push(subject.duty);
     }
-    await this.duties.ballot(wanted);
+    await this.leases.ballot(wanted);
     const listTerm = this.listTerm();
-    if (listTerm !== undefined) this.line.saySometimes(DutySubjects.list, listTerm, this.self);
-    for (const [name, engine] of engines) if (!this.leaving.has(name)) this.settle(name, engine);
+    if (listTerm !== undefined) this.candidacy.saySometimes(DutySubjects.list, listTerm, this.self);
+    for (const [name, engine] of engines) if (!this.handingOver.has(name)) this.updateController(name, engine);
   }
 
-  /** Why never handed over: one call a moment costs nobody much, and each change of hands is a pause. */
-  private wantsList(names: readonly string[]): boolean {
-    return this.listTerm() !== undefined || this.line.standsFor(DutySubjects.list, names);
+  /** The list lease is never handed over: its work costs little, and each change of the holder interrupts the reading. */
+  private wantsListLease(names: readonly string[]): boolean {
+    return this.listTerm() !== undefined || this.candidacy.standsFor(DutySubjects.list, names);
   }
 
   public async tend(): Promise<void> {
     await Promise.all(
-      this.tended().map(async ([name, engine]) => {
-        const steward = this.steward(name);
-        if (steward !== undefined) await steward.tend(engine);
+      this.controlledEngines().map(async ([name, engine]) => {
+        const controller = this.steward(name);
+        if (controller !== undefined) await controller.tend(engine);
       }),
     );
   }
 
-  /** On a planned stop: what is held goes to others at once. */
+  /** For a planned stop: releases all leases, so that others can take them at once. */
   public async resign(): Promise<void> {
     const listTerm = this.listTerm();
-    this.resigned = true;
-    if (listTerm !== undefined) this.line.say(DutySubjects.list, listTerm, '');
-    await Promise.all([this.giveUp([...this.stewards.keys()]), this.duties.giveBack([DutySubjects.list.duty])]);
+    this.hasResigned = true;
+    if (listTerm !== undefined) this.candidacy.say(DutySubjects.list, listTerm, '');
+    await Promise.all([this.release([...this.controllers.keys()]), this.leases.giveBack([DutySubjects.list.duty])]);
   }
 
   /**
-   * Nothing is done under the terms from now on; when nothing is on its way any more the votes go back and all are told
-   * that the duty is vacant. Why not just let the lease run out: the engine would be without a steward for as long.
+   * Stops all work under the terms, waits until no directive is in flight, then returns the votes and announces the leases as vacant.
+   * Without the release an engine would have no controller until its lease expires.
    */
-  private async giveUp(engines: readonly string[]): Promise<void> {
-    const held = engines.flatMap((engine) => this.stewards.get(engine) ?? []);
+  private async release(engines: readonly string[]): Promise<void> {
+    const held = engines.flatMap((engine) => this.controllers.get(engine) ?? []);
     for (const { name } of held) {
-      this.stewards.delete(name);
-      this.leaving.add(name);
+      this.controllers.delete(name);
+      this.handingOver.add(name);
     }
-    await Promise.all(held.map((steward) => steward.quiet()));
-    await this.duties.giveBack(held.map(({ name }) => `engine/${name}`));
-    for (const steward of held) {
-      this.leaving.delete(steward.name);
-      this.line.say(DutySubjects.engine(steward.name), steward.term, '', steward.restMicroseconds?.());
+    await Promise.all(held.map((controller) => controller.quiet()));
+    await this.leases.giveBack(held.map(({ name }) => `engine/${name}`));
+    for (const controller of held) {
+      this.handingOver.delete(controller.name);
+      this.candidacy.say(DutySubjects.engine(controller.name), controller.term, '', controller.restMicroseconds?.());
     }
   }
 
-  private tended(): readonly (readonly [string, Engine])[] {
+  private controlledEngines(): readonly (readonly [string, Engine])[] {
     return Object.entries(Holders.of(this.freshness.engines, this.freshness.blueprint));
   }
 
   private drop(name: string): void {
-    this.duties.end(`engine/${name}`);
-    this.stewards.delete(name);
+    this.leases.end(`engine/${name}`);
+    this.controllers.delete(name);
   }
 
-  private settle(engine: string, listed: Engine): void {
-    const term = this.duties.term(`engine/${engine}`);
-    const steward = this.stewards.get(engine);
+  private updateController(engine: string, listed: Engine): void {
+    const term = this.leases.term(`engine/${engine}`);
+    const controller = this.controllers.get(engine);
     if (term === undefined) {
-      this.stewards.delete(engine);
+      this.controllers.delete(engine);
       return;
     }
-    if (steward?.term !== term) {
-      const holds = (): boolean => this.duties.term(`engine/${engine}`) === term;
-      this.stewards.set(engine, this.made(engine, term, holds, listed));
-      this.log(`Steward of ${engine} under term ${term}.`);
+    if (controller?.term !== term) {
+      const holdsLease = (): boolean => this.leases.term(`engine/${engine}`) === term;
+      this.controllers.set(engine, this.createController(engine, term, holdsLease, listed));
+      this.log(`Controls ${engine} under term ${term}.`);
     }
-    this.line.saySometimes(DutySubjects.engine(engine), term, this.self);
+    this.candidacy.saySometimes(DutySubjects.engine(engine), term, this.self);
   }
 
-  private made(name: string, term: number, holds: () => boolean, engine: Engine): Steward {
-    const { door, facts, shards, freshness, pulses, log, settings } = this;
+  private createController(name: string, term: number, holdsLease: () => boolean, engine: Engine): Steward {
+    const { backEnds, facts, shards, freshness, pulses, log, settings } = this;
     const { clock } = this.effects;
-    if (door.traits?.holdsEvents === true)
+    if (backEnds.traits?.holdsEvents === true)
       return new HeldSteward(
         name,
         term,
         this.self,
-        holds,
-        door,
+        holdsLease,
+        backEnds,
         facts,
         shards,
         freshness,
         clock,
         { ...settings.held, weightsWithinMicroseconds: this.weightsWithinMicroseconds },
-        this.line.restBefore(DutySubjects.engine(name), term),
-        this.salts,
+        this.candidacy.restBefore(DutySubjects.engine(name), term),
+        this.liveSalts,
         engine,
         log,
       );
@@ -189,8 +189,8 @@
       name,
       term,
       this.self,
-      holds,
-      door,
+      holdsLease,
+      backEnds,
       facts,
       shards,
       freshness,
--- a/source/edge-agent/stewards/weightsPlan.ts
+++ b/source/edge-agent/stewards/weightsPlan.ts
@@ -3,11 +3,13 @@
 import type { EngineFact } from '../../shared/news/factTypes';
 import { WeightsClocks } from '../../shared/weights/weightsClocks';
 
+/** The next step of an engine towards the intended weights: nothing to do, wait, or load after a drain of at most this time. */
 export type WeightsStep =
   Readonly<{ kind: 'none' }> | Readonly<{ kind: 'wait' }> | Readonly<{ kind: 'load'; drainMicroseconds: number }>;
 
+/** Schedules a change of weights over the engines of a pool in two rounds. */
 export const WeightsPlans = {
-  /** Which half of a pool changes first; the same on every steward. */
+  /** The half of a pool that changes first; every controller computes the same. */
   firstRound: (service: string, weights: string, engines: readonly string[]): readonly string[] =>
     Rendezvous.order(`weights/${service}/${weights}`, engines).slice(0, Math.ceil(engines.length / 2)),
 
@@ -20,14 +22,16 @@
     nowMicroseconds: number,
   ): WeightsStep => {
     if (present === intended.weights) return { kind: 'none' };
-    // Why at once: nobody knows since when they are intended, so no time is left.
+    // The engine loads at once: since when the weights are intended is not known, so the limit may already have passed.
     if (intended.sinceMicroseconds === null) return { kind: 'load', drainMicroseconds: 0 };
-    const age = nowMicroseconds - intended.sinceMicroseconds;
-    const drainMicroseconds = Math.max(0, WeightsClocks.drainUntilMicroseconds - age);
+    const ageMicroseconds = nowMicroseconds - intended.sinceMicroseconds;
+    const drainMicroseconds = Math.max(0, WeightsClocks.drainUntilMicroseconds - ageMicroseconds);
     const first = WeightsPlans.firstRound(service, intended.weights, Object.keys(pool));
-    if (first.includes(engine) || age >= WeightsClocks.secondRoundMicroseconds)
+    if (first.includes(engine) || ageMicroseconds >= WeightsClocks.secondRoundMicroseconds)
       return { kind: 'load', drainMicroseconds };
-    const firstDone = first.every((name) => pool[name]?.weights === intended.weights && pool[name]?.changing === false);
-    return firstDone ? { kind: 'load', drainMicroseconds } : { kind: 'wait' };
+    const isFirstDone = first.every(
+      (name) => pool[name]?.weights === intended.weights && pool[name]?.changing === false,
+    );
+    return isFirstDone ? { kind: 'load', drainMicroseconds } : { kind: 'wait' };
   },
 } as const;
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -179,8 +179,8 @@
       ],
       [
         'edge-agent/stewards/engineSteward.ts',
-        "if (engine.state === 'draining' && status.accepting && allKnow)",
-        "if (engine.state === 'draining' && !status.accepting && allKnow)",
+        "if (engine.state === 'draining' && status.accepting && proxiesKnow)",
+        "if (engine.state === 'draining' && !status.accepting && proxiesKnow)",
       ],
     ],
   },
@@ -355,7 +355,7 @@
       ['edge-agent/stewards/engineSteward.ts', '>= drainAfterMicroseconds', '>= 0'],
       [
         'edge-agent/stewards/engineSteward.ts',
-        "this.say(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);",
+        "this.publishStatus(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);",
         '',
       ],
       [
