--- a/source/edge-agent/stewards/dutyHolder.ts
+++ b/source/edge-agent/stewards/dutyHolder.ts
@@ -95,9 +95,9 @@
       const term = this.term(lease);
       return term === undefined ? [] : [{ duty: lease, candidate: this.self, term }];
     });
-    for (const { duty, term } of ballots) {
-      this.end(duty);
-      this.releasedTerms.set(duty, term);
+    for (const { duty: lease, term } of ballots) {
+      this.end(lease);
+      this.releasedTerms.set(lease, term);
     }
     if (ballots.length > 0) await this.withdraw(ballots);
   }
@@ -160,31 +160,31 @@
     const failedBallots: typeof ballots = [];
     const retryAtOnce: string[] = [];
     for (const ballot of ballots) {
-      const { duty, term } = ballot;
-      if (this.releasedTerms.get(duty) === term) continue;
+      const { duty: lease, term } = ballot;
+      if (this.releasedTerms.get(lease) === term) continue;
       // The lease is counted from the sending of the request: voters count from a later moment, so it ends here first.
-      if (Stamps.reached(sets, votes.get(duty) ?? []))
-        this.transition(duty, {
+      if (Stamps.reached(sets, votes.get(lease) ?? []))
+        this.transition(lease, {
           kind: 'granted',
           term,
           untilMicroseconds:
             startMicroseconds + Math.floor((this.settings.leaseMicroseconds * (1000 - unusedPerMille)) / 1000),
         });
-      else if (this.term(duty) === undefined) {
-        this.transition(duty, { kind: 'ended' });
+      else if (this.term(lease) === undefined) {
+        this.transition(lease, { kind: 'ended' });
         failedBallots.push(ballot);
         // A ballot that some voter granted is a split vote and is not retried at once; the random delay below resolves it.
-        if (outdated.has(duty) && (votes.get(duty) ?? []).length === 0) {
-          retryAtOnce.push(duty);
+        if (outdated.has(lease) && (votes.get(lease) ?? []).length === 0) {
+          retryAtOnce.push(lease);
           continue;
         }
         // The delay is random, because candidates that split the votes once would split them again if they retried in step.
         this.retryNotBefore.set(
-          duty,
+          lease,
           this.effects.clock.nowMicroseconds() +
             Math.floor(this.effects.random.fraction() * this.settings.leaseMicroseconds * 0.4),
         );
-      } else this.retryNotBefore.delete(duty);
+      } else this.retryNotBefore.delete(lease);
     }
     if (failedBallots.length > 0) await this.withdraw(failedBallots);
     return retryAtOnce;
--- a/source/edge-agent/stewards/dutyLine.ts
+++ b/source/edge-agent/stewards/dutyLine.ts
@@ -41,7 +41,10 @@
   private readonly announcedMicroseconds = new Map<string, number>();
   private announcements = 0;
   /** Cached places in the rendezvous order by lease, valid while the members stay the same. */
-  private ranks: Readonly<{ names: readonly string[]; byName: Map<string, number> }> = { names: [], byName: new Map() };
+  private ranks: Readonly<{ members: readonly string[]; byName: Map<string, number> }> = {
+    members: [],
+    byName: new Map(),
+  };
 
   public constructor(
     private readonly self: string,
@@ -111,7 +114,7 @@
 
   /** The ranks are cached, because every agent checks every lease again and again while a large fleet starts. */
   private rankOf({ name }: DutySubject, names: readonly string[]): number {
-    if (this.ranks.names !== names) this.ranks = { names, byName: new Map() };
+    if (this.ranks.members !== names) this.ranks = { members: names, byName: new Map() };
     const known = this.ranks.byName.get(name);
     if (known !== undefined) return known;
     const rank = Rendezvous.rank(`steward/${name}`, this.self, names);
--- a/source/edge-agent/stewards/engineSteward.ts
+++ b/source/edge-agent/stewards/engineSteward.ts
@@ -131,7 +131,7 @@
     // The directive is repeated, because an engine that missed it or has rebooted does not know it; directives are idempotent.
     const outcome = await this.backEnds.directive(engine.address, wanted, this.settings.askMicroseconds);
     const label = `${wanted.kind} ${wanted.kind === 'loadWeights' ? wanted.weights : ''}`;
-    if (label !== this.lastDirective) this.log(`Sent directive ${label} to engine ${this.name}: ${outcome}.`);
+    if (label !== this.lastDirective) this.log(`Engine ${this.name} was sent the directive ${label}: ${outcome}.`);
     this.lastDirective = label;
     return wanted.kind === 'drain';
   }
--- a/source/edge-agent/stewards/heldSteward.ts
+++ b/source/edge-agent/stewards/heldSteward.ts
@@ -296,11 +296,10 @@
 
   /** Requires a newer status first: a directive without an answer may have been accepted, and one in effect need not be repeated. */
   private maySendDirective(weights: string): boolean {
-    const observedMicroseconds = this.lastObserved?.atMicroseconds ?? -Infinity;
-    if (observedMicroseconds < this.changingSince) return false;
+    const observedAt = this.lastObserved?.atMicroseconds ?? -Infinity;
+    if (observedAt < this.changingSince) return false;
     return (
-      this.lastDirective?.weights !== weights ||
-      observedMicroseconds > this.lastDirective.atMicroseconds + statusLagMicroseconds
+      this.lastDirective?.weights !== weights || observedAt > this.lastDirective.atMicroseconds + statusLagMicroseconds
     );
   }
 
@@ -313,7 +312,7 @@
     // The time is taken after the answer or the timeout, because the directive may have been in flight until now.
     this.noDirectiveSince = this.clock.steadyMicroseconds();
     this.log(
-      `Sent engine ${this.name} the directive to load ${directive.weights} under term ${this.term}: ${outcome}.`,
+      `Engine ${this.name} was sent the directive to load ${directive.weights} under term ${this.term}: ${outcome}.`,
     );
     this.nextStatusMicroseconds = this.clock.nowMicroseconds() + this.settings.changingLookMicroseconds;
   }
