--- a/source/edge-agent/core-link/coreLink.ts
+++ b/source/edge-agent/core-link/coreLink.ts
@@ -139,12 +139,10 @@
     void this.fetchMissingDocuments(addresses.filter((address) => answers.get(address)?.report !== undefined));
   }
 
-  private evaluate(nodes: ReadonlyMap<string, NodeAnswer>): MajorityRead {
+  private evaluate(all: ReadonlyMap<string, NodeAnswer>): MajorityRead {
     // One answer per control node counts: a seed and a member entry may have different addresses of the same node.
     const byControlNode = new Map(
-      [...nodes.values()].flatMap(({ report }) =>
-        report === undefined ? [] : [[report.stamp.keeper, report] as const],
-      ),
+      [...all.values()].flatMap(({ report }) => (report === undefined ? [] : [[report.stamp.keeper, report] as const])),
     );
     return MajorityReads.judge([...byControlNode.values()], this.fleetName.name, (key) => this.freshness.applied(key));
   }
--- a/source/edge-agent/stewards/dutyHolder.ts
+++ b/source/edge-agent/stewards/dutyHolder.ts
@@ -91,13 +91,13 @@
 
   /** Releases leases: they are no longer held here, and voters may grant them to others at once. */
   public async giveBack(leases: readonly string[]): Promise<void> {
-    const ballots = leases.flatMap((lease) => {
-      const term = this.term(lease);
-      return term === undefined ? [] : [{ duty: lease, candidate: this.self, term }];
+    const ballots = leases.flatMap((duty) => {
+      const term = this.term(duty);
+      return term === undefined ? [] : [{ duty, candidate: this.self, term }];
     });
-    for (const { duty: lease, term } of ballots) {
-      this.end(lease);
-      this.releasedTerms.set(lease, term);
+    for (const { duty, term } of ballots) {
+      this.end(duty);
+      this.releasedTerms.set(duty, term);
     }
     if (ballots.length > 0) await this.withdraw(ballots);
   }
@@ -125,14 +125,14 @@
   private async runRound(wanted: readonly string[]): Promise<readonly string[]> {
     const startMicroseconds = this.effects.clock.nowMicroseconds();
     const leases = wanted.filter(
-      (lease) => this.term(lease) !== undefined || startMicroseconds >= (this.retryNotBefore.get(lease) ?? 0),
+      (duty) => this.term(duty) !== undefined || startMicroseconds >= (this.retryNotBefore.get(duty) ?? 0),
     );
     if (leases.length === 0) return [];
-    const ballots = leases.map((lease) => {
-      const heldTerm = this.term(lease);
-      const term = heldTerm ?? Math.max(this.forgottenTermFloor, this.highestTerms.get(lease) ?? 0) + 1;
-      if (heldTerm === undefined) this.transition(lease, { kind: 'asked', term });
-      return { duty: lease, candidate: this.self, term, leaseMicroseconds: this.settings.leaseMicroseconds };
+    const ballots = leases.map((duty) => {
+      const heldTerm = this.term(duty);
+      const term = heldTerm ?? Math.max(this.forgottenTermFloor, this.highestTerms.get(duty) ?? 0) + 1;
+      if (heldTerm === undefined) this.transition(duty, { kind: 'asked', term });
+      return { duty, candidate: this.self, term, leaseMicroseconds: this.settings.leaseMicroseconds };
     });
     const membersRevision = this.link.membersRevision();
     const sets = this.link.sets();
@@ -160,31 +160,31 @@
     const failedBallots: typeof ballots = [];
     const retryAtOnce: string[] = [];
     for (const ballot of ballots) {
-      const { duty: lease, term } = ballot;
-      if (this.releasedTerms.get(lease) === term) continue;
+      const { duty, term } = ballot;
+      if (this.releasedTerms.get(duty) === term) continue;
       // The lease is counted from the sending of the request: voters count from a later moment, so it ends here first.
-      if (Stamps.reached(sets, votes.get(lease) ?? []))
-        this.transition(lease, {
+      if (Stamps.reached(sets, votes.get(duty) ?? []))
+        this.transition(duty, {
           kind: 'granted',
           term,
           untilMicroseconds:
             startMicroseconds + Math.floor((this.settings.leaseMicroseconds * (1000 - unusedPerMille)) / 1000),
         });
-      else if (this.term(lease) === undefined) {
-        this.transition(lease, { kind: 'ended' });
+      else if (this.term(duty) === undefined) {
+        this.transition(duty, { kind: 'ended' });
         failedBallots.push(ballot);
         // A ballot that some voter granted is a split vote and is not retried at once; the random delay below resolves it.
-        if (outdated.has(lease) && (votes.get(lease) ?? []).length === 0) {
-          retryAtOnce.push(lease);
+        if (outdated.has(duty) && (votes.get(duty) ?? []).length === 0) {
+          retryAtOnce.push(duty);
           continue;
         }
         // The delay is random, because candidates that split the votes once would split them again if they retried in step.
         this.retryNotBefore.set(
-          lease,
+          duty,
           this.effects.clock.nowMicroseconds() +
             Math.floor(this.effects.random.fraction() * this.settings.leaseMicroseconds * 0.4),
         );
-      } else this.retryNotBefore.delete(lease);
+      } else this.retryNotBefore.delete(duty);
     }
     if (failedBallots.length > 0) await this.withdraw(failedBallots);
     return retryAtOnce;
--- a/source/edge-agent/stewards/heldSteward.ts
+++ b/source/edge-agent/stewards/heldSteward.ts
@@ -296,10 +296,10 @@
 
   /** Requires a newer status first: a directive without an answer may have been accepted, and one in effect need not be repeated. */
   private maySendDirective(weights: string): boolean {
-    const observedAt = this.lastObserved?.atMicroseconds ?? -Infinity;
-    if (observedAt < this.changingSince) return false;
+    const statusAt = this.lastObserved?.atMicroseconds ?? -Infinity;
+    if (statusAt < this.changingSince) return false;
     return (
-      this.lastDirective?.weights !== weights || observedAt > this.lastDirective.atMicroseconds + statusLagMicroseconds
+      this.lastDirective?.weights !== weights || statusAt > this.lastDirective.atMicroseconds + statusLagMicroseconds
     );
   }
 
--- a/tests/lease-model.test.ts
+++ b/tests/lease-model.test.ts
@@ -65,7 +65,7 @@
   {
     what: 'a renewal that brings a lease back to life',
     scope: 'a lease given back while its renewal is on its way',
-    cuts: [['edge-agent/stewards/dutyHolder.ts', 'if (this.releasedTerms.get(lease) === term) continue;', '']],
+    cuts: [['edge-agent/stewards/dutyHolder.ts', 'if (this.releasedTerms.get(duty) === term) continue;', '']],
     sees: /two hold/,
   },
 ];
