--- a/source/edge-agent/stewards/heldSteward.ts
+++ b/source/edge-agent/stewards/heldSteward.ts
@@ -236,7 +236,7 @@
     if (status.busy !== true && this.maySendDirective(dueDirective.weights)) await this.sendDirective(dueDirective);
   }
 
-  /** The remaining wait before directives may be sent; negative after its end. The first holder of a lease has no predecessor to wait for. */
+  /** The remaining wait before directives may be sent; negative after its end. A first holder has no predecessor to wait for. */
   private directiveWaitLeftMicroseconds(): number {
     const wait = this.term <= 1 ? 0 : this.settings.directiveWaitMicroseconds - this.previousNoDirectiveMicroseconds;
     return this.leaseStartMicroseconds + wait - this.clock.steadyMicroseconds();
@@ -296,10 +296,10 @@
 
   /** Requires a newer status first: a directive without an answer may have been accepted, and one in effect need not be repeated. */
   private maySendDirective(weights: string): boolean {
-    const statusAt = this.lastObserved?.atMicroseconds ?? -Infinity;
-    if (statusAt < this.changingSince) return false;
+    const seenAt = this.lastObserved?.atMicroseconds ?? -Infinity;
+    if (seenAt < this.changingSince) return false;
     return (
-      this.lastDirective?.weights !== weights || statusAt > this.lastDirective.atMicroseconds + statusLagMicroseconds
+      this.lastDirective?.weights !== weights || seenAt > this.lastDirective.atMicroseconds + statusLagMicroseconds
     );
   }
 
--- a/source/edge-agent/stewards/stewardship.ts
+++ b/source/edge-agent/stewards/stewardship.ts
@@ -25,7 +25,7 @@
     held: HeldStewardSettings;
   }>;
 
-/** Manages all leases of one agent: renews those it holds, requests vacant ones, and hands over those for which another agent ranks first. */
+/** Manages all leases of one agent: renews those it holds, requests vacant ones, hands over those for which another agent ranks first. */
 export class Stewardship {
   private readonly controllers = new Map<string, Steward>();
   private readonly liveSalts: LiveSalts;
--- a/tests/agent-holders.test.ts
+++ b/tests/agent-holders.test.ts
@@ -15,7 +15,7 @@
     s: { kind: 'store', service: '', address: '10.0.0.3:1', zone: '', state: 'ready' },
   },
 };
-const store = (address: string): Readonly<Record<string, unknown>> => ({
+const storeAt = (address: string): Readonly<Record<string, unknown>> => ({
   address,
   zone: 'hill',
   keptTokens: 10,
@@ -23,8 +23,8 @@
   calls: 2,
 });
 
-test('holders are the listed engines and stores, and the stores that operators name; apps keep nothing', () => {
-  const blueprint = { ...SimBlueprints.first(), stores: { far: store('10.0.0.4:1'), s: store('10.0.0.5:1') } };
+test('cache holders are the listed engines and stores and the configured stores, but no apps', () => {
+  const blueprint = { ...SimBlueprints.first(), stores: { far: storeAt('10.0.0.4:1'), s: storeAt('10.0.0.5:1') } };
   const holders = Holders.of(engines, blueprint as never);
   assert.deepEqual(Object.keys(holders).sort(), ['a', 'far', 's']);
   assert.deepEqual(holders['far'], {
@@ -34,27 +34,27 @@
     zone: 'hill',
     state: 'ready',
   });
-  assert.equal(holders['s']?.address, '10.0.0.3:1', 'a listed one goes first');
+  assert.equal(holders['s']?.address, '10.0.0.3:1', 'the listed store takes precedence');
   assert.deepEqual(Holders.of(undefined, undefined), {});
 });
 
-test('where the list of engines is kept outside, its age makes nobody refuse', () => {
+test('the age of an engine list from an outside source does not count for the freshness', () => {
   const world = new World(1);
-  const kept = new Freshness(world.clock);
-  const listed = new Freshness(world.clock, undefined, 'listed');
+  const ownList = new Freshness(world.clock);
+  const outsideList = new Freshness(world.clock, undefined, 'listed');
   const text = JSON.stringify(SimBlueprints.first());
   const digest = createHash('sha256').update(text).digest('hex').slice(0, 32);
-  for (const freshness of [kept, listed]) {
+  for (const freshness of [ownList, outsideList]) {
     assert.equal(freshness.ageMicroseconds(), Infinity);
     freshness.hear({ key: 'blueprint', revision: 1, digest, ageMicroseconds: 5, weights: {} }, 0);
     assert.equal(freshness.give({ key: 'blueprint', revision: 1, digest, text }), true);
   }
-  assert.equal(kept.ageMicroseconds(), Infinity, 'in the own protocol it does');
-  assert.equal(listed.ageMicroseconds(), 5);
-  assert.equal(listed.ageOf('engines'), Infinity);
+  assert.equal(ownList.ageMicroseconds(), Infinity, 'without an outside source it counts');
+  assert.equal(outsideList.ageMicroseconds(), 5);
+  assert.equal(outsideList.ageOf('engines'), Infinity);
 });
 
-test('the clocks of new weights keep their usual times, and move with another promise', () => {
+test('the times of a weights change have their defaults for 12 s and follow another limit', () => {
   assert.deepEqual(WeightsClocks.usual, {
     cutMicroseconds: 11_000_000,
     drainUntilMicroseconds: 9_500_000,
--- a/tests/agents-follow-changes.test.ts
+++ b/tests/agents-follow-changes.test.ts
@@ -1,18 +1,18 @@
-/** How soon all agents apply a confirmed change while a majority of the control nodes is whole. */
+/** All agents must apply each confirmed change in time while a majority of the control nodes works. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { AgentFleet, type SentChange } from './support/agentFleet';
 import type { ControlMachine } from './support/controlFleet';
 
-const manyRoutes = 1_480;
-/** What the link of a control node carries. */
+const routeCount = 1_480;
+/** The bandwidth of a control node's link. */
 const linkBytesPerSecond = 15_000_000;
-/** Less than half of the least time that users give a change until it is in force; the rest is for the proxies. */
+/** Less than half of the shortest time in which users require a change to be in force; the rest is for the proxies. */
 const appliedWithinMicroseconds = 1_000_000;
-const troubleMicroseconds = 4_000_000;
+const changesMicroseconds = 4_000_000;
 
-const begun = async (seed: number): Promise<Readonly<{ fleet: AgentFleet; leader: ControlMachine }>> => {
-  const fleet = new AgentFleet(seed, manyRoutes);
+const startFleet = async (seed: number): Promise<Readonly<{ fleet: AgentFleet; leader: ControlMachine }>> => {
+  const fleet = new AgentFleet(seed, routeCount);
   await fleet.begin();
   fleet.control.network.linkBytesPerSecond = linkBytesPerSecond;
   return { fleet, leader: fleet.leader() };
@@ -26,25 +26,25 @@
   }
 };
 
-const assertFollowed = (fleet: AgentFleet, changes: readonly SentChange[]): void => {
+const assertAppliedInTime = (fleet: AgentFleet, changes: readonly SentChange[]): void => {
   const late = changes.filter((change) => fleet.lag(change) > appliedWithinMicroseconds);
-  const said = late.map((change) => `revision ${change.revision}: ${fleet.lag(change)} µs`);
-  assert.deepEqual(said, []);
+  const lateChanges = late.map((change) => `revision ${change.revision}: ${fleet.lag(change)} µs`);
+  assert.deepEqual(lateChanges, []);
 };
 
 describe('agents follow confirmed changes', () => {
   for (const [name, delayMicroseconds] of [
-    ['in good health', 0],
+    ['without delay', 0],
     ['slowed by 50 ms each way', 50_000],
     ['slowed by 100 ms each way', 100_000],
   ] as const)
-    test(`changes in quick succession with a leader ${name}: none of them leaves agents behind, 3 seeds`, async () => {
+    test(`changes in quick succession with a leader ${name}: all agents apply each in time, 3 seeds`, async () => {
       for (const seed of [31, 32, 33]) {
-        const { fleet, leader } = await begun(seed);
+        const { fleet, leader } = await startFleet(seed);
         if (delayMicroseconds > 0) slowDown(fleet, leader, delayMicroseconds);
-        const changes = await fleet.changesFor(troubleMicroseconds, fleet.others(leader));
+        const changes = await fleet.changesFor(changesMicroseconds, fleet.others(leader));
         await fleet.runFor(appliedWithinMicroseconds);
-        assertFollowed(fleet, changes);
+        assertAppliedInTime(fleet, changes);
       }
     });
 });
--- a/tests/core-link.test.ts
+++ b/tests/core-link.test.ts
@@ -13,22 +13,22 @@
 import { ControlFleet } from './support/controlFleet';
 
 const { readMicroseconds, readAskMicroseconds, sharedReadMicroseconds, ownReadMicroseconds } = AgentDefaults;
-/** A way to the keepers that takes most of the patience with a reading. */
+/** A link delay to the control nodes that uses up most of the timeout of a read. */
 const slowLinkMicroseconds = 200_000;
-/** One that takes longer than it. */
-const lateMicroseconds = readAskMicroseconds + 100_000;
-/** After this a proxy may no longer rely on a configuration that nobody confirmed. */
-const freshMicroseconds = 1_500_000;
+/** A link delay beyond that timeout. */
+const lateLinkMicroseconds = readAskMicroseconds + 100_000;
+/** After this time without confirmation a proxy may no longer rely on its configuration. */
+const freshLimitMicroseconds = 1_500_000;
 const edgeMachine = '10.2.0.1';
 const self = { key: 'member/edge-1', version: [1, 1], value: { name: 'edge-1', address: `${edgeMachine}:1` } };
 
-/** One agent's link to three real keepers, on virtual time. */
+/** One agent's link to three control nodes that run the real code, on virtual time. */
 class LinkedFleet {
   public readonly fleet = new ControlFleet(11, ownDialect);
   public readonly freshness: Freshness;
   public readonly link: CoreLink;
-  /** Digests of documents that were asked for although they were not wanted then. */
-  public readonly askedInVain: string[] = [];
+  /** Digests of documents that were requested although they were no longer wanted. */
+  public readonly staleRequests: string[] = [];
   private readonly ticker: Ticker;
 
   private constructor() {
@@ -40,7 +40,7 @@
     const watched: Transport = {
       ...transport,
       ask: (address, message, limitMicroseconds) => {
-        if (message.kind === 'body') this.noteAsk(String(message['digest']));
+        if (message.kind === 'body') this.noteRequest(String(message['digest']));
         return transport.ask(address, message, limitMicroseconds);
       },
     };
@@ -72,34 +72,34 @@
 
   public static async begin(): Promise<LinkedFleet> {
     const linked = new LinkedFleet();
-    assert.ok(await linked.fleet.begin(3), 'the keepers stand');
+    assert.ok(await linked.fleet.begin(3), 'the control nodes are up');
     linked.ticker.start();
-    const taken = await linked.fleet.persist(
+    const outcome = await linked.fleet.persist(
       { key: 'blueprint', form: 'whole', text: JSON.stringify(SimBlueprints.first()), ifMatch: 0, id: 'first' },
       5_000_000,
     );
-    assert.equal(taken?.kind, 'taken');
+    assert.equal(outcome?.kind, 'taken');
     assert.ok(await linked.fleet.world.runUntil(() => linked.freshness.revision('blueprint') === 1, 3_000_000));
     return linked;
   }
 
-  /** The next revision, taken by any keeper. */
+  /** Submits the next revision to any control node. */
   public async change(revision: number): Promise<void> {
     const text = JSON.stringify(SimBlueprints.first(`w${revision}`));
-    const order = { key: 'blueprint', form: 'whole', text, ifMatch: revision - 1, id: `change-${revision}` } as const;
-    const taken = await this.fleet.persist(order, 5_000_000);
-    assert.equal(taken?.kind, 'taken');
+    const request = { key: 'blueprint', form: 'whole', text, ifMatch: revision - 1, id: `change-${revision}` } as const;
+    const outcome = await this.fleet.persist(request, 5_000_000);
+    assert.equal(outcome?.kind, 'taken');
   }
 
-  private noteAsk(digest: string): void {
-    if (!this.freshness.wanted().some((wanted) => wanted.digest === digest)) this.askedInVain.push(digest);
+  private noteRequest(digest: string): void {
+    if (!this.freshness.wanted().some((wanted) => wanted.digest === digest)) this.staleRequests.push(digest);
   }
 
   public machineOf(number: number): string {
     return this.fleet.machine(number).machine;
   }
 
-  /** How old what is applied ever becomes within this time. */
+  /** The highest age of the applied configuration within this time. */
   public async worstAge(microseconds: number): Promise<number> {
     const step = 10_000;
     let worst = 0;
@@ -111,26 +111,29 @@
   }
 }
 
-describe('the link of an agent to the core', () => {
-  test('a keeper that says nothing does not hold up what the others say', async () => {
+describe('the link of an agent to the control nodes', () => {
+  test('a silent control node does not delay the reads from the others', async () => {
     const linked = await LinkedFleet.begin();
-    const calm = await linked.worstAge(4_000_000);
+    const usualAge = await linked.worstAge(4_000_000);
     for (const number of [1, 2, 3]) {
       const mend = linked.fleet.network.cut(edgeMachine, linked.machineOf(number));
-      // Why first: the reading that finds it silent waits for it, and no other does.
+      // The first read after the cut waits for the node's timeout and is left out; later reads do not wait for it.
       await linked.fleet.world.runFor(readMicroseconds + readAskMicroseconds * 2);
-      const cut = await linked.worstAge(4_000_000);
-      assert.ok(cut <= calm + 20_000, `keeper ${number}: ${cut} µs with it cut off, ${calm} µs before`);
+      const ageWhileCut = await linked.worstAge(4_000_000);
+      assert.ok(
+        ageWhileCut <= usualAge + 20_000,
+        `control node ${number}: ${ageWhileCut} µs with it cut off, ${usualAge} µs before`,
+      );
       mend();
       await linked.fleet.world.runFor(1_000_000);
     }
   });
 
-  test('a keeper that is back is heard again, also when it is one of two that a majority needs', async () => {
+  test('a control node that is reachable again counts again, also when a majority needs it', async () => {
     const linked = await LinkedFleet.begin();
     const cuts = [1, 2].map((number) => linked.fleet.network.cut(edgeMachine, linked.machineOf(number)));
     await linked.fleet.world.runFor(5_000_000);
-    assert.ok(linked.freshness.ageOf('blueprint') > 4_000_000, 'one keeper of three proves nothing');
+    assert.ok(linked.freshness.ageOf('blueprint') > 4_000_000, 'one control node of three confirms nothing');
     for (const mend of cuts) mend();
     assert.ok(
       await linked.fleet.world.runUntil(
@@ -138,52 +141,52 @@
         readMicroseconds + readAskMicroseconds * 2,
       ),
     );
-    // The other two are cut now: what the ones that came back say must count.
+    // The third node is cut off now, so the majority needs both nodes that came back.
     linked.fleet.network.cut(edgeMachine, linked.machineOf(3));
     await linked.fleet.world.runFor(readMicroseconds + readAskMicroseconds * 2);
     assert.ok((await linked.worstAge(2_000_000)) < readMicroseconds * 2);
   });
 
-  test('a control node falls silent after it was asked for a configuration: another one is asked in time', async () => {
-    // Whichever of them the agent asks first.
+  test('fetches a configuration from another control node in time if the first one stops answering', async () => {
+    // Each node is cut off once, because the agent may ask any of them first.
     for (const number of [1, 2, 3]) {
       const linked = await LinkedFleet.begin();
       const { world, network } = linked.fleet;
       const text = JSON.stringify(SimBlueprints.first('w2'));
-      const order = { key: 'blueprint', form: 'whole', text, ifMatch: 1, id: 'second' } as const;
-      assert.equal((await linked.fleet.persist(order, 5_000_000))?.kind, 'taken');
+      const request = { key: 'blueprint', form: 'whole', text, ifMatch: 1, id: 'second' } as const;
+      assert.equal((await linked.fleet.persist(request, 5_000_000))?.kind, 'taken');
       const isWanted = (): boolean => linked.freshness.wanted().some(({ key }) => key === 'blueprint');
       assert.ok(await world.runUntil(isWanted, 1_000_000, 50));
       network.cut(edgeMachine, linked.machineOf(number));
       network.cut(linked.machineOf(number), edgeMachine);
       const isApplied = (): boolean => linked.freshness.revision('blueprint') === 2;
-      assert.ok(await world.runUntil(isApplied, readAskMicroseconds * 2), `keeper ${number}`);
+      assert.ok(await world.runUntil(isApplied, readAskMicroseconds * 2), `control node ${number}`);
     }
   });
 
-  test('keepers that began anew soon know again whom they met, one alone and all at once', async () => {
+  test('restarted control nodes soon know the agent again, one alone and all at once', async () => {
     const linked = await LinkedFleet.begin();
     const { world, machines } = linked.fleet;
-    const meets = (number: number): boolean => linked.fleet.machine(number).keeper?.agents().length === 1;
-    // Why each of ten: wherever its count of readings stands, an agent must not wait for the next time it says who it is.
-    for (let turn = 0; turn < 10; turn += 1) {
-      const numbers = turn % 2 === 0 ? [(turn % 3) + 1] : [1, 2, 3];
-      assert.ok(await world.runUntil(() => [1, 2, 3].every(meets), 3_000_000));
-      await world.runFor(1_000_000 + turn * readMicroseconds);
+    const knowsAgent = (number: number): boolean => linked.fleet.machine(number).keeper?.agents().length === 1;
+    // The agent usually sends its member entry on every tenth read only. A restarted node must not wait for that, at any phase of the count.
+    for (let round = 0; round < 10; round += 1) {
+      const numbers = round % 2 === 0 ? [(round % 3) + 1] : [1, 2, 3];
+      assert.ok(await world.runUntil(() => [1, 2, 3].every(knowsAgent), 3_000_000));
+      await world.runFor(1_000_000 + round * readMicroseconds);
       for (const number of numbers) linked.fleet.machine(number).kill();
-      await world.runFor(turn * 30_000);
+      await world.runFor(round * 30_000);
       for (const number of numbers) linked.fleet.machine(number).start();
       assert.ok(await world.runUntil(() => machines.every(({ votes }) => votes), 1_000_000));
-      assert.ok(await world.runUntil(() => numbers.every(meets), readMicroseconds * 3), `turn ${turn}`);
+      assert.ok(await world.runUntil(() => numbers.every(knowsAgent), readMicroseconds * 3), `round ${round}`);
     }
   });
 
-  test('a document that a newer one has overtaken is asked for no more', async () => {
+  test('does not fetch a document that a newer one has replaced', async () => {
     const linked = await LinkedFleet.begin();
     for (const number of [1, 2, 3])
       linked.fleet.network.slowDown(edgeMachine, linked.machineOf(number), slowLinkMicroseconds);
     let revision = 1;
-    for (let turn = 0; turn < 10; turn += 1) {
+    for (let round = 0; round < 10; round += 1) {
       for (const pause of [150_000, 150_000, 2_000_000]) {
         revision += 1;
         await linked.change(revision);
@@ -191,13 +194,13 @@
       }
       assert.equal(linked.freshness.revision('blueprint'), revision);
     }
-    assert.deepEqual(linked.askedInVain, []);
+    assert.deepEqual(linked.staleRequests, []);
   });
 
-  test('words of all control nodes that come later than the patience still confirm the configuration', async () => {
+  test('state reports that all arrive after the timeout still confirm the configuration', async () => {
     const linked = await LinkedFleet.begin();
     for (const number of [1, 2, 3])
-      linked.fleet.network.slowDown(edgeMachine, linked.machineOf(number), lateMicroseconds);
-    assert.ok((await linked.worstAge(5_000_000)) < freshMicroseconds);
+      linked.fleet.network.slowDown(edgeMachine, linked.machineOf(number), lateLinkMicroseconds);
+    assert.ok((await linked.worstAge(5_000_000)) < freshLimitMicroseconds);
   });
 });
--- a/tests/kept-words.test.ts
+++ b/tests/kept-words.test.ts
@@ -5,7 +5,7 @@
 import { SimBlueprints, SimFleet, usualShape } from '../source/fleet-simulator/machines/simFleet';
 import { World } from '../source/fleet-simulator/world/world';
 
-const words = (ageMicroseconds: number | null): WordsAnswer => ({
+const report = (ageMicroseconds: number | null): WordsAnswer => ({
   kind: 'words',
   stamp: { fleet: 'f', keeper: 'k', incarnation: 1, known: {} },
   membersRevision: 1,
@@ -24,29 +24,29 @@
   ],
 });
 
-test('words that a keeper confirms are as old as they would be if it had said them anew', () => {
-  const kept = new KeptWords();
-  assert.equal(kept.known('a'), '');
-  kept.keep('a', words(500), 'tag', 10_000);
-  assert.equal(kept.known('a'), 'tag');
-  assert.deepEqual(kept.again('a', 'tag', 12_500), words(3000));
-  assert.equal(kept.again('a', 'other', 12_500), undefined);
-  assert.equal(kept.again('b', 'tag', 12_500), undefined);
-  kept.keep('a', words(null), 'tag', 10_000);
-  assert.deepEqual(kept.again('a', 'tag', 99_000), words(null));
-  kept.only(['b']);
-  assert.equal(kept.known('a'), '');
-  kept.keep('a', { ...words(1), words: 7 as never }, 'tag', 10_000);
-  assert.equal(kept.known('a'), '');
+test('a report that a control node confirms by its tag has the ages that a new report would have', () => {
+  const cache = new KeptWords();
+  assert.equal(cache.known('a'), '');
+  cache.keep('a', report(500), 'tag', 10_000);
+  assert.equal(cache.known('a'), 'tag');
+  assert.deepEqual(cache.again('a', 'tag', 12_500), report(3000));
+  assert.equal(cache.again('a', 'other', 12_500), undefined);
+  assert.equal(cache.again('b', 'tag', 12_500), undefined);
+  cache.keep('a', report(null), 'tag', 10_000);
+  assert.deepEqual(cache.again('a', 'tag', 99_000), report(null));
+  cache.only(['b']);
+  assert.equal(cache.known('a'), '');
+  cache.keep('a', { ...report(1), words: 7 as never }, 'tag', 10_000);
+  assert.equal(cache.known('a'), '');
 });
 
-test('in calm times keepers say next to nothing, and a change is heard as soon as before', async () => {
+test('agents apply a change in time after a period of unchanged state reports', async () => {
   const world = new World(3);
   const fleet = new SimFleet(world, { ...usualShape, edges: 3, engines: 1, spares: 0 });
   await fleet.startAll();
   await world.runFor(3_000_000);
   const change = await fleet.take('blueprint', { ...SimBlueprints.first(), tenants: {} });
   assert.ok(change !== undefined);
-  const heard = (): boolean => fleet.edges.every(({ agent }) => agent.freshness.revision('blueprint') === 2);
-  assert.ok(await world.runUntil(heard, 1_500_000));
+  const isApplied = (): boolean => fleet.edges.every(({ agent }) => agent.freshness.revision('blueprint') === 2);
+  assert.ok(await world.runUntil(isApplied, 1_500_000));
 });
--- a/tests/support/agentFleet.ts
+++ b/tests/support/agentFleet.ts
@@ -1,4 +1,3 @@
-/** Five control nodes and the agents that read from them, with the platform's settings, on virtual time. */
 import assert from 'node:assert/strict';
 import { platformDialect } from '../../platform/operators/dialect';
 import type { ChangeOrder } from '../../source/core-keeper/register/messages';
@@ -9,13 +8,13 @@
 import { platformDocument } from './platformDocument';
 import { nameOf } from './largeConfiguration';
 
-const controlNodes = 5;
+const controlNodeCount = 5;
 const zones = ['zone-1', 'zone-2', 'zone-3'] as const;
 const startMicroseconds = 15_000_000;
 const settleMicroseconds = 3_000_000;
-const lookMicroseconds = 10_000;
+const stepMicroseconds = 10_000;
 
-/** What differs from an agent's own defaults on the platform. */
+/** The platform's settings where they differ from an agent's defaults. */
 const agentSettings = {
   ...AgentDefaults,
   engineList: 'listed',
@@ -26,38 +25,39 @@
   settleMicroseconds: 600_000,
 } as const;
 
-/** An operator's document with so many routes more. */
+/** An operator's document with this many additional routes. */
 export const documentOf = (version: number, routes: number): string => {
-  const small = JSON.parse(platformDocument(version)) as { routes: readonly Record<string, unknown>[] };
-  const more = Array.from({ length: routes }, (_, index) => ({
-    ...small.routes[0],
+  const base = JSON.parse(platformDocument(version)) as { routes: readonly Record<string, unknown>[] };
+  const added = Array.from({ length: routes }, (_, index) => ({
+    ...base.routes[0],
     name: `r-${nameOf(2 * index, 7)}`,
     pathPrefix: `/${nameOf(2 * index + 1, 8)}/`,
   }));
-  return JSON.stringify({ ...small, routes: [...small.routes, ...more] });
+  return JSON.stringify({ ...base, routes: [...base.routes, ...added] });
 };
 
 export type AgentMachine = Readonly<{ machine: string; process: SimProcess; agent: EdgeAgent }>;
 
-/** A change as its operator sees it. */
+/** A configuration change and its result as the operator sees it. */
 export type SentChange = {
   readonly version: number;
   readonly sentMicroseconds: number;
   outcome: 'open' | 'taken' | 'refused';
   revision: number;
   answeredMicroseconds: number;
-  /** How often it was sent until it was answered. */
+  /** The number of requests sent until the answer. */
   calls: number;
 };
 
-/** After so long an operator hears that nothing is known yet, and goes on to another node. */
-const callMicroseconds = 1_000_000;
+/** After this time the operator is answered that the result is not known yet, and tries another node. */
+const callTimeoutMicroseconds = 1_000_000;
 const firstPauseMicroseconds = 100_000;
 
+/** Five control nodes and the agents that read from them, with the platform's settings, on virtual time. */
 export class AgentFleet {
   public readonly control: ControlFleet;
   public readonly agents: AgentMachine[] = [];
-  /** When all agents applied each revision, or a later one. */
+  /** By revision: the time when all agents had applied it or a later one. */
   private readonly appliedAt: number[] = [];
   private lastVersion = 1;
 
@@ -67,16 +67,16 @@
     agents = 15,
   ) {
     this.control = new ControlFleet(seed, platformDialect, {
-      membersWanted: controlNodes,
+      membersWanted: controlNodeCount,
       changeMicroseconds: 3_750_000,
     });
     this.control.seedNumbers = [1, 2, 3, 4, 5];
     for (let number = 1; number <= agents; number += 1) this.agents.push(this.makeAgent(number));
   }
 
-  /** All have come up, and every agent applies the first configuration. */
+  /** Starts all nodes and waits until every agent applies the first configuration. */
   public async begin(): Promise<void> {
-    assert.ok(await this.control.begin(controlNodes));
+    assert.ok(await this.control.begin(controlNodeCount));
     for (const { agent } of this.agents) void agent.start();
     const first = this.send(this.control.machine(1), 1, 0);
     assert.ok(
@@ -93,7 +93,7 @@
     const found = this.control.machines.find(
       ({ keeper, name, process }) => process.alive && keeper?.owners()['blueprint']?.owner === name,
     );
-    assert.ok(found !== undefined, 'somebody leads');
+    assert.ok(found !== undefined, 'there is a leader');
     return found;
   }
 
@@ -101,32 +101,32 @@
     return this.control.machines.filter((other) => other !== machine);
   }
 
-  /** The oldest revision that an agent applies. */
+  /** The lowest revision that any agent applies. */
   public lastRevision(): number {
     return Math.min(...this.agents.map(({ agent }) => agent.freshness.revision('blueprint')));
   }
 
-  /** How long ago what the most behind of all agents applies was known to be current. */
+  /** The highest age of the applied configuration over all agents. */
   public worstAge(): number {
     return Math.max(...this.agents.map(({ agent }) => agent.freshness.ageOf('blueprint')));
   }
 
-  /** Runs on, and writes down when each revision, or a later one, is applied by all agents. */
+  /** Advances the time and records when all agents have applied each revision or a later one. */
   public async runFor(microseconds: number): Promise<void> {
     const until = this.now + microseconds;
     while (this.now < until) {
-      await this.control.world.runFor(Math.min(lookMicroseconds, until - this.now));
+      await this.control.world.runFor(Math.min(stepMicroseconds, until - this.now));
       const last = this.lastRevision();
       while (this.appliedAt.length <= last) this.appliedAt.push(this.now);
     }
   }
 
-  /** From the confirmation of a change until the last agent applies it, or a later one; Infinity: not yet. */
+  /** The time from the confirmation of a change until the last agent applied it or a later one; Infinity if some have not. */
   public lag(change: SentChange): number {
     return (this.appliedAt[change.revision] ?? Infinity) - change.answeredMicroseconds;
   }
 
-  /** Changes one after the other, each sent to a node in turn as soon as the one before is confirmed. */
+  /** Sends changes one after the other, to the nodes in turn, each as soon as the previous one is confirmed. */
   public async changesFor(microseconds: number, from: readonly ControlMachine[]): Promise<readonly SentChange[]> {
     const until = this.now + microseconds;
     const changes: SentChange[] = [];
@@ -135,14 +135,14 @@
       assert.ok(machine !== undefined);
       this.lastVersion += 1;
       const change = this.send(machine, this.lastVersion, this.lastVersion - 1);
-      while (change.outcome === 'open') await this.runFor(lookMicroseconds);
+      while (change.outcome === 'open') await this.runFor(stepMicroseconds);
       assert.equal(change.outcome, 'taken');
       changes.push(change);
     }
     return changes;
   }
 
-  /** A change as an operator sends it: to one node first, then to one after the other, with a growing pause, until it is answered. */
+  /** Sends a change as an operator does: retries with the next node, after a growing pause, until there is an answer. */
   public send(first: ControlMachine, version: number, base: number): SentChange {
     const order: ChangeOrder = {
       key: 'blueprint',
@@ -164,22 +164,22 @@
       const machine = machines[turn % machines.length];
       if (machine === undefined || sent.outcome !== 'open') return;
       sent.calls += 1;
-      let isOver = false;
-      const next = (): void => {
-        if (isOver) return;
-        isOver = true;
+      let isFinished = false;
+      const tryNext = (): void => {
+        if (isFinished) return;
+        isFinished = true;
         if (sent.outcome === 'open') this.control.world.plan(firstPauseMicroseconds * (turn + 1), () => call(turn + 1));
       };
       const { process, keeper } = machine;
-      if (!process.alive || keeper === undefined) return next();
-      process.whenDead(next);
-      this.control.world.plan(callMicroseconds, next);
+      if (!process.alive || keeper === undefined) return tryNext();
+      process.whenDead(tryNext);
+      this.control.world.plan(callTimeoutMicroseconds, tryNext);
       process.enter(
         () =>
           void keeper.change(order).then((outcome) => {
-            if (!process.alive || isOver || sent.outcome !== 'open') return;
+            if (!process.alive || isFinished || sent.outcome !== 'open') return;
             const isRefused = outcome.kind === 'refused' && outcome.reason === 'revision';
-            if (outcome.kind !== 'taken' && !isRefused) return next();
+            if (outcome.kind !== 'taken' && !isRefused) return tryNext();
             sent.outcome = outcome.kind;
             sent.revision = outcome.kind === 'taken' ? outcome.revision : 0;
             sent.answeredMicroseconds = this.now;
--- a/tests/weights-age-drift.test.ts
+++ b/tests/weights-age-drift.test.ts
@@ -6,36 +6,38 @@
 
 const agents = 15;
 const engines = 8;
-/** What a busy machine or a full link adds to the way from one agent to another. */
+/** The delay that a busy machine or a full link adds between two agents. */
 const delayMicroseconds = 20_000;
-/** While weights change, their age decides: new ones are to stand everywhere within this time. */
-const lookedAtMicroseconds = weightsWithinMicroseconds;
+/** The ages matter during a weights change, which must be complete within this time. */
+const observedMicroseconds = weightsWithinMicroseconds;
 
 const delayAll = ({ agents: all, keepers }: HeldFleet): void => {
   for (const from of all)
     for (const to of all) if (from !== to) keepers.network.slowDown(from.machine, to.machine, delayMicroseconds);
 };
 
-/** By how much later than it is an agent believes it to be since the weights were named; undefined: it does not know. */
-const errorOf = (fleet: HeldFleet, index: number, agoMicroseconds: number): number | undefined => {
+/** By how much an agent overestimates the age of the weights; undefined if it does not know the age. */
+const ageErrorOf = (fleet: HeldFleet, index: number, trueAgeMicroseconds: number): number | undefined => {
   const { agent, process } = fleet.agent(index);
   const since = agent.freshness.weightsSince('pool')?.sinceMicroseconds;
-  return typeof since === 'number' ? process.clock.nowMicroseconds() - since - agoMicroseconds : undefined;
+  return typeof since === 'number' ? process.clock.nowMicroseconds() - since - trueAgeMicroseconds : undefined;
 };
 
-describe('regression: each exchange of news makes the weights of now older', () => {
+describe('regression: each gossip exchange adds to the age of the present weights', () => {
   for (const seed of [1, 2])
-    test(`what agents know of their age is wrong by no more than one ask may take, seed ${seed}`, async () => {
+    test(`the age known to agents is wrong by at most one request timeout, seed ${seed}`, async () => {
       const world = new World(seed);
       const fleet = new HeldFleet(world, agents);
       const names = fleet.addEngines(engines);
       await fleet.start();
       await world.runUntil(() => fleet.settled(names), 20_000_000);
       delayAll(fleet);
-      const asked = world.nowMicroseconds;
+      const changedMicroseconds = world.nowMicroseconds;
       await fleet.name('w2');
-      await world.runFor(lookedAtMicroseconds);
-      const errors = fleet.agents.map((_, index) => errorOf(fleet, index, world.nowMicroseconds - asked));
+      await world.runFor(observedMicroseconds);
+      const errors = fleet.agents.map((_, index) =>
+        ageErrorOf(fleet, index, world.nowMicroseconds - changedMicroseconds),
+      );
       const known = errors.flatMap((error) => error ?? []);
       assert.equal(known.length, agents);
       assert.ok(Math.max(...known) <= AgentDefaults.newsAskMicroseconds, errors.join(', '));
