--- a/source/edge-agent/stewards/dutyLine.ts
+++ b/source/edge-agent/stewards/dutyLine.ts
@@ -7,13 +7,13 @@
 import type { DutyHolder } from './dutyHolder';
 
 /** A lease and the key of the gossip entry that names its holder. */
-export type DutySubject = Readonly<{ duty: string; factKey: string; name: string }>;
+export type DutySubject = Readonly<{ lease: string; factKey: string; name: string }>;
 
 export const DutySubjects = {
   /** The control of one engine or store. */
-  engine: (name: string): DutySubject => ({ duty: `engine/${name}`, factKey: FactKeys.steward(name), name }),
+  engine: (name: string): DutySubject => ({ lease: `engine/${name}`, factKey: FactKeys.steward(name), name }),
   /** Reading the list of engines from a source outside the fleet. */
-  list: { duty: 'list', factKey: FactKeys.listDuty, name: 'list' } satisfies DutySubject,
+  list: { lease: 'list', factKey: FactKeys.listDuty, name: 'list' } satisfies DutySubject,
 } as const;
 
 export type DutyLineSettings = Readonly<{
@@ -74,13 +74,13 @@
   public saySometimes(subject: DutySubject, term: number, holder: string): void {
     const now = this.clock.nowMicroseconds();
     const known = this.facts.value<StewardFact>(subject.factKey);
-    const announced = this.announcedMicroseconds.get(subject.duty) ?? -Infinity;
+    const announced = this.announcedMicroseconds.get(subject.lease) ?? -Infinity;
     if (known?.holder !== holder || known.term !== term || now - announced >= this.settings.heartbeatMicroseconds)
       this.say(subject, term, holder);
   }
 
   public say(subject: DutySubject, term: number, holder: string, restMicroseconds?: number): void {
-    this.announcedMicroseconds.set(subject.duty, this.clock.nowMicroseconds());
+    this.announcedMicroseconds.set(subject.lease, this.clock.nowMicroseconds());
     this.announcements += 1;
     const rest = restMicroseconds === undefined ? {} : { restMicroseconds };
     const value: StewardFact = { engine: subject.name, holder, term, ...rest };
@@ -89,7 +89,7 @@
 
   /** Whether this agent should request a lease: it has been vacant for the delay that belongs to the agent's place in the order. */
   public standsFor(subject: DutySubject, names: readonly string[]): boolean {
-    const { duty: lease } = subject;
+    const { lease } = subject;
     const now = this.clock.nowMicroseconds();
     const fact = this.facts.get(subject.factKey);
     const value = fact?.value as StewardFact | undefined;
@@ -129,7 +129,7 @@
 
   /** The agent to hand the lease over to, once another one has been first in the order for long enough. */
   public handsOver(subject: DutySubject, names: readonly string[]): string | undefined {
-    const { duty: lease } = subject;
+    const { lease } = subject;
     const now = this.clock.nowMicroseconds();
     const first = Rendezvous.first(`steward/${subject.name}`, names);
     if (first === this.self || first === undefined) {
--- a/source/edge-agent/stewards/stewardship.ts
+++ b/source/edge-agent/stewards/stewardship.ts
@@ -67,7 +67,7 @@
 
   /** The term under which this agent may read the list of engines at this moment, else undefined. */
   public listTerm(): number | undefined {
-    return this.hasResigned ? undefined : this.leases.term(DutySubjects.list.duty);
+    return this.hasResigned ? undefined : this.leases.term(DutySubjects.list.lease);
   }
 
   /** Replaces the time limit for new weights, for present and future controllers. */
@@ -82,18 +82,18 @@
     for (const name of [...this.controllers.keys()]) if (!engines.some(([engine]) => engine === name)) this.drop(name);
     this.shards.keepOnly(engines.map(([name]) => name));
     const names = this.membership.presentNames();
-    const wanted = this.settings.readsList && this.wantsListLease(names) ? [DutySubjects.list.duty] : [];
+    const wanted = this.settings.readsList && this.wantsListLease(names) ? [DutySubjects.list.lease] : [];
     for (const [engine] of engines) {
       const subject = DutySubjects.engine(engine);
       if (this.handingOver.has(engine)) continue;
-      if (this.leases.term(subject.duty) !== undefined) {
+      if (this.leases.term(subject.lease) !== undefined) {
         const first = this.candidacy.handsOver(subject, names);
-        if (first === undefined) wanted.push(subject.duty);
+        if (first === undefined) wanted.push(subject.lease);
         else {
           this.log(`Handing the lease of ${engine} over to ${first}.`);
           void this.release([engine]);
         }
-      } else if (this.candidacy.standsFor(subject, names)) wanted.push(subject.duty);
+      } else if (this.candidacy.standsFor(subject, names)) wanted.push(subject.lease);
     }
     await this.leases.ballot(wanted);
     const listTerm = this.listTerm();
@@ -120,7 +120,7 @@
     const listTerm = this.listTerm();
     this.hasResigned = true;
     if (listTerm !== undefined) this.candidacy.say(DutySubjects.list, listTerm, '');
-    await Promise.all([this.release([...this.controllers.keys()]), this.leases.giveBack([DutySubjects.list.duty])]);
+    await Promise.all([this.release([...this.controllers.keys()]), this.leases.giveBack([DutySubjects.list.lease])]);
   }
 
   /**
