--- a/source/edge-agent/stewards/heldSteward.ts
+++ b/source/edge-agent/stewards/heldSteward.ts
@@ -296,11 +296,9 @@
 
   /** Requires a newer status first: a directive without an answer may have been accepted, and one in effect need not be repeated. */
   private maySendDirective(weights: string): boolean {
-    const seenAt = this.lastObserved?.atMicroseconds ?? -Infinity;
-    if (seenAt < this.changingSince) return false;
-    return (
-      this.lastDirective?.weights !== weights || seenAt > this.lastDirective.atMicroseconds + statusLagMicroseconds
-    );
+    const asOf = this.lastObserved?.atMicroseconds ?? -Infinity;
+    if (asOf < this.changingSince) return false;
+    return this.lastDirective?.weights !== weights || asOf > this.lastDirective.atMicroseconds + statusLagMicroseconds;
   }
 
   private async sendDirective(directive: Extract<Directive, { kind: 'loadWeights' }>): Promise<void> {
