--- a/source/core-keeper/register/acceptRound.ts
+++ b/source/core-keeper/register/acceptRound.ts
@@ -1,4 +1,3 @@
-/** The round that brings one entry onto a majority under the epoch of its leader. Anything but 'reached' leaves its fate open. */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
@@ -9,9 +8,13 @@
 import type { Accept, AcceptAnswer, Confirm } from './messages';
 import type { RoundOutcome, RoundPurpose } from './registerMetrics';
 
-/** Starting value, ours: how long after a conn broke an accept is asked for again. */
-const askAgainMicroseconds = 50_000;
+/** Delay before an accept request is repeated after its connection broke. */
+const retryDelayMicroseconds = 50_000;
 
+/**
+ * The accept phase: replicates one entry to a majority under the epoch of its leader. With the outcome `missed` the entry may still
+ * be decided later.
+ */
 export class AcceptRound {
   public constructor(
     private readonly key: DocumentKey,
@@ -22,15 +25,15 @@
     private readonly askMicroseconds: number,
   ) {}
 
-  /** `outranked` hears of each higher epoch that a member has promised. */
-  public async offer(
+  /** Calls `onOutranked` with each higher epoch that a member has promised. */
+  public async run(
     epoch: Epoch,
     entry: Entry,
     purpose: RoundPurpose,
-    outranked: (epoch: Epoch) => void,
+    onOutranked: (epoch: Epoch) => void,
   ): Promise<RoundOutcome> {
     const view = this.key === 'core-members' ? MemberViews.of(entry) : this.core.members();
-    const order = {
+    const request = {
       kind: 'accept',
       fleet: this.core.state.fleet,
       membersRevision: this.core.members().revision,
@@ -39,74 +42,76 @@
       entry,
     } as const;
     const answers: AcceptAnswer[] = [];
-    const enough = (): boolean => {
-      const sound = Stamps.sound(answers.filter((answer) => answer.kind === 'accepted')).filter(
-        (answer) => this.key === 'core-members' || answer.membersRevision <= order.membersRevision,
+    const hasMajority = (): boolean => {
+      const valid = Stamps.sound(answers.filter((answer) => answer.kind === 'accepted')).filter(
+        (answer) => this.key === 'core-members' || answer.membersRevision <= request.membersRevision,
       );
       return Stamps.reached(
         view.sets,
-        sound.map(({ stamp }) => stamp.keeper),
+        valid.map(({ stamp }) => stamp.keeper),
       );
     };
     let isOpen = true;
-    const result = await new Promise<'reached' | 'missed'>((settle) => {
-      const resolve = (outcome: 'reached' | 'missed'): void => {
+    const result = await new Promise<'reached' | 'missed'>((resolvePromise) => {
+      const finish = (outcome: 'reached' | 'missed'): void => {
         isOpen = false;
-        settle(outcome);
+        resolvePromise(outcome);
       };
-      let open = Object.keys(view.members).length;
-      if (open === 0) resolve('missed');
+      let pendingCount = Object.keys(view.members).length;
+      if (pendingCount === 0) finish('missed');
       for (const [name, member] of Object.entries(view.members)) {
-        const asked =
+        const pendingAnswer =
           name === this.core.name
-            ? this.acceptor.accept(order)
+            ? this.acceptor.accept(request)
             : purpose === 'confirm'
-              ? this.askToConfirm(member.address, order, () => isOpen)
-              : this.askToAccept(member.address, order, () => isOpen);
-        void asked.then((answer) => {
+              ? this.requestConfirm(member.address, request, () => isOpen)
+              : this.requestAccept(member.address, request, () => isOpen);
+        void pendingAnswer.then((answer) => {
           answers.push(answer);
-          open -= 1;
-          if (answer.kind === 'outranked') outranked(answer.epoch);
-          // Why not wait for all: a stalled disk on one keeper must not hold up a majority.
-          if (enough()) resolve('reached');
-          else if (open === 0) resolve('missed');
+          pendingCount -= 1;
+          if (answer.kind === 'outranked') onOutranked(answer.epoch);
+          // The round ends with the first majority, so that a stalled disk on one replica does not delay it.
+          if (hasMajority()) finish('reached');
+          else if (pendingCount === 0) finish('missed');
         });
       }
-      this.clock.after(this.askMicroseconds, () => resolve('missed'));
+      this.clock.after(this.askMicroseconds, () => finish('missed'));
     });
     if (result === 'reached') return 'reached';
-    // Why a verdict of its own: no keeper holds the entry when each answer was a plain refusal for space.
+    // If every member refused for lack of disk space, no replica holds the entry, so the change has certainly failed.
     return answers.length === Object.keys(view.members).length && answers.every((answer) => answer.kind === 'full')
       ? 'full'
       : 'missed';
   }
 
   /**
-   * Asks again over a new conn where one breaks. Why: while another keeper is silent this answer alone may make up the
-   * majority, and until it is there nobody knows which revision stands. To accept twice is to accept once.
+   * Sends an accept request and repeats it over a new connection if the connection breaks. While another replica does not answer,
+   * this answer may be needed for the majority, and without a majority it is unknown which revision is decided. Accept requests are
+   * idempotent.
    */
-  private async askToAccept(address: string, order: Accept, isOpen: () => boolean): Promise<AcceptAnswer> {
-    const until = this.clock.nowMicroseconds() + this.askMicroseconds;
-    for (let asks = 1; ; asks += 1) {
-      const answer = await this.transport.ask(address, order, until - this.clock.nowMicroseconds());
+  private async requestAccept(address: string, request: Accept, isOpen: () => boolean): Promise<AcceptAnswer> {
+    const deadlineMicroseconds = this.clock.nowMicroseconds() + this.askMicroseconds;
+    for (let attempt = 1; ; attempt += 1) {
+      const answer = await this.transport.ask(address, request, deadlineMicroseconds - this.clock.nowMicroseconds());
       if (answer.kind === 'answered') {
-        const given = Answers.read(answer, 'accepted', 'outranked', 'full') ?? { kind: 'noVote' };
-        // Why not believed later: what was asked before may have found the space, and its answer was lost.
-        return given.kind === 'full' && asks > 1 ? { kind: 'noVote' } : given;
+        const parsed = Answers.read(answer, 'accepted', 'outranked', 'full') ?? { kind: 'noVote' };
+        // On a retry, `full` is not conclusive: an earlier attempt may have been stored, with its answer lost.
+        return parsed.kind === 'full' && attempt > 1 ? { kind: 'noVote' } : parsed;
       }
-      if (!isOpen() || this.clock.nowMicroseconds() + askAgainMicroseconds >= until) return { kind: 'noVote' };
-      await Clocks.wait(this.clock, askAgainMicroseconds);
+      if (!isOpen() || this.clock.nowMicroseconds() + retryDelayMicroseconds >= deadlineMicroseconds)
+        return { kind: 'noVote' };
+      await Clocks.wait(this.clock, retryDelayMicroseconds);
       if (!isOpen()) return { kind: 'noVote' };
     }
   }
 
-  /** Most replicas hold the leader's entry already, so only those that do not are sent it. */
-  private async askToConfirm(address: string, order: Accept, isOpen: () => boolean): Promise<AcceptAnswer> {
-    const { fleet, membersRevision, key, epoch, entry } = order;
+  /** Sends the entry itself only to replicas that do not hold it yet; most of them do. */
+  private async requestConfirm(address: string, request: Accept, isOpen: () => boolean): Promise<AcceptAnswer> {
+    const { fleet, membersRevision, key, epoch, entry } = request;
     const confirm: Confirm = { kind: 'confirm', fleet, membersRevision, key, epoch, revision: entry.revision };
     const answer = await this.transport.ask(address, confirm, this.askMicroseconds);
-    const given = Answers.read(answer, 'accepted', 'outranked', 'noVote', 'behind');
-    if (given !== undefined && given.kind !== 'behind') return given;
-    return isOpen() ? this.askToAccept(address, order, isOpen) : { kind: 'noVote' };
+    const parsed = Answers.read(answer, 'accepted', 'outranked', 'noVote', 'behind');
+    if (parsed !== undefined && parsed.kind !== 'behind') return parsed;
+    return isOpen() ? this.requestAccept(address, request, isOpen) : { kind: 'noVote' };
   }
 }
--- a/source/core-keeper/register/acceptor.ts
+++ b/source/core-keeper/register/acceptor.ts
@@ -3,70 +3,72 @@
 import type { Accept, AcceptAnswer, Confirm, ConfirmAnswer, Prepare, PrepareAnswer } from './messages';
 import type { KeeperCore } from './keeperCore';
 
-/** The voter's side of the register. It answers only from what is synced. */
+/** The acceptor role of the consensus protocol. It answers only after the write it reports is synced to disk. */
 export class Acceptor {
   public constructor(private readonly core: KeeperCore) {}
 
-  public async prepare(order: Prepare): Promise<PrepareAnswer> {
-    if (!this.core.votes() || order.fleet !== this.core.state.fleet) return { kind: 'noVote' };
+  public async prepare(request: Prepare): Promise<PrepareAnswer> {
+    if (!this.core.votes() || request.fleet !== this.core.state.fleet) return { kind: 'noVote' };
     const membersRevision = this.core.members().revision;
-    const promised = KeeperStates.cell(this.core.ledger.pending, order.key).promised;
-    // Why refuse an old member list: its majority may not meet the present one. The list itself is
-    // exempt, since a change of it needs a majority of both lists whoever proposes it.
-    const oldList = order.key !== 'core-members' && order.membersRevision < membersRevision;
-    if (oldList || Epochs.compare(order.epoch, promised) <= 0)
+    const promised = KeeperStates.cell(this.core.ledger.pending, request.key).promised;
+    // Requests based on an outdated member list are refused, because a majority of that list may not overlap one of the current list.
+    // The list itself is exempt: changing it needs a majority of both lists, whoever proposes the change.
+    const isOutdatedList = request.key !== 'core-members' && request.membersRevision < membersRevision;
+    if (isOutdatedList || Epochs.compare(request.epoch, promised) <= 0)
       return { kind: 'outranked', epoch: promised, membersRevision };
-    const written = await this.core.ledger.write([{ kind: 'promised', key: order.key, epoch: order.epoch }]);
-    if (written !== 'synced') return { kind: 'noVote' };
+    const writeResult = await this.core.ledger.write([{ kind: 'promised', key: request.key, epoch: request.epoch }]);
+    if (writeResult !== 'synced') return { kind: 'noVote' };
     return {
       kind: 'promised',
       stamp: this.core.stamp(),
       membersRevision: this.core.members().revision,
-      accepted: KeeperStates.cell(this.core.state, order.key).accepted,
+      accepted: KeeperStates.cell(this.core.state, request.key).accepted,
     };
   }
 
-  public async accept(order: Accept): Promise<AcceptAnswer> {
-    if (!this.core.votes() || order.fleet !== this.core.state.fleet) return { kind: 'noVote' };
+  public async accept(request: Accept): Promise<AcceptAnswer> {
+    if (!this.core.votes() || request.fleet !== this.core.state.fleet) return { kind: 'noVote' };
     const membersRevision = this.core.members().revision;
-    const cell = KeeperStates.cell(this.core.ledger.pending, order.key);
-    const offered = { epoch: order.epoch, entry: order.entry };
-    const repeated =
+    const cell = KeeperStates.cell(this.core.ledger.pending, request.key);
+    const offered = { epoch: request.epoch, entry: request.entry };
+    const isRepeat =
       cell.accepted !== null &&
-      Epochs.compare(cell.accepted.epoch, order.epoch) === 0 &&
-      cell.accepted.entry.revision === order.entry.revision;
-    const outranked =
-      Epochs.compare(order.epoch, cell.promised) < 0 || (!repeated && !KeeperStates.outranks(offered, cell.accepted));
-    const oldList = order.key !== 'core-members' && order.membersRevision < membersRevision;
-    if (oldList || outranked) return { kind: 'outranked', epoch: cell.promised, membersRevision };
-    const synced = KeeperStates.cell(this.core.state, order.key).accepted;
-    // Why no second write: what is synced already counts, and owners ask again to learn whether they still are.
+      Epochs.compare(cell.accepted.epoch, request.epoch) === 0 &&
+      cell.accepted.entry.revision === request.entry.revision;
+    const isOutranked =
+      Epochs.compare(request.epoch, cell.promised) < 0 || (!isRepeat && !KeeperStates.outranks(offered, cell.accepted));
+    const isOutdatedList = request.key !== 'core-members' && request.membersRevision < membersRevision;
+    if (isOutdatedList || isOutranked) return { kind: 'outranked', epoch: cell.promised, membersRevision };
+    const synced = KeeperStates.cell(this.core.state, request.key).accepted;
+    // An entry that is already synced is not written again; leaders repeat the request to verify that they still lead.
     if (
-      repeated &&
+      isRepeat &&
       synced !== null &&
-      Epochs.compare(synced.epoch, order.epoch) === 0 &&
-      synced.entry.revision === order.entry.revision
+      Epochs.compare(synced.epoch, request.epoch) === 0 &&
+      synced.entry.revision === request.entry.revision
     )
       return { kind: 'accepted', stamp: this.core.stamp(), membersRevision };
-    const written = await this.core.ledger.write([
-      { kind: 'accepted', key: order.key, epoch: order.epoch, entry: order.entry },
+    const writeResult = await this.core.ledger.write([
+      { kind: 'accepted', key: request.key, epoch: request.epoch, entry: request.entry },
     ]);
-    if (written === 'full') return { kind: 'full' };
-    if (written !== 'synced') return { kind: 'noVote' };
+    if (writeResult === 'full') return { kind: 'full' };
+    if (writeResult !== 'synced') return { kind: 'noVote' };
     return { kind: 'accepted', stamp: this.core.stamp(), membersRevision };
   }
 
-  /** What an accept of an entry that this replica holds already would answer; reads nothing but the state. */
-  public confirm(order: Confirm): ConfirmAnswer {
-    if (!this.core.votes() || order.fleet !== this.core.state.fleet) return { kind: 'noVote' };
+  /** Answers as `accept` would for an entry that this replica already holds, without writing anything. */
+  public confirm(request: Confirm): ConfirmAnswer {
+    if (!this.core.votes() || request.fleet !== this.core.state.fleet) return { kind: 'noVote' };
     const membersRevision = this.core.members().revision;
-    const { promised } = KeeperStates.cell(this.core.ledger.pending, order.key);
-    const isOldList = order.key !== 'core-members' && order.membersRevision < membersRevision;
-    if (isOldList || Epochs.compare(order.epoch, promised) < 0)
+    const { promised } = KeeperStates.cell(this.core.ledger.pending, request.key);
+    const isOutdatedList = request.key !== 'core-members' && request.membersRevision < membersRevision;
+    if (isOutdatedList || Epochs.compare(request.epoch, promised) < 0)
       return { kind: 'outranked', epoch: promised, membersRevision };
-    const synced = KeeperStates.cell(this.core.state, order.key).accepted;
+    const synced = KeeperStates.cell(this.core.state, request.key).accepted;
     const isHeld =
-      synced !== null && Epochs.compare(synced.epoch, order.epoch) === 0 && synced.entry.revision === order.revision;
+      synced !== null &&
+      Epochs.compare(synced.epoch, request.epoch) === 0 &&
+      synced.entry.revision === request.revision;
     return isHeld ? { kind: 'accepted', stamp: this.core.stamp(), membersRevision } : { kind: 'behind' };
   }
 }
--- a/source/core-keeper/register/changeFetcher.ts
+++ b/source/core-keeper/register/changeFetcher.ts
@@ -1,19 +1,19 @@
-/** The leader's side of changes that other members could not bring to it: it fetches them, carries them out and tells their outcome. */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Answers } from '../messages/answers';
 import type { ChangeOrder, ChangeOutcome, FetchChange, FetchedChange } from './messages';
 
-/** What the fetcher must know of the control node that it belongs to. */
+/** What the fetcher needs from its control node. */
 export type FetchingNode = Readonly<{
   fleet: () => string;
   ledKeys: () => readonly DocumentKey[];
-  /** By this replica alone; undefined where it does not lead the key. */
+  /** Makes the change on this replica only; undefined if it does not lead the key. */
   changeAsLeader: (order: ChangeOrder) => Promise<ChangeOutcome | undefined>;
 }>;
 
+/** Fetches changes that members could not deliver to this leader, applies them and reports their outcomes. */
 export class ChangeFetcher {
-  private readonly fetching = new Set<string>();
+  private readonly activeFetches = new Set<string>();
 
   public constructor(
     private readonly node: FetchingNode,
@@ -21,25 +21,36 @@
     private readonly askMicroseconds: number,
   ) {}
 
-  /** Fetches what waits at a member, one change after the other, until nothing is left or it says nothing more. */
+  /** Fetches the changes that wait at a member one after the other, until none is left or the member does not answer. */
   public async fetchFrom(name: string, address: string): Promise<void> {
-    if (this.fetching.has(name)) return;
-    this.fetching.add(name);
+    if (this.activeFetches.has(name)) return;
+    this.activeFetches.add(name);
     try {
-      for (let next = await this.ask(address, 0); next !== undefined; next = await this.carryOut(address, next));
+      for (
+        let next = await this.fetchNext(address, 0);
+        next !== undefined;
+        next = await this.applyAndFetchNext(address, next)
+      );
     } finally {
-      this.fetching.delete(name);
+      this.activeFetches.delete(name);
     }
   }
 
-  private async carryOut(address: string, { number, order }: FetchedChange): Promise<FetchedChange | undefined> {
-    const outcome = (await this.node.changeAsLeader(order)) ?? null;
-    return this.ask(address, number, { outcome });
+  private async applyAndFetchNext(
+    address: string,
+    { number, order: request }: FetchedChange,
+  ): Promise<FetchedChange | undefined> {
+    const outcome = (await this.node.changeAsLeader(request)) ?? null;
+    return this.fetchNext(address, number, { outcome });
   }
 
-  private async ask(address: string, after: number, done?: FetchChange['done']): Promise<FetchedChange | undefined> {
+  private async fetchNext(
+    address: string,
+    after: number,
+    done?: FetchChange['done'],
+  ): Promise<FetchedChange | undefined> {
     const message = { kind: 'fetchChange', fleet: this.node.fleet(), keys: this.node.ledKeys(), after } as const;
-    const asked: FetchChange = done === undefined ? message : { ...message, done };
-    return Answers.read(await this.transport.ask(address, asked, this.askMicroseconds), 'fetchedChange');
+    const request: FetchChange = done === undefined ? message : { ...message, done };
+    return Answers.read(await this.transport.ask(address, request, this.askMicroseconds), 'fetchedChange');
   }
 }
--- a/source/core-keeper/register/changeRouter.ts
+++ b/source/core-keeper/register/changeRouter.ts
@@ -7,42 +7,45 @@
 import type { Ownership } from './ownership';
 import type { WaitingChanges } from './waitingChanges';
 
-/** Starting value, ours: how often a replica that waits for a leader looks whether that one still lives. */
-const leaderLookMicroseconds = 50_000;
+/** How often a replica that waits for the leader's answer checks whether heartbeats of that leader still arrive. */
+const leaderCheckIntervalMicroseconds = 50_000;
 
-/** Starting values, ours: the pause before a change that nobody took is tried again. */
-const leastPauseMicroseconds = 30_000;
-const pauseSpreadMicroseconds = 120_000;
+/** Delay, with random jitter, before a change that no leader handled is tried again. */
+const minRetryDelayMicroseconds = 30_000;
+const retryJitterMicroseconds = 120_000;
 
-const noMajority: ChangeOutcome = {
+const noMajorityOutcome: ChangeOutcome = {
   kind: 'refused',
   reason: 'noMajority',
   faults: [{ path: '', fault: 'no majority of control nodes answers' }],
   revision: 0,
 };
 
-/** What the router must know of the control node that it belongs to. */
+/** What the router needs from its control node. */
 export type ChangeNode = Readonly<{
   leadership: (key: DocumentKey) => Ownership;
-  /** Where the leader that is heard of a key listens; undefined: none is heard, or it is this node. */
+  /** Address of the key's leader, by its heartbeats; undefined if there are none or if this node leads. */
   leaderAddress: (key: DocumentKey) => string | undefined;
-  /** Members that this node stands by for; none where it has a vote of its own. */
+  /** The members that a standby forwards requests to; empty if this node votes itself. */
   ledMembers: () => readonly CoreMember[];
 }>;
 
 export type ChangeLimits = Readonly<{
-  /** Within this time a change has an outcome. */
+  /** Time limit for the outcome of a change. */
   changeMicroseconds: number;
-  /** How long a leader that still lives may take for a change that was passed on to it. */
+  /** Time limit for a leader that still sends heartbeats to answer a forwarded change. */
   passMicroseconds: number;
-  /** A leader that has not answered within this time may be out of reach, and is offered the change to fetch. */
+  /** After this time without an answer the leader may be unreachable from here, so the change is offered for the leader to fetch. */
   askMicroseconds: number;
 }>;
 
-/** Brings an operator's change to whoever leads its key, and a change that is sent again to the attempt under way. */
+/** Routes an operator's change to the leader of its key; a repeated request joins the attempt in progress. */
 export class ChangeRouter {
-  /** Changes that were asked for here and have no outcome yet, by all that tells one from another but its text. */
-  private readonly changing = new Map<string, Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>>();
+  /** Changes requested at this node that have no outcome yet, by all fields that identify a change except its text. */
+  private readonly changesInProgress = new Map<
+    string,
+    Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>
+  >();
 
   public constructor(
     private readonly node: ChangeNode,
@@ -54,110 +57,118 @@
   ) {}
 
   /**
-   * A change by whoever leads the key: this replica, the leader it hears, or the one that other members hear. It campaigns only
-   * where a majority hears no leader. The change id keeps one outcome, however often it is passed on.
+   * Makes a change through the leader of the key: this replica, the leader whose heartbeats it receives, or the one that other
+   * members know. This replica campaigns only if a majority receives no heartbeats of a leader. A change id has one outcome,
+   * however often the change is forwarded.
    */
-  public change(order: ChangeOrder): Promise<ChangeOutcome> {
-    const identity = JSON.stringify([order.key, order.id, order.form, order.ifMatch, order.learner]);
-    const underWay = this.changing.get(identity);
-    // A caller that sends the same change again waits for the attempt under way, and does not add another one to it.
-    if (underWay !== undefined && underWay.order.text === order.text) return underWay.outcome;
-    const outcome = this.changeNow(order).finally(() => this.changing.delete(identity));
-    this.changing.set(identity, { order, outcome });
+  public change(request: ChangeOrder): Promise<ChangeOutcome> {
+    const identity = JSON.stringify([request.key, request.id, request.form, request.ifMatch, request.learner]);
+    const inProgress = this.changesInProgress.get(identity);
+    // A repeated request waits for the attempt in progress instead of starting another one.
+    if (inProgress !== undefined && inProgress.order.text === request.text) return inProgress.outcome;
+    const outcome = this.changeNow(request).finally(() => this.changesInProgress.delete(identity));
+    this.changesInProgress.set(identity, { order: request, outcome });
     return outcome;
   }
 
-  private async changeNow(order: ChangeOrder): Promise<ChangeOutcome> {
-    if (this.node.ledMembers().length > 0) return this.passChange(order);
+  private async changeNow(request: ChangeOrder): Promise<ChangeOutcome> {
+    if (this.node.ledMembers().length > 0) return this.forwardToMembers(request);
     const { clock, random } = this;
-    const until = clock.nowMicroseconds() + this.limits.changeMicroseconds;
-    let maySettle = false;
+    const deadlineMicroseconds = clock.nowMicroseconds() + this.limits.changeMicroseconds;
+    let mayBeAccepted = false;
     for (;;) {
-      const outcome = await this.changeOnce(order);
+      const outcome = await this.changeOnce(request);
       if (outcome !== undefined && outcome.kind !== 'unknown') return outcome;
-      maySettle ||= outcome?.kind === 'unknown';
-      if (clock.nowMicroseconds() >= until) return maySettle ? { kind: 'unknown' } : noMajority;
-      await Clocks.wait(clock, leastPauseMicroseconds + Math.floor(random.fraction() * pauseSpreadMicroseconds));
+      mayBeAccepted ||= outcome?.kind === 'unknown';
+      if (clock.nowMicroseconds() >= deadlineMicroseconds)
+        return mayBeAccepted ? { kind: 'unknown' } : noMajorityOutcome;
+      await Clocks.wait(clock, minRetryDelayMicroseconds + Math.floor(random.fraction() * retryJitterMicroseconds));
     }
   }
 
-  /** Undefined: nobody took it. `unknown`: somebody may have. */
-  private async changeOnce(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const ownership = this.node.leadership(order.key);
-    const forwarded = ownership.state.kind === 'owning' ? undefined : await this.changeAtLeader(order);
+  /** Undefined: no replica accepted the change. `unknown`: one may have accepted it. */
+  private async changeOnce(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const leadership = this.node.leadership(request.key);
+    const forwarded = leadership.state.kind === 'owning' ? undefined : await this.changeAtLeader(request);
     if (forwarded !== undefined && forwarded.kind !== 'unknown') return forwarded;
-    const own = await ownership.change(order);
-    if (own !== undefined) return own;
-    return (await this.relayChange(order, ownership.leaderHearers)) ?? forwarded;
+    const ownOutcome = await leadership.change(request);
+    if (ownOutcome !== undefined) return ownOutcome;
+    return (await this.relayChange(request, leadership.leaderHearerAddresses)) ?? forwarded;
   }
 
-  /** Undefined: no leader is heard, or the one that was heard leads no more. `unknown`: it fell silent. */
-  private async changeAtLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const address = this.node.leaderAddress(order.key);
+  /** Undefined: no leader is known, or it no longer leads. `unknown`: the leader stopped answering. */
+  private async changeAtLeader(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const address = this.node.leaderAddress(request.key);
     if (address === undefined) return undefined;
-    const changed = Answers.read(await this.askLeader(order, address), 'changed');
+    const changed = Answers.read(await this.askLeader(request, address), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
-  /** Where only other members reach the leader: one of them passes the change on. */
-  private async relayChange(order: ChangeOrder, addresses: readonly string[]): Promise<ChangeOutcome | undefined> {
+  /** If only other members can reach the leader, one of them forwards the change. */
+  private async relayChange(request: ChangeOrder, addresses: readonly string[]): Promise<ChangeOutcome | undefined> {
     const address = addresses[Math.floor(this.random.fraction() * addresses.length)];
     if (address === undefined) return undefined;
-    const message = { kind: 'relayChange', order };
+    const message = { kind: 'relayChange', order: request };
     const changed = Answers.read(await this.transport.ask(address, message, this.limits.passMicroseconds), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
   /**
-   * Why not wait for the limit: a leader that falls silent meanwhile will not answer, and others can take over. One that is heard
-   * but does not answer may be out of reach for connections of this node alone, so it is offered the change to fetch.
+   * Sends a change to the leader and stops waiting as soon as its heartbeats stop: it will not answer, and another replica can take
+   * over. If its heartbeats arrive but no answer does, connections from this node may fail in one direction only, so the change is
+   * offered for the leader to fetch.
    */
-  private askLeader(order: ChangeOrder, leader: string): Promise<Answer> {
+  private askLeader(request: ChangeOrder, leader: string): Promise<Answer> {
     return new Promise((resolve) => {
       let isOpen = true;
-      let takeBack = (): void => undefined;
-      const settle = (answer: Answer): void => {
+      let withdrawOffer = (): void => undefined;
+      const finish = (answer: Answer): void => {
         isOpen = false;
-        takeBack();
+        withdrawOffer();
         resolve(answer);
       };
-      const look = (): void => {
+      const checkLeader = (): void => {
         if (!isOpen) return;
-        if (this.node.leaderAddress(order.key) !== leader) settle({ kind: 'silent', reason: 'the leader fell silent' });
-        else this.clock.after(leaderLookMicroseconds, look);
+        if (this.node.leaderAddress(request.key) !== leader)
+          finish({ kind: 'silent', reason: 'the leader fell silent' });
+        else this.clock.after(leaderCheckIntervalMicroseconds, checkLeader);
       };
       const offer = (): void => {
         if (!isOpen) return;
-        takeBack = this.waiting.offer(order, (outcome) =>
-          settle({ kind: 'answered', message: { kind: 'changed', outcome: outcome ?? null } }),
+        withdrawOffer = this.waiting.offer(request, (outcome) =>
+          finish({ kind: 'answered', message: { kind: 'changed', outcome: outcome ?? null } }),
         );
       };
-      this.clock.after(leaderLookMicroseconds, look);
+      this.clock.after(leaderCheckIntervalMicroseconds, checkLeader);
       this.clock.after(this.limits.askMicroseconds, offer);
-      void this.transport.ask(leader, { kind: 'change', order }, this.limits.passMicroseconds).then(settle);
+      void this.transport.ask(leader, { kind: 'change', order: request }, this.limits.passMicroseconds).then(finish);
     });
   }
 
-  /** A standby passes operators' calls on to the members that it stands by for. */
-  private async passChange(order: ChangeOrder): Promise<ChangeOutcome> {
-    let maySettle = false;
+  /** On a standby: forwards an operator's change to the voting members. */
+  private async forwardToMembers(request: ChangeOrder): Promise<ChangeOutcome> {
+    let mayBeAccepted = false;
     for (const { address } of this.node.ledMembers()) {
-      const answer = await this.transport.ask(address, { kind: 'passChange', order }, this.limits.passMicroseconds);
+      const answer = await this.transport.ask(
+        address,
+        { kind: 'passChange', order: request },
+        this.limits.passMicroseconds,
+      );
       const outcome = Answers.read(answer, 'changed')?.outcome ?? undefined;
       if (outcome !== undefined) return outcome;
-      maySettle ||= answer.kind === 'silent';
+      mayBeAccepted ||= answer.kind === 'silent';
     }
-    return maySettle ? { kind: 'unknown' } : noMajority;
+    return mayBeAccepted ? { kind: 'unknown' } : noMajorityOutcome;
   }
 
-  /** By this replica alone; undefined where it does not lead the key. */
-  public async changeAsLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const ownership = this.node.leadership(order.key);
-    return ownership.state.kind === 'owning' ? ownership.change(order) : undefined;
+  /** Makes the change on this replica only; undefined if it does not lead the key. */
+  public async changeAsLeader(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const leadership = this.node.leadership(request.key);
+    return leadership.state.kind === 'owning' ? leadership.change(request) : undefined;
   }
 
-  /** For a member that does not reach the leader; passed on once and no further. */
-  public async changeFromMember(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    return (await this.changeAsLeader(order)) ?? this.changeAtLeader(order);
+  /** Makes a change for a member that cannot reach the leader; it is forwarded at most once. */
+  public async changeFromMember(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    return (await this.changeAsLeader(request)) ?? this.changeAtLeader(request);
   }
 }
--- a/source/core-keeper/register/changes.ts
+++ b/source/core-keeper/register/changes.ts
@@ -7,57 +7,65 @@
 import type { ChangeOrder, ChangeOutcome } from './messages';
 import { OutcomeHistories } from './outcomeHistory';
 
+/** The entry of a key before its first change. */
 export const emptyEntry: Entry = { revision: 0, digest: '', text: '', outcomes: OutcomeHistories.none };
 
+/** Digests that name the texts of entries. */
 export const Digests = {
   of: (text: string): string => createHash('sha256').update(text).digest('hex').slice(0, 32),
 } as const;
 
-type Planned = Readonly<{ kind: 'write'; entry: Entry }> | Readonly<{ kind: 'answer'; outcome: ChangeOutcome }>;
+type PlannedChange = Readonly<{ kind: 'write'; entry: Entry }> | Readonly<{ kind: 'answer'; outcome: ChangeOutcome }>;
 
-const refused = (reason: 'faults' | 'revision' | 'idUsed', faults: readonly Fault[], revision: number): Planned => ({
+const refusal = (
+  reason: 'faults' | 'revision' | 'idUsed',
+  faults: readonly Fault[],
+  revision: number,
+): PlannedChange => ({
   kind: 'answer',
   outcome: { kind: 'refused', reason, faults, revision },
 });
 
-const namesIn = (text: string): readonly string[] => {
+const memberNamesIn = (text: string): readonly string[] => {
   const checked = Blueprints.checkText('core-members', text);
   return checked.kind === 'good' ? Object.keys((checked.value as CoreMembers).members) : [];
 };
 
-const oneAtATime = (entry: Entry, text: string): readonly Fault[] => {
+const memberChangeFaults = (entry: Entry, text: string): readonly Fault[] => {
   if (entry.base !== undefined) return [{ path: '', fault: 'an earlier change of members is not settled yet' }];
-  const before = namesIn(entry.text);
-  const after = namesIn(text);
-  const gone = before.filter((name) => !after.includes(name));
-  const come = after.filter((name) => !before.includes(name));
-  return gone.length > 1 || come.length > 1 ? [{ path: '/members', fault: 'members change one at a time' }] : [];
+  const before = memberNamesIn(entry.text);
+  const after = memberNamesIn(text);
+  const removed = before.filter((name) => !after.includes(name));
+  const added = after.filter((name) => !before.includes(name));
+  return removed.length > 1 || added.length > 1 ? [{ path: '/members', fault: 'members change one at a time' }] : [];
 };
 
-/** Only the operators' document has dialects; lists of engines and members are the product's own everywhere. */
-const applied = (entry: Entry, order: ChangeOrder, dialect: Dialect): DialectApplied =>
-  order.key === 'blueprint'
-    ? dialect.apply(entry, order)
+/** Only the operators' document has dialects; the lists of engines and members always use the product's own format. */
+const applyRequest = (entry: Entry, request: ChangeOrder, dialect: Dialect): DialectApplied =>
+  request.key === 'blueprint'
+    ? dialect.apply(entry, request)
     : Dialects.applyOwn(
         entry,
-        order,
-        (text) => Blueprints.checkText(order.key, text),
-        (text) => (order.key === 'core-members' ? oneAtATime(entry, text) : []),
+        request,
+        (text) => Blueprints.checkText(request.key, text),
+        (text) => (request.key === 'core-members' ? memberChangeFaults(entry, text) : []),
       );
 
+/** Rules for deriving the next entry of a key from a change request. */
 export const Changes = {
-  /** What an operator's order makes of the present value: the next entry, or an answer at once. A pure function. */
-  plan: (entry: Entry, order: ChangeOrder, dialect: Dialect = ownDialect): Planned => {
-    const earlier = OutcomeHistories.find(entry.outcomes, order);
-    if (earlier.kind === 'otherChange')
-      return refused('idUsed', [{ path: '', fault: 'this change id was used for another change' }], entry.revision);
-    if (earlier.kind === 'accepted') return { kind: 'answer', outcome: { kind: 'taken', revision: earlier.revision } };
-    const next = applied(entry, order, dialect);
+  /** Plans a change of the current entry: the next entry to write, or an immediate answer. A pure function. */
+  plan: (entry: Entry, request: ChangeOrder, dialect: Dialect = ownDialect): PlannedChange => {
+    const remembered = OutcomeHistories.find(entry.outcomes, request);
+    if (remembered.kind === 'otherChange')
+      return refusal('idUsed', [{ path: '', fault: 'this change id was used for another change' }], entry.revision);
+    if (remembered.kind === 'accepted')
+      return { kind: 'answer', outcome: { kind: 'taken', revision: remembered.revision } };
+    const next = applyRequest(entry, request, dialect);
     if (next.kind === 'refused') {
-      // It builds on a version so old that it may have been accepted itself, and a change once accepted is never refused.
-      if (next.reason === 'revision' && earlier.kind === 'forgotten')
+      // The base is older than the remembered changes, so this change may have been accepted already, and an accepted change is never refused.
+      if (next.reason === 'revision' && remembered.kind === 'forgotten')
         return { kind: 'answer', outcome: { kind: 'unknown' } };
-      return refused(next.reason, next.faults, entry.revision);
+      return refusal(next.reason, next.faults, entry.revision);
     }
     if (next.kind === 'same') return { kind: 'answer', outcome: { kind: 'taken', revision: entry.revision } };
     const revision = entry.revision + 1;
@@ -67,14 +75,14 @@
         revision,
         digest: Digests.of(next.text),
         text: next.text,
-        outcomes: OutcomeHistories.add(entry.outcomes, order, revision),
-        ...(order.key === 'core-members' ? { base: entry.text } : {}),
-        ...(order.key === 'core-members' && order.learner !== undefined ? { learner: order.learner } : {}),
+        outcomes: OutcomeHistories.add(entry.outcomes, request, revision),
+        ...(request.key === 'core-members' ? { base: entry.text } : {}),
+        ...(request.key === 'core-members' && request.learner !== undefined ? { learner: request.learner } : {}),
       },
     };
   },
 
-  /** The second step of a change of members: the list before no longer counts. */
+  /** The second step of a membership change: the previous list no longer takes part in majorities. */
   settled: (entry: Entry): Entry => ({
     revision: entry.revision + 1,
     digest: entry.digest,
--- a/source/core-keeper/register/collect.ts
+++ b/source/core-keeper/register/collect.ts
@@ -1,14 +1,14 @@
-/** Answers until they are enough, or all have come. Why not all: one that is silent must not hold up a takeover. */
+/** Collects answers until they suffice or all have arrived, so that a member that does not answer cannot delay a takeover. */
 export const collectUntil = <Result>(
-  asks: readonly Promise<Result>[],
+  requests: readonly Promise<Result>[],
   isEnough: (answers: readonly Result[]) => boolean,
 ): Promise<readonly Result[]> =>
   new Promise((resolve) => {
     const answers: Result[] = [];
-    if (asks.length === 0) resolve(answers);
-    for (const ask of asks)
-      void ask.then((answer) => {
+    if (requests.length === 0) resolve(answers);
+    for (const request of requests)
+      void request.then((answer) => {
         answers.push(answer);
-        if (answers.length === asks.length || isEnough(answers)) resolve([...answers]);
+        if (answers.length === requests.length || isEnough(answers)) resolve([...answers]);
       });
   });
--- a/source/core-keeper/register/entryTransfer.ts
+++ b/source/core-keeper/register/entryTransfer.ts
@@ -1,7 +1,3 @@
-/**
- * Accepted entries passed from replica to replica, outside of a round of their leader: how one that was away catches up.
- * An entry travels as the very offer (`accept`) that its giver accepted, so the taker checks it against its own promises.
- */
 import { isDocumentKey, type DocumentKey } from '../../shared/blueprint/types';
 import type { Answer, Message, Transport } from '../../shared/effects/transport/transport';
 import type { Accepted } from '../../shared/register/types';
@@ -11,6 +7,10 @@
 import type { KeeperCore } from './keeperCore';
 import type { Accept } from './messages';
 
+/**
+ * Copies accepted entries between replicas outside the accept rounds of a leader, so that a replica that was away catches up. An entry
+ * is sent as the `accept` request that its sender accepted, so the receiver checks it against its own promises.
+ */
 export class EntryTransfer {
   public constructor(
     private readonly core: KeeperCore,
@@ -19,46 +19,46 @@
     private readonly askMicroseconds: number,
   ) {}
 
-  /** What this replica has accepted for a key; `notOwner` where it has nothing or no vote. */
+  /** The accepted entry of a key as an `accept` request; `notOwner` if this replica has none or does not vote. */
   public give(key: unknown): Message {
-    const known = isDocumentKey(key) ? this.newest(key) : null;
-    if (known === null || !isDocumentKey(key) || !this.core.votes()) return { kind: 'notOwner' };
+    const accepted = isDocumentKey(key) ? this.newestAccepted(key) : null;
+    if (accepted === null || !isDocumentKey(key) || !this.core.votes()) return { kind: 'notOwner' };
     return {
       kind: 'accept',
       fleet: this.core.state.fleet,
       membersRevision: this.core.members().revision,
       key,
-      epoch: known.epoch,
-      entry: known.entry,
+      epoch: accepted.epoch,
+      entry: accepted.entry,
     } satisfies Accept;
   }
 
-  /** Takes what the replica at an address has accepted, unless this one has promised a higher epoch. False: no answer came. */
+  /** Fetches the accepted entry from an address and accepts it unless this replica promised a higher epoch. False if there was no answer. */
   public async take(key: DocumentKey, address: string): Promise<boolean> {
-    const answer = await this.ask(key, address);
+    const answer = await this.requestEntry(key, address);
     const offer = Answers.read(answer, 'accept');
     if (offer !== undefined) await this.acceptor.accept(offer);
     return answer.kind === 'answered';
   }
 
   /**
-   * Takes the list of members from a replica that knows a newer one. Where this one has promised a higher epoch meanwhile it cannot
-   * accept the list, but must act by it all the same: newcomers get snapshots only from those that do, and without the votes of
-   * newcomers nobody may be able to lead.
+   * Fetches a newer member list from another replica. A replica that has promised a higher epoch cannot accept the list but must still
+   * apply it: joining members get snapshots only from replicas that use the new list, and without the votes of joining members no
+   * leader may be electable.
    */
   public async takeMembers(address: string): Promise<void> {
-    const offer = Answers.read(await this.ask('core-members', address), 'accept');
+    const offer = Answers.read(await this.requestEntry('core-members', address), 'accept');
     if (offer === undefined) return;
     await this.acceptor.accept(offer);
     if (offer.fleet !== this.core.state.fleet || offer.entry.revision <= this.core.members().revision) return;
     await this.core.ledger.write([{ kind: 'membersLearned', epoch: offer.epoch, entry: offer.entry }]);
   }
 
-  private ask(key: DocumentKey, address: string): Promise<Answer> {
+  private requestEntry(key: DocumentKey, address: string): Promise<Answer> {
     return this.transport.ask(address, { kind: 'entry', key }, this.askMicroseconds * 2);
   }
 
-  private newest(key: DocumentKey): Accepted | null {
+  private newestAccepted(key: DocumentKey): Accepted | null {
     return key === 'core-members'
       ? KeeperStates.members(this.core.state)
       : KeeperStates.cell(this.core.state, key).accepted;
--- a/source/core-keeper/register/heartbeats.ts
+++ b/source/core-keeper/register/heartbeats.ts
@@ -1,7 +1,3 @@
-/**
- * Heartbeats between members. A leader tells all others what it leads; their answers tell it who has promised a higher epoch, who
- * lacks a value, and who holds a change that it could not bring to the leader.
- */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { Epochs, type Epoch } from '../../shared/register/types';
@@ -18,10 +14,10 @@
 import type { QuorumWatch } from './quorumWatch';
 import type { WaitingChanges } from './waitingChanges';
 
-/** A key whose leader's epoch a member cannot accept any more, since it has promised a higher one. */
+/** A key for which a member has promised a higher epoch than the leader's, so that it refuses the leader's entries. */
 type HigherPromise = Readonly<{ key: DocumentKey; epoch: Epoch }>;
 
-/** The parts of a control node that heartbeats read and feed. */
+/** The parts of a control node that heartbeats read and update. */
 export type HeartbeatParts = Readonly<{
   core: KeeperCore;
   leaderships: ReadonlyMap<DocumentKey, Ownership>;
@@ -33,20 +29,25 @@
   fetcher: ChangeFetcher;
 }>;
 
+/** Settings of the heartbeats. */
 export type HeartbeatSettings = Readonly<{
   askMicroseconds: number;
-  /** A disk that hangs for longer keeps its node from leading. */
+  /** A node whose disk has stalled for longer than this stops leading. */
   ownerSilentMicroseconds: number;
   joins: 'named' | 'asks';
 }>;
 
+/**
+ * Heartbeats between members. A leader announces the keys it leads to all other members. Their answers name keys for which they
+ * promised a higher epoch, keys whose value they lack, and changes that they could not deliver to the leader.
+ */
 export class Heartbeats {
-  private readonly telling = new Set<string>();
-  private readonly sendingEntries = new Set<string>();
-  private readonly repairing = new Set<DocumentKey>();
-  /** Keys whose newest value this replica lacks and could not take from their leader. */
-  private readonly lacking = new Set<DocumentKey>();
-  private readonly decided = new Map<DocumentKey, OwnerWord>();
+  private readonly pendingHeartbeats = new Set<string>();
+  private readonly pendingEntrySends = new Set<string>();
+  private readonly keysCatchingUp = new Set<DocumentKey>();
+  /** Keys whose newest value this replica lacks and could not fetch from their leader. */
+  private readonly unfetchedKeys = new Set<DocumentKey>();
+  private readonly decidedStatements = new Map<DocumentKey, OwnerWord>();
 
   public constructor(
     private readonly parts: HeartbeatParts,
@@ -54,92 +55,93 @@
     private readonly settings: HeartbeatSettings,
   ) {}
 
-  /** What a leader of the key last said is decided, as far as this member heard it. */
-  public decidedWord(key: DocumentKey): OwnerWord | undefined {
-    return this.decided.get(key);
+  /** The newest decided revision of the key that a leader has announced to this member. */
+  public decidedStatement(key: DocumentKey): OwnerWord | undefined {
+    return this.decidedStatements.get(key);
   }
 
   public ledKeys(): readonly DocumentKey[] {
-    return this.ledWords().map(({ key }) => key);
+    return this.ledStatements().map(({ key }) => key);
   }
 
-  /** One heartbeat to each other member. */
+  /** Sends one heartbeat to each other member. */
   public send(): void {
     const { core, quorum } = this.parts;
-    // Why silent when stalled: the others take the keys over while this disk hangs.
+    // A node with a stalled disk sends no heartbeats, so that others take over its keys.
     if (!core.votes() || core.ledger.stalledMicroseconds() > this.settings.ownerSilentMicroseconds) return;
     for (const leadership of this.parts.leaderships.values())
-      if (!quorum.isReached(leadership.ledSinceMicroseconds)) leadership.stepDown();
-    const words = this.ledWords();
-    // Why also without words: where places change hands, members must know who is still there.
-    if (words.length === 0 && this.settings.joins !== 'asks') return;
-    quorum.look();
-    const message = { kind: 'owners', fleet: core.state.fleet, owner: core.name, words };
-    for (const [name, member] of core.others()) void this.tell(name, member.address, message);
+      if (!quorum.hasQuorum(leadership.ledSinceMicroseconds)) leadership.stepDown();
+    const statements = this.ledStatements();
+    // If silent members can be replaced, a node that leads no key also sends heartbeats, so that the others know it is alive.
+    if (statements.length === 0 && this.settings.joins !== 'asks') return;
+    quorum.logChanges();
+    const message = { kind: 'owners', fleet: core.state.fleet, owner: core.name, words: statements };
+    for (const [name, member] of core.others()) void this.sendTo(name, member.address, message);
   }
 
-  /** A heartbeat of another member, and the answer to it. */
-  public hear({ fleet, owner, words }: Ask<'owners'>): Message {
+  /** Handles a heartbeat of another member and returns the answer. */
+  public hear({ fleet, owner: leader, words: statements }: Ask<'owners'>): Message {
     const { core, leaders, members, waiting } = this.parts;
     if (fleet !== core.state.fleet) return { kind: 'noVote' };
-    members.hear(owner);
-    for (const word of leaders.heartbeat(owner, words)) {
-      if ((this.decided.get(word.key)?.revision ?? 0) <= word.revision) this.decided.set(word.key, word);
-      this.parts.leaderships.get(word.key)?.outranked(word.epoch);
-      void this.repair(word, owner);
+    members.hear(leader);
+    for (const statement of leaders.heartbeat(leader, statements)) {
+      if ((this.decidedStatements.get(statement.key)?.revision ?? 0) <= statement.revision)
+        this.decidedStatements.set(statement.key, statement);
+      this.parts.leaderships.get(statement.key)?.outranked(statement.epoch);
+      void this.catchUp(statement, leader);
     }
-    const keys = words.map(({ key }) => key);
+    const keys = statements.map(({ key }) => key);
     return {
       kind: 'heard',
-      promised: words.flatMap((word) => this.higherPromise(word)),
+      promised: statements.flatMap((statement) => this.higherPromise(statement)),
       waiting: waiting.count(keys),
-      lacking: keys.filter((key) => this.lacking.has(key)),
+      lacking: keys.filter((key) => this.unfetchedKeys.has(key)),
     };
   }
 
-  private ledWords(): readonly OwnerWord[] {
+  private ledStatements(): readonly OwnerWord[] {
     return [...this.parts.leaderships.values()].flatMap((leadership) => leadership.word() ?? []);
   }
 
-  /** Why not wait for all: one member that says nothing must not make this owner look silent to the others. */
-  private async tell(name: string, address: string, message: Message): Promise<void> {
-    if (this.telling.has(name)) return;
-    this.telling.add(name);
+  /** Each member is sent heartbeats independently, so that one that does not answer does not delay those to the others. */
+  private async sendTo(name: string, address: string, message: Message): Promise<void> {
+    if (this.pendingHeartbeats.has(name)) return;
+    this.pendingHeartbeats.add(name);
     try {
       const answer = await this.transport.ask(address, message, this.settings.askMicroseconds);
       const heard = Answers.read(answer, 'heard');
-      if (heard !== undefined) this.heardBy(name, address, heard);
+      if (heard !== undefined) this.receiveAnswer(name, address, heard);
     } finally {
-      this.telling.delete(name);
+      this.pendingHeartbeats.delete(name);
     }
   }
 
-  private heardBy(
+  private receiveAnswer(
     name: string,
     address: string,
     { promised = [], waiting = 0, lacking = [] }: AnswerOf<'heard'>,
   ): void {
     this.parts.members.hear(name);
-    this.parts.quorum.answered(name);
-    for (const { key, epoch } of promised) this.leadAbove(key, epoch);
-    // A member whose connections do not reach this leader is served over the leader's own.
+    this.parts.quorum.recordAnswer(name);
+    for (const { key, epoch } of promised) this.campaignAbove(key, epoch);
+    // A member that cannot open connections to this leader is served over a connection that the leader opens.
     if (waiting > 0) void this.parts.fetcher.fetchFrom(name, address);
     for (const key of lacking) void this.sendEntry(key, name, address);
   }
 
-  /** A member that promised a higher epoch can follow this leader only under one that is higher still. */
-  private leadAbove(key: DocumentKey, epoch: Epoch): void {
+  /** Campaigns again: a member that promised a higher epoch accepts entries of this leader only under an epoch above that. */
+  private campaignAbove(key: DocumentKey, epoch: Epoch): void {
     const leadership = this.parts.leaderships.get(key);
     if (leadership?.outranked(epoch) === true) void leadership.win();
   }
 
   private async sendEntry(key: DocumentKey, name: string, address: string): Promise<void> {
-    if (this.sendingEntries.has(name) || this.parts.leaderships.get(key)?.word() === undefined) return;
-    this.sendingEntries.add(name);
+    if (this.pendingEntrySends.has(name) || this.parts.leaderships.get(key)?.word() === undefined) return;
+    this.pendingEntrySends.add(name);
     try {
       await this.transport.ask(address, this.parts.entries.give(key), this.settings.askMicroseconds);
     } finally {
-      this.sendingEntries.delete(name);
+      this.pendingEntrySends.delete(name);
     }
   }
 
@@ -148,27 +150,27 @@
     return Epochs.compare(promised, epoch) > 0 ? [{ key, epoch: promised }] : [];
   }
 
-  private lacks(word: OwnerWord): boolean {
-    const { accepted } = KeeperStates.cell(this.parts.core.ledger.pending, word.key);
-    if (word.revision === 0 || !this.parts.core.votes()) return false;
+  private isBehind(statement: OwnerWord): boolean {
+    const { accepted } = KeeperStates.cell(this.parts.core.ledger.pending, statement.key);
+    if (statement.revision === 0 || !this.parts.core.votes()) return false;
     if (accepted === null) return true;
-    const order = Epochs.compare(accepted.epoch, word.epoch);
-    return order < 0 || (order === 0 && accepted.entry.revision < word.revision);
+    const comparison = Epochs.compare(accepted.epoch, statement.epoch);
+    return comparison < 0 || (comparison === 0 && accepted.entry.revision < statement.revision);
   }
 
-  /** A member that was away takes what it missed from the leader, instead of staying behind until the next change. */
-  private async repair(word: OwnerWord, owner: string): Promise<void> {
-    if (!this.lacks(word)) {
-      this.lacking.delete(word.key);
+  /** Fetches an entry that this member missed from the leader, instead of waiting for the next change. */
+  private async catchUp(statement: OwnerWord, leader: string): Promise<void> {
+    if (!this.isBehind(statement)) {
+      this.unfetchedKeys.delete(statement.key);
       return;
     }
-    const address = this.parts.core.members().members[owner]?.address;
-    if (address === undefined || this.repairing.has(word.key)) return;
-    this.repairing.add(word.key);
+    const address = this.parts.core.members().members[leader]?.address;
+    if (address === undefined || this.keysCatchingUp.has(statement.key)) return;
+    this.keysCatchingUp.add(statement.key);
     try {
-      if (!(await this.parts.entries.take(word.key, address))) this.lacking.add(word.key);
+      if (!(await this.parts.entries.take(statement.key, address))) this.unfetchedKeys.add(statement.key);
     } finally {
-      this.repairing.delete(word.key);
+      this.keysCatchingUp.delete(statement.key);
     }
   }
 }
--- a/source/core-keeper/register/keeperCore.ts
+++ b/source/core-keeper/register/keeperCore.ts
@@ -5,6 +5,7 @@
 import { KeeperStates, type KeeperState } from '../ledger/keeperState';
 import type { Ledger } from '../ledger/ledger';
 
+/** A member list with the sets that each need a majority: one, or two while a member changes. */
 export type MemberView = Readonly<{
   revision: number;
   sets: readonly (readonly string[])[];
@@ -16,21 +17,22 @@
   return checked.kind === 'good' ? (checked.value as CoreMembers).members : {};
 };
 
+/** Derives a member view from an entry of `core-members`. */
 export const MemberViews = {
   of: (entry: Entry): MemberView => {
     const present = membersIn(entry.text);
-    const before = entry.base === undefined ? undefined : membersIn(entry.base);
+    const previous = entry.base === undefined ? undefined : membersIn(entry.base);
     return {
       revision: entry.revision,
-      sets: before === undefined ? [Object.keys(present)] : [Object.keys(present), Object.keys(before)],
-      members: { ...before, ...present },
+      sets: previous === undefined ? [Object.keys(present)] : [Object.keys(present), Object.keys(previous)],
+      members: { ...previous, ...present },
     };
   },
 } as const;
 
-/** What all parts of one keeper share: its name, its ledger and its view of who the members are. */
+/** The state shared by all parts of one replica: its name, its write-ahead log and its view of the members. */
 export class KeeperCore {
-  private viewOf: Entry | undefined;
+  private viewedEntry: Entry | undefined;
   private view: MemberView = { revision: 0, sets: [], members: {} };
 
   public constructor(
@@ -52,9 +54,9 @@
     const newest = KeeperStates.members(this.state);
     if (newest === null)
       return { revision: 0, sets: [Object.keys(this.state.firstMembers)], members: this.state.firstMembers };
-    if (newest.entry !== this.viewOf) {
+    if (newest.entry !== this.viewedEntry) {
       this.view = MemberViews.of(newest.entry);
-      this.viewOf = newest.entry;
+      this.viewedEntry = newest.entry;
     }
     return this.view;
   }
--- a/source/core-keeper/register/ownership.ts
+++ b/source/core-keeper/register/ownership.ts
@@ -18,27 +18,29 @@
 import type { ChangeOrder, ChangeOutcome, OwnerWord } from './messages';
 import type { CampaignReason, RegisterMetrics, RoundOutcome, RoundPurpose } from './registerMetrics';
 
+/** The state of a replica's leadership of one key; `owning` means that it leads. */
 export type OwnershipState =
   | Readonly<{ kind: 'none' }>
-  | Readonly<{ kind: 'winning'; epoch: Epoch }>
-  /** The value found is being written again; until a majority has it, nobody may be told it stands. */
-  | Readonly<{ kind: 'settling'; epoch: Epoch; entry: Entry }>
+  | Readonly<{ kind: 'campaigning'; epoch: Epoch }>
+  /** The value found by the campaign is being replicated; until a majority holds it, it must not be reported as decided. */
+  | Readonly<{ kind: 'committing'; epoch: Epoch; entry: Entry }>
   | Readonly<{ kind: 'owning'; epoch: Epoch; entry: Entry }>;
 
+/** What changes the state of a leadership. */
 export type OwnershipEvent =
   | Readonly<{ kind: 'began'; epoch: Epoch }>
   | Readonly<{ kind: 'found'; epoch: Epoch; entry: Entry }>
   | Readonly<{ kind: 'decided'; entry: Entry }>
   | Readonly<{ kind: 'lost' }>;
 
-const reduceOwnership = (state: OwnershipState, event: OwnershipEvent): OwnershipState => {
+const reduceLeadership = (state: OwnershipState, event: OwnershipEvent): OwnershipState => {
   switch (event.kind) {
     case 'began':
-      return { kind: 'winning', epoch: event.epoch };
+      return { kind: 'campaigning', epoch: event.epoch };
     case 'found':
-      return { kind: 'settling', epoch: event.epoch, entry: event.entry };
+      return { kind: 'committing', epoch: event.epoch, entry: event.entry };
     case 'decided':
-      return state.kind === 'settling' || state.kind === 'owning'
+      return state.kind === 'committing' || state.kind === 'owning'
         ? { kind: 'owning', epoch: state.epoch, entry: event.entry }
         : state;
     case 'lost':
@@ -46,6 +48,7 @@
   }
 };
 
+/** Settings of a leadership. */
 export type OwnershipSettings = PreVoteSettings &
   Readonly<{
     changeMicroseconds: number;
@@ -54,21 +57,21 @@
     metrics: RegisterMetrics;
   }>;
 
-/** Starting values, ours: how long a replica that missed its majority waits before it campaigns again. */
-const leastBackOffMicroseconds = 30_000;
-const backOffSpreadMicroseconds = 120_000;
+/** Delay, with random jitter, before a replica that missed its majority campaigns again. */
+const minBackoffMicroseconds = 30_000;
+const backoffJitterMicroseconds = 120_000;
 
-/** What became of a change at the leader: its outcome, or that it leads no more and whether the entry may stand. */
+/** Result of a change at the leader: its outcome, or loss of the leadership and whether the entry may still be decided. */
 type LedChange =
-  Readonly<{ kind: 'answer'; outcome: ChangeOutcome }> | Readonly<{ kind: 'deposed'; mayStand: boolean }>;
-/** One key, seen from one keeper: won under a rising epoch, kept until outranked. */
+  Readonly<{ kind: 'answer'; outcome: ChangeOutcome }> | Readonly<{ kind: 'deposed'; mayBeAccepted: boolean }>;
+/** One replica's leadership of one key: acquired under an increasing epoch and held until a higher epoch is seen. */
 export class Ownership {
   public readonly news = new Emittery<{ state: OwnershipState }>();
-  private present: OwnershipState = { kind: 'none' };
-  private highest: Epoch = Epochs.none;
-  private ledSince = -Infinity;
-  private timesLed = 0;
-  private serial: Promise<unknown> = Promise.resolve();
+  private current: OwnershipState = { kind: 'none' };
+  private highestEpoch: Epoch = Epochs.none;
+  private leadingSinceMicroseconds = -Infinity;
+  private takeoverCount = 0;
+  private lastTask: Promise<unknown> = Promise.resolve();
   private readonly preVote: PreVote;
   private readonly prepareRound: PrepareRound;
   private readonly acceptRound: AcceptRound;
@@ -90,92 +93,92 @@
   }
 
   public get state(): OwnershipState {
-    return this.present;
+    return this.current;
   }
 
-  /** Since when this replica has led the key without a break. */
+  /** Start of the current uninterrupted leadership. */
   public get ledSinceMicroseconds(): number {
-    return this.ledSince;
+    return this.leadingSinceMicroseconds;
   }
 
-  /** How often this replica has come to lead the key since its process started. */
+  /** How many times this replica has acquired the leadership of the key since its process started. */
   public get takeovers(): number {
-    return this.timesLed;
+    return this.takeoverCount;
   }
 
-  /** Members that heard a leader when this replica last asked whether it may campaign; addresses. */
-  public get leaderHearers(): readonly string[] {
-    return this.preVote.leaderHearers;
+  /** Addresses of the members that received a leader's heartbeats at the time of the last pre-vote. */
+  public get leaderHearerAddresses(): readonly string[] {
+    return this.preVote.leaderHearerAddresses;
   }
 
   public word(): OwnerWord | undefined {
-    return this.present.kind === 'owning'
+    return this.current.kind === 'owning'
       ? {
           key: this.key,
-          epoch: this.present.epoch,
-          revision: this.present.entry.revision,
-          digest: this.present.entry.digest,
+          epoch: this.current.epoch,
+          revision: this.current.entry.revision,
+          digest: this.current.entry.digest,
         }
       : undefined;
   }
 
-  /** A higher epoch was promised somewhere: this replica no longer leads the key. True where it did until now. */
+  /** Records an epoch that was promised elsewhere and gives up the leadership if it is higher. True if this replica led until now. */
   public outranked(epoch: Epoch): boolean {
-    if (Epochs.compare(epoch, this.highest) > 0) this.highest = epoch;
-    const wasLeading = this.present.kind !== 'none' && Epochs.compare(epoch, this.present.epoch) > 0;
-    if (wasLeading) this.step({ kind: 'lost' });
+    if (Epochs.compare(epoch, this.highestEpoch) > 0) this.highestEpoch = epoch;
+    const wasLeading = this.current.kind !== 'none' && Epochs.compare(epoch, this.current.epoch) > 0;
+    if (wasLeading) this.transition({ kind: 'lost' });
     return wasLeading;
   }
 
   public win(reason: CampaignReason = 'request'): Promise<boolean> {
-    return this.inTurn(() => this.winNow(reason));
+    return this.runSerially(() => this.acquireNow(reason));
   }
 
-  /** A leader that no majority answers any more gives the key up, so that it tells nobody it still leads. */
+  /** Gives up the leadership when no majority answers any more, so that this replica does not report itself as leader. */
   public stepDown(): void {
-    if (this.present.kind === 'owning') this.step({ kind: 'lost' });
+    if (this.current.kind === 'owning') this.transition({ kind: 'lost' });
   }
 
   /**
-   * The second step of a change of members: the list before stops counting. It is never undone instead: replicas act on a
-   * list as soon as they hold it, so two lists that could both follow the same one would have majorities apart from each other.
+   * The second step of a membership change: the previous list stops counting. A membership change is never rolled back instead:
+   * replicas use a list as soon as they hold it, so two lists that could both follow the same one could have disjoint majorities.
    */
   public settleMemberChange(): Promise<boolean> {
-    return this.inTurn(async () => {
-      if (this.present.kind !== 'owning' || this.present.entry.base === undefined) return false;
-      return this.writeMembers(Changes.settled(this.present.entry));
+    return this.runSerially(async () => {
+      if (this.current.kind !== 'owning' || this.current.entry.base === undefined) return false;
+      return this.replicateMembers(Changes.settled(this.current.entry));
     });
   }
 
-  public change(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    return this.inTurn(() => this.changeNow(order));
+  public change(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    return this.runSerially(() => this.changeNow(request));
   }
 
-  private step(event: OwnershipEvent): void {
-    const before = this.present.kind;
-    const next = reduceOwnership(this.present, event);
-    this.present = next;
-    if (before !== 'owning' && next.kind === 'owning') {
-      this.ledSince = this.clock.nowMicroseconds();
-      this.timesLed += 1;
+  private transition(event: OwnershipEvent): void {
+    const previousKind = this.current.kind;
+    const next = reduceLeadership(this.current, event);
+    this.current = next;
+    if (previousKind !== 'owning' && next.kind === 'owning') {
+      this.leadingSinceMicroseconds = this.clock.nowMicroseconds();
+      this.takeoverCount += 1;
     }
-    if (before !== this.present.kind && (this.present.kind === 'owning' || before === 'owning'))
+    if (previousKind !== this.current.kind && (this.current.kind === 'owning' || previousKind === 'owning'))
       this.log(
-        `The key ${this.key} is now ${this.present.kind === 'owning' ? `owned under ${Epochs.text(this.present.epoch)}` : 'not owned'}.`,
+        `The key ${this.key} is now ${this.current.kind === 'owning' ? `led by this replica under epoch ${Epochs.text(this.current.epoch)}` : 'no longer led by this replica'}.`,
       );
-    void this.news.emit('state', this.present);
+    void this.news.emit('state', this.current);
   }
 
-  private inTurn<Result>(work: () => Promise<Result>): Promise<Result> {
-    const turn = this.serial.then(work, work);
-    this.serial = turn.catch(() => undefined);
-    return turn;
+  private runSerially<Result>(operation: () => Promise<Result>): Promise<Result> {
+    const task = this.lastTask.then(operation, operation);
+    this.lastTask = task.catch(() => undefined);
+    return task;
   }
 
-  private async winNow(reason: CampaignReason = 'request'): Promise<boolean> {
-    if (this.present.kind === 'owning') return true;
+  private async acquireNow(reason: CampaignReason = 'request'): Promise<boolean> {
+    if (this.current.kind === 'owning') return true;
     if (!this.core.votes()) return false;
-    // A cut-off replica that promised itself ever higher epochs would depose the leader as soon as the link heals.
+    // Without the pre-vote, a partitioned replica would promise itself ever higher epochs and depose the leader once the partition heals.
     if (!(await this.preVote.isGranted(reason))) {
       this.settings.metrics.campaign(this.key, reason, 'refused');
       return false;
@@ -183,117 +186,117 @@
     if (!this.core.votes()) return false;
     const isWon = await this.campaign();
     this.settings.metrics.campaign(this.key, reason, isWon ? 'won' : 'missed');
-    return isWon && this.settleMembers();
+    return isWon && this.completeMemberChangeNow();
   }
 
   private async campaign(): Promise<boolean> {
     const promised = KeeperStates.cell(this.core.ledger.pending, this.key).promised;
-    const epoch: Epoch = { number: Math.max(promised.number, this.highest.number) + 1, keeper: this.core.name };
-    this.highest = epoch;
-    this.step({ kind: 'began', epoch });
-    const gathered = await this.prepareRound.gather(epoch, this.core.members());
-    if (gathered.kind === 'missed') {
-      this.step({ kind: 'lost' });
-      this.outranked(gathered.outrankedBy);
+    const epoch: Epoch = { number: Math.max(promised.number, this.highestEpoch.number) + 1, keeper: this.core.name };
+    this.highestEpoch = epoch;
+    this.transition({ kind: 'began', epoch });
+    const promises = await this.prepareRound.run(epoch, this.core.members());
+    if (promises.kind === 'missed') {
+      this.transition({ kind: 'lost' });
+      this.outranked(promises.outrankedBy);
       return false;
     }
-    const entry = gathered.accepted?.entry ?? this.firstEntry();
-    // Why write again: the value found may stand on a minority only; under this epoch it stands on a majority.
-    if (this.present.kind !== 'winning') return false;
-    this.step({ kind: 'found', epoch, entry });
-    if ((await this.acceptNow(entry, 'commit')) !== 'reached') {
-      this.step({ kind: 'lost' });
+    const entry = promises.accepted?.entry ?? this.initialEntry();
+    // The value found may be held by a minority only, so it is replicated again to a majority under this epoch.
+    if (this.current.kind !== 'campaigning') return false;
+    this.transition({ kind: 'found', epoch, entry });
+    if ((await this.replicate(entry, 'commit')) !== 'reached') {
+      this.transition({ kind: 'lost' });
       return false;
     }
-    this.step({ kind: 'decided', entry });
+    this.transition({ kind: 'decided', entry });
     return true;
   }
 
-  private firstEntry(): Entry {
+  private initialEntry(): Entry {
     if (this.key !== 'core-members') return emptyEntry;
     const text = this.settings.firstMembersText();
     return { revision: 1, digest: Digests.of(text), text, outcomes: OutcomeHistories.none };
   }
 
-  /** Brings one entry onto a majority under the present epoch. Anything but 'reached' leaves its fate open. */
-  private async acceptNow(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
-    const outcome = await this.acceptUnder(entry, purpose);
+  /** Replicates one entry to a majority under the current epoch. With the outcome `missed` it may still be decided later. */
+  private async replicate(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
+    const outcome = await this.runAcceptRound(entry, purpose);
     this.settings.metrics.round(this.key, purpose, outcome, purpose === 'confirm' ? 0 : entry.text.length);
     return outcome;
   }
 
-  private async acceptUnder(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
-    if (this.present.kind !== 'owning' && this.present.kind !== 'settling') return 'missed';
-    const { epoch } = this.present;
-    const outcome = await this.acceptRound.offer(epoch, entry, purpose, (higher) => this.outranked(higher));
-    return outcome === 'reached' && !this.holds(epoch) ? 'missed' : outcome;
+  private async runAcceptRound(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
+    if (this.current.kind !== 'owning' && this.current.kind !== 'committing') return 'missed';
+    const { epoch } = this.current;
+    const outcome = await this.acceptRound.run(epoch, entry, purpose, (higher) => this.outranked(higher));
+    return outcome === 'reached' && !this.isLeadingUnder(epoch) ? 'missed' : outcome;
   }
 
-  private holds(epoch: Epoch): boolean {
+  private isLeadingUnder(epoch: Epoch): boolean {
     return (
-      (this.present.kind === 'owning' || this.present.kind === 'settling') &&
-      Epochs.compare(this.present.epoch, epoch) === 0
+      (this.current.kind === 'owning' || this.current.kind === 'committing') &&
+      Epochs.compare(this.current.epoch, epoch) === 0
     );
   }
 
-  /** The second step of a change of members, at once where no learner has to catch up first. */
-  private async settleMembers(): Promise<boolean> {
-    if (this.key !== 'core-members' || this.present.kind !== 'owning') return true;
-    const { entry } = this.present;
+  /** Takes the second step of a membership change immediately if no learner has to catch up first. */
+  private async completeMemberChangeNow(): Promise<boolean> {
+    if (this.key !== 'core-members' || this.current.kind !== 'owning') return true;
+    const { entry } = this.current;
     if (entry.base === undefined || entry.learner !== undefined) return true;
-    return this.writeMembers(Changes.settled(entry));
+    return this.replicateMembers(Changes.settled(entry));
   }
 
-  private async writeMembers(entry: Entry): Promise<boolean> {
-    if ((await this.acceptNow(entry, 'change')) !== 'reached') {
-      this.step({ kind: 'lost' });
+  private async replicateMembers(entry: Entry): Promise<boolean> {
+    if ((await this.replicate(entry, 'change')) !== 'reached') {
+      this.transition({ kind: 'lost' });
       return false;
     }
-    this.step({ kind: 'decided', entry });
+    this.transition({ kind: 'decided', entry });
     return true;
   }
 
-  /** Undefined: this replica does not lead and may not. `unknown`: what it offered may stand, and it leads no more. */
-  private async changeNow(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const until = this.clock.nowMicroseconds() + this.settings.changeMicroseconds;
-    let mayStand = false;
-    while (await this.winNow()) {
-      const led = await this.changeAsLeader(order);
-      if (led.kind === 'answer') return led.outcome;
-      mayStand ||= led.mayStand;
-      // The entry may stand on a minority, and only a new epoch can settle what became of it.
-      this.step({ kind: 'lost' });
-      if (this.clock.nowMicroseconds() >= until) break;
-      await this.backOff();
+  /** Undefined: this replica does not lead and may not. `unknown`: it lost the leadership and its entry may still be decided. */
+  private async changeNow(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const deadlineMicroseconds = this.clock.nowMicroseconds() + this.settings.changeMicroseconds;
+    let mayBeAccepted = false;
+    while (await this.acquireNow()) {
+      const attempt = await this.changeAsLeader(request);
+      if (attempt.kind === 'answer') return attempt.outcome;
+      mayBeAccepted ||= attempt.mayBeAccepted;
+      // The entry may be held by a minority, and only a new epoch can determine whether it is decided.
+      this.transition({ kind: 'lost' });
+      if (this.clock.nowMicroseconds() >= deadlineMicroseconds) break;
+      await this.backoff();
     }
-    return mayStand ? { kind: 'unknown' } : undefined;
+    return mayBeAccepted ? { kind: 'unknown' } : undefined;
   }
 
-  private async changeAsLeader(order: ChangeOrder): Promise<LedChange> {
-    if (this.present.kind !== 'owning') return { kind: 'deposed', mayStand: false };
-    const { entry } = this.present;
-    const planned = Changes.plan(entry, order, this.settings.dialect);
+  private async changeAsLeader(request: ChangeOrder): Promise<LedChange> {
+    if (this.current.kind !== 'owning') return { kind: 'deposed', mayBeAccepted: false };
+    const { entry } = this.current;
+    const planned = Changes.plan(entry, request, this.settings.dialect);
     if (planned.kind === 'answer') {
-      // A refusal or an earlier outcome from a leader long deposed would be wrong.
-      const isConfirmed = (await this.acceptNow(entry, 'confirm')) === 'reached';
-      return isConfirmed ? planned : { kind: 'deposed', mayStand: false };
+      // A deposed leader could answer with a wrong refusal or an outdated outcome, so the leadership is confirmed first.
+      const isConfirmed = (await this.replicate(entry, 'confirm')) === 'reached';
+      return isConfirmed ? planned : { kind: 'deposed', mayBeAccepted: false };
     }
-    const result = await this.acceptNow(planned.entry, 'change');
+    const result = await this.replicate(planned.entry, 'change');
     if (result === 'reached') {
-      this.step({ kind: 'decided', entry: planned.entry });
-      await this.settleMembers();
+      this.transition({ kind: 'decided', entry: planned.entry });
+      await this.completeMemberChangeNow();
       return { kind: 'answer', outcome: { kind: 'taken', revision: planned.entry.revision } };
     }
-    if (result === 'missed') return { kind: 'deposed', mayStand: true };
+    if (result === 'missed') return { kind: 'deposed', mayBeAccepted: true };
     const faults = [{ path: '', fault: 'the disks are full' }];
     return { kind: 'answer', outcome: { kind: 'refused', reason: 'full', faults, revision: entry.revision } };
   }
 
-  /** Two replicas that campaign in step depose each other for ever; a pause by chance lets one of them finish. */
-  private backOff(): Promise<void> {
+  /** Waits for a random time: two replicas that campaign in lockstep would otherwise depose each other endlessly. */
+  private backoff(): Promise<void> {
     return Clocks.wait(
       this.clock,
-      leastBackOffMicroseconds + Math.floor(this.random.fraction() * backOffSpreadMicroseconds),
+      minBackoffMicroseconds + Math.floor(this.random.fraction() * backoffJitterMicroseconds),
     );
   }
 }
--- a/source/core-keeper/register/preVote.ts
+++ b/source/core-keeper/register/preVote.ts
@@ -1,7 +1,3 @@
-/**
- * The pre-vote, before any promise is asked for, whatever the campaign is for: a majority must answer, and none of it may hear a leader
- * or have promised to another candidate a moment ago. Else each call that fails at one member would depose a leader that serves the others.
- */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Stamps } from '../../shared/register/types';
@@ -10,14 +6,20 @@
 import type { KeeperCore } from './keeperCore';
 import type { CampaignReason } from './registerMetrics';
 
+/** Settings of the pre-vote. */
 export type PreVoteSettings = Readonly<{
   askMicroseconds: number;
-  /** The member at this address knows a newer list of members than this replica, which takes it from there. */
+  /** Fetches the member list from the member at this address, which knows a newer one. */
   learnMembers: (address: string) => Promise<void>;
 }>;
 
+/**
+ * The pre-vote that precedes every campaign, before any promise is requested. A majority must answer, and none of its members may
+ * receive heartbeats of a leader or have promised to another candidate a moment ago. Without it, each request that fails at one
+ * member would depose a leader that serves the others.
+ */
 export class PreVote {
-  private hearers: readonly string[] = [];
+  private addressesHearingLeader: readonly string[] = [];
 
   public constructor(
     private readonly key: DocumentKey,
@@ -26,18 +28,18 @@
     private readonly settings: PreVoteSettings,
   ) {}
 
-  /** Members that heard a leader when this replica last asked; addresses. */
-  public get leaderHearers(): readonly string[] {
-    return this.hearers;
+  /** Addresses of the members that received a leader's heartbeats at the time of the last pre-vote. */
+  public get leaderHearerAddresses(): readonly string[] {
+    return this.addressesHearingLeader;
   }
 
   /** Whether this replica may campaign now. */
   public async isGranted(reason: CampaignReason): Promise<boolean> {
     const view = this.core.members();
     const message = { kind: 'mayLead', key: this.key, fleet: this.core.state.fleet, candidate: this.core.name, reason };
-    const newer: string[] = [];
+    const newerListAddresses: string[] = [];
     const hearers: string[] = [];
-    const isReached = (answers: readonly (string | undefined)[]): boolean =>
+    const hasMajority = (answers: readonly (string | undefined)[]): boolean =>
       Stamps.reached(
         view.sets,
         answers.filter((name) => name !== undefined),
@@ -45,20 +47,20 @@
     const answers = await collectUntil(
       Object.entries(view.members).map(async ([name, member]) => {
         if (name === this.core.name) return name;
-        const asked = await this.transport.ask(member.address, message, this.settings.askMicroseconds);
-        const answer = Answers.read(asked, 'mayLead');
+        const reply = await this.transport.ask(member.address, message, this.settings.askMicroseconds);
+        const answer = Answers.read(reply, 'mayLead');
         if (answer === undefined) return undefined;
-        if (answer.membersRevision > view.revision) newer.push(member.address);
+        if (answer.membersRevision > view.revision) newerListAddresses.push(member.address);
         if (!answer.hearsLeader) return name;
         hearers.push(member.address);
         return undefined;
       }),
-      isReached,
+      hasMajority,
     );
-    this.hearers = hearers;
-    const [address] = newer;
-    // Members refuse whoever goes by an older list, and the leader that would repair this replica may be out of its reach.
+    this.addressesHearingLeader = hearers;
+    const [address] = newerListAddresses;
+    // Members refuse candidates with an older member list, and the leader that would update this replica may be unreachable.
     if (address !== undefined) await this.settings.learnMembers(address);
-    return isReached(answers);
+    return hasMajority(answers);
   }
 }
--- a/source/core-keeper/register/prepareRound.ts
+++ b/source/core-keeper/register/prepareRound.ts
@@ -1,4 +1,3 @@
-/** The first phase of a campaign: a majority promises an epoch and says what it has accepted. */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { Epochs, Stamps, type Accepted, type Epoch } from '../../shared/register/types';
@@ -10,9 +9,11 @@
 import type { PrepareAnswer } from './messages';
 
 type Promised = Extract<PrepareAnswer, Readonly<{ kind: 'promised' }>>;
-export type Gathered =
+/** The newest accepted value among a majority of promises, or the highest epoch seen without a majority. */
+export type PrepareResult =
   Readonly<{ kind: 'reached'; accepted: Accepted | null }> | Readonly<{ kind: 'missed'; outrankedBy: Epoch }>;
 
+/** The prepare phase of a campaign: a majority promises an epoch and reports what it has accepted. */
 export class PrepareRound {
   public constructor(
     private readonly key: DocumentKey,
@@ -22,36 +23,39 @@
     private readonly askMicroseconds: number,
   ) {}
 
-  /** The newest value that a majority has accepted, once that majority has promised the epoch. */
-  public async gather(epoch: Epoch, first: MemberView): Promise<Gathered> {
-    let view = first;
-    const given = new Map<string, PrepareAnswer>();
+  /** Returns the newest value accepted by any member of a majority that has promised the epoch. */
+  public async run(epoch: Epoch, initialView: MemberView): Promise<PrepareResult> {
+    let view = initialView;
+    const received = new Map<string, PrepareAnswer>();
     for (;;) {
-      const asked = Object.entries(view.members);
-      const order = {
+      const recipients = Object.entries(view.members);
+      const request = {
         kind: 'prepare',
         fleet: this.core.state.fleet,
-        membersRevision: first.revision,
+        membersRevision: initialView.revision,
         key: this.key,
         epoch,
       } as const;
       const answers = await collectUntil(
-        asked.map(async ([name, member]): Promise<PrepareAnswer> => {
-          // Why not ask twice: a promise once given stands, and a second ask under one epoch is refused.
+        recipients.map(async ([name, member]): Promise<PrepareAnswer> => {
+          // A member that has promised is not asked again: its promise holds, and a second request under the same epoch is refused.
           const answer =
-            given.get(name) ??
+            received.get(name) ??
             (name === this.core.name
-              ? await this.acceptor.prepare(order)
-              : await this.askToPromise(member.address, order));
-          if (answer.kind === 'promised') given.set(name, answer);
+              ? await this.acceptor.prepare(request)
+              : await this.requestPromise(member.address, request));
+          if (answer.kind === 'promised') received.set(name, answer);
           return answer;
         }),
-        (come) => this.isPromised(view, come, first.revision),
+        (partial) => this.hasMajority(view, partial, initialView.revision),
       );
-      const promised = this.soundPromises(answers, first.revision);
+      const promised = this.validPromises(answers, initialView.revision);
       const outranked = answers.filter((answer) => answer.kind === 'outranked').map((answer) => answer.epoch);
-      const outrankedBy = outranked.reduce((high, item) => (Epochs.compare(item, high) > 0 ? item : high), Epochs.none);
-      if (!this.isPromised(view, answers, first.revision)) return { kind: 'missed', outrankedBy };
+      const outrankedBy = outranked.reduce(
+        (highest, item) => (Epochs.compare(item, highest) > 0 ? item : highest),
+        Epochs.none,
+      );
+      if (!this.hasMajority(view, answers, initialView.revision)) return { kind: 'missed', outrankedBy };
       const accepted = promised.reduce<Accepted | null>(
         (best, answer) =>
           answer.accepted !== null && KeeperStates.outranks(answer.accepted, best) ? answer.accepted : best,
@@ -59,26 +63,26 @@
       );
       if (this.key !== 'core-members' || accepted === null || accepted.entry.revision <= view.revision)
         return { kind: 'reached', accepted };
-      // Why again: a newer list was found, and its own majority may know a newer one still.
+      // A newer member list was found, and its majority may know a still newer one, so the round is repeated with it.
       view = MemberViews.of(accepted.entry);
     }
   }
 
-  private soundPromises(answers: readonly PrepareAnswer[], membersRevision: number): readonly Promised[] {
+  private validPromises(answers: readonly PrepareAnswer[], membersRevision: number): readonly Promised[] {
     return Stamps.sound(answers.filter((answer) => answer.kind === 'promised')).filter(
       (answer) => this.key === 'core-members' || answer.membersRevision <= membersRevision,
     );
   }
 
-  private isPromised(view: MemberView, answers: readonly PrepareAnswer[], membersRevision: number): boolean {
+  private hasMajority(view: MemberView, answers: readonly PrepareAnswer[], membersRevision: number): boolean {
     return Stamps.reached(
       view.sets,
-      this.soundPromises(answers, membersRevision).map(({ stamp }) => stamp.keeper),
+      this.validPromises(answers, membersRevision).map(({ stamp }) => stamp.keeper),
     );
   }
 
-  private async askToPromise(address: string, order: Message): Promise<PrepareAnswer> {
-    const answer = await this.transport.ask(address, order, this.askMicroseconds);
+  private async requestPromise(address: string, request: Message): Promise<PrepareAnswer> {
+    const answer = await this.transport.ask(address, request, this.askMicroseconds);
     return Answers.read(answer, 'promised', 'outranked') ?? { kind: 'noVote' };
   }
 }
--- a/source/core-keeper/register/quorumReader.ts
+++ b/source/core-keeper/register/quorumReader.ts
@@ -1,9 +1,3 @@
-/**
- * Reads of a register as of now, at any control node, without its leader. A majority is asked for what it has accepted: a value
- * known to be decided, with nothing newer on any of them, is at least as new as every change confirmed before the read began,
- * since that change stands on a majority too and any two majorities share a replica. A read never campaigns: whoever is
- * in the way of one is a leader that others still need.
- */
 import { Answers } from '../messages/answers';
 import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
@@ -12,35 +6,42 @@
 import { MajorityReads, type MembersView, type WordsAnswer } from '../../shared/register/majorityRead';
 import { Digests } from './changes';
 
-/** The value of a key as of now, or that no majority answered in time. */
+/** The current value of a key, or that no majority answered in time. */
 export type ReadOutcome = Readonly<{ kind: 'read'; revision: number; text: string }> | Readonly<{ kind: 'noMajority' }>;
 
-/** What the reader knows of its own node and of the fleet. */
+/** What the reader needs from its own control node. */
 export type QuorumReaderNode = Readonly<{
   fleet: () => string;
-  /** Whom to ask: all members that this node knows of, itself left out. */
+  /** All other members that this node knows. */
   members: () => readonly CoreMember[];
-  /** This node's own answer; undefined where it has no vote. */
+  /** This node's own answer; undefined if it does not vote. */
   ownAnswer: () => WordsAnswer | undefined;
-  /** A value that this node holds; undefined: none of this digest. */
+  /** The text with this digest; undefined if this node does not hold it. */
   heldText: (key: DocumentKey, digest: string) => string | undefined;
 }>;
 
+/** Settings of the reader. */
 export type QuorumReaderSettings = Readonly<{ askMicroseconds: number }>;
 
-type Found = Readonly<{ revision: number; digest: string }>;
-type Round = Readonly<{ found: Found | undefined; view: MembersView | undefined }>;
+type FoundValue = Readonly<{ revision: number; digest: string }>;
+type RoundResult = Readonly<{ found: FoundValue | undefined; view: MembersView | undefined }>;
 
-/** Starting value, ours: the pause before a majority is asked again, while a change is being accepted or nobody answers. */
-const pauseMicroseconds = 40_000;
+/** Delay before a majority is asked again, while a change is being accepted or no member answers. */
+const retryDelayMicroseconds = 40_000;
 
-/** Starting value, ours: how long one member may take for a value before the next one is asked too. */
-const valueStaggerMicroseconds = 120_000;
+/** How long one member may take to send a value before the next member is asked as well. */
+const valueRequestStaggerMicroseconds = 120_000;
 
-/** Before the first change each replica says so, and no digest names the empty value. */
+/** Whether no replica has accepted a value yet; the empty value has no digest. */
 const isUnwritten = (key: DocumentKey, answers: readonly WordsAnswer[]): boolean =>
   answers.every(({ words }) => words.every((word) => word.key !== key || word.digest === ''));
 
+/**
+ * Linearizable reads of a register at any control node, without its leader. A majority is asked what it has accepted. A value that is
+ * known to be decided, with nothing newer on any of these members, is at least as new as every change confirmed before the read
+ * began, since such a change is held by a majority too and any two majorities share a replica. A read never campaigns, because a
+ * campaign could depose a leader that others still need.
+ */
 export class QuorumReader {
   public constructor(
     private readonly node: QuorumReaderNode,
@@ -49,17 +50,17 @@
     private readonly settings: QuorumReaderSettings,
   ) {}
 
-  /** Asks again until a majority agrees or the time is over. */
+  /** Repeats the requests until a majority proves a value or the time limit is reached. */
   public async read(key: DocumentKey, limitMicroseconds: number): Promise<ReadOutcome> {
-    const until = this.clock.nowMicroseconds() + limitMicroseconds;
-    let newer: MembersView | undefined;
+    const deadlineMicroseconds = this.clock.nowMicroseconds() + limitMicroseconds;
+    let newerView: MembersView | undefined;
     for (;;) {
-      const { found, view } = await this.askAll(key, newer, until);
-      newer = view ?? newer;
-      const text = found === undefined ? undefined : await this.textOf(key, found, newer, until);
+      const { found, view } = await this.requestAll(key, newerView, deadlineMicroseconds);
+      newerView = view ?? newerView;
+      const text = found === undefined ? undefined : await this.fetchText(key, found, newerView, deadlineMicroseconds);
       if (found !== undefined && text !== undefined) return { kind: 'read', revision: found.revision, text };
-      if (this.clock.nowMicroseconds() + pauseMicroseconds >= until) return { kind: 'noMajority' };
-      await Clocks.wait(this.clock, pauseMicroseconds);
+      if (this.clock.nowMicroseconds() + retryDelayMicroseconds >= deadlineMicroseconds) return { kind: 'noMajority' };
+      await Clocks.wait(this.clock, retryDelayMicroseconds);
     }
   }
 
@@ -68,35 +69,44 @@
     return [...new Set(known.map(({ address }) => address))];
   }
 
-  private patience(until: number): number {
-    return Math.max(1, Math.min(this.settings.askMicroseconds, until - this.clock.nowMicroseconds()));
+  private requestTimeoutMicroseconds(deadlineMicroseconds: number): number {
+    return Math.max(1, Math.min(this.settings.askMicroseconds, deadlineMicroseconds - this.clock.nowMicroseconds()));
   }
 
-  /** One question to every member; over as soon as the answers prove a value, or all have come. */
-  private askAll(key: DocumentKey, newer: MembersView | undefined, until: number): Promise<Round> {
-    const own = this.node.ownAnswer();
-    const answers = new Map<string, WordsAnswer>(own === undefined ? [] : [[own.stamp.keeper, own]]);
-    const addresses = this.addresses(newer);
+  /** Sends one request to every member; ends as soon as the answers prove a value or all have arrived. */
+  private requestAll(
+    key: DocumentKey,
+    newerView: MembersView | undefined,
+    deadlineMicroseconds: number,
+  ): Promise<RoundResult> {
+    const ownAnswer = this.node.ownAnswer();
+    const answers = new Map<string, WordsAnswer>(ownAnswer === undefined ? [] : [[ownAnswer.stamp.keeper, ownAnswer]]);
+    const addresses = this.addresses(newerView);
     return new Promise((resolve) => {
-      let open = addresses.length;
-      const look = (): void => {
-        const round = this.judge(key, [...answers.values()]);
-        if (round.found !== undefined || open === 0) resolve(round);
+      let pendingCount = addresses.length;
+      const check = (): void => {
+        const round = this.evaluate(key, [...answers.values()]);
+        if (round.found !== undefined || pendingCount === 0) resolve(round);
       };
-      look();
+      check();
       for (const address of addresses)
         void this.transport
-          .ask(address, { kind: 'words', fleet: this.node.fleet() }, this.patience(until))
+          .ask(
+            address,
+            { kind: 'words', fleet: this.node.fleet() },
+            this.requestTimeoutMicroseconds(deadlineMicroseconds),
+          )
           .then((answer) => {
-            open -= 1;
-            const said = Answers.read(answer, 'words');
-            if (said !== undefined && said.stamp.keeper !== own?.stamp.keeper) answers.set(said.stamp.keeper, said);
-            look();
+            pendingCount -= 1;
+            const parsed = Answers.read(answer, 'words');
+            if (parsed !== undefined && parsed.stamp.keeper !== ownAnswer?.stamp.keeper)
+              answers.set(parsed.stamp.keeper, parsed);
+            check();
           });
     });
   }
 
-  private judge(key: DocumentKey, answers: readonly WordsAnswer[]): Round {
+  private evaluate(key: DocumentKey, answers: readonly WordsAnswer[]): RoundResult {
     const { statements, view, isMajority } = MajorityReads.judge(answers, this.node.fleet(), () => undefined);
     const statement = statements.find((item) => item.key === key);
     if (statement !== undefined) return { found: statement, view };
@@ -104,44 +114,51 @@
     return { found: isEmpty ? { revision: 0, digest: '' } : undefined, view };
   }
 
-  /** The value itself, from this node or whoever holds it; undefined: nobody within reach does. */
-  private async textOf(
+  /** The text of a value, from this node or a member that holds it; undefined if no reachable member does. */
+  private async fetchText(
     key: DocumentKey,
-    { digest }: Found,
+    { digest }: FoundValue,
     view: MembersView | undefined,
-    until: number,
+    deadlineMicroseconds: number,
   ): Promise<string | undefined> {
     if (digest === '') return '';
     const held = this.node.heldText(key, digest);
     if (held !== undefined) return held;
-    return this.firstText(this.addresses(view), (address) => this.askText(key, digest, address, until));
+    return this.firstTextFrom(this.addresses(view), (address) =>
+      this.requestText(key, digest, address, deadlineMicroseconds),
+    );
   }
 
-  /** One member after the other: several values on the way would only delay each other, but none that is silent holds it up. */
-  private firstText(
+  /** Asks one member after the other, since parallel transfers of the value would slow each other down; the stagger limits the delay by a member that does not answer. */
+  private firstTextFrom(
     addresses: readonly string[],
-    ask: (address: string) => Promise<string | undefined>,
+    request: (address: string) => Promise<string | undefined>,
   ): Promise<string | undefined> {
     return new Promise((resolve) => {
-      let open = addresses.length;
-      let isOver = open === 0;
-      if (isOver) resolve(undefined);
-      const askNext = async (address: string): Promise<void> => {
-        if (isOver) return;
-        const text = await ask(address);
-        open -= 1;
-        if (text === undefined && open > 0) return;
-        isOver = true;
+      let pendingCount = addresses.length;
+      let isDone = pendingCount === 0;
+      if (isDone) resolve(undefined);
+      const requestNext = async (address: string): Promise<void> => {
+        if (isDone) return;
+        const text = await request(address);
+        pendingCount -= 1;
+        if (text === undefined && pendingCount > 0) return;
+        isDone = true;
         resolve(text);
       };
       addresses.forEach((address, index) => {
-        this.clock.after(index * valueStaggerMicroseconds, () => void askNext(address));
+        this.clock.after(index * valueRequestStaggerMicroseconds, () => void requestNext(address));
       });
     });
   }
 
-  private async askText(key: DocumentKey, digest: string, address: string, until: number): Promise<string | undefined> {
-    const limit = Math.max(1, until - this.clock.nowMicroseconds());
+  private async requestText(
+    key: DocumentKey,
+    digest: string,
+    address: string,
+    deadlineMicroseconds: number,
+  ): Promise<string | undefined> {
+    const limit = Math.max(1, deadlineMicroseconds - this.clock.nowMicroseconds());
     const answer = await this.transport.ask(address, { kind: 'body', key, digest }, limit);
     if (answer.kind !== 'answered' || !Bodies.is(answer.message)) return undefined;
     const text = Bodies.text(answer.message);
--- a/source/core-keeper/register/quorumWatch.ts
+++ b/source/core-keeper/register/quorumWatch.ts
@@ -1,49 +1,50 @@
-/**
- * Whether a majority of the members still answers this replica's heartbeats. A leader that nobody answers steps down
- * by itself, so that members that still hear it (a link cut one way) look for another leader.
- */
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Stamps } from '../../shared/register/types';
 import type { Log } from '../../shared/log/log';
 import type { KeeperCore } from './keeperCore';
 
+/**
+ * Tracks whether a majority of the members still answers this replica's heartbeats. A leader without a majority steps down by itself,
+ * so that members that still receive its heartbeats (over a link cut in one direction) elect another leader.
+ */
 export class QuorumWatch {
   private readonly answeredAt = new Map<string, number>();
-  private readonly silent = new Set<string>();
+  private readonly silentMembers = new Set<string>();
 
   public constructor(
     private readonly core: KeeperCore,
     private readonly clock: Clock,
-    /** How long an answer counts. */
+    /** How long an answer to a heartbeat counts. */
     private readonly windowMicroseconds: number,
-    private readonly notice: Log = () => undefined,
+    private readonly log: Log = () => undefined,
   ) {}
 
-  /** Says which members have stopped answering, or answer again, since the last look. */
-  public look(): void {
-    const from = this.clock.nowMicroseconds() - this.windowMicroseconds;
+  /** Logs which members have stopped answering, or answer again, since the last call. */
+  public logChanges(): void {
+    const windowStartMicroseconds = this.clock.nowMicroseconds() - this.windowMicroseconds;
     for (const [name, at] of this.answeredAt) {
-      if (at < from && !this.silent.has(name)) {
-        this.silent.add(name);
-        this.notice(`${name} does not answer heartbeats.`);
-      } else if (at >= from && this.silent.delete(name)) this.notice(`${name} answers heartbeats again.`);
+      if (at < windowStartMicroseconds && !this.silentMembers.has(name)) {
+        this.silentMembers.add(name);
+        this.log(`${name} does not answer heartbeats.`);
+      } else if (at >= windowStartMicroseconds && this.silentMembers.delete(name))
+        this.log(`${name} answers heartbeats again.`);
     }
   }
 
-  /** A member has answered a heartbeat. */
-  public answered(name: string): void {
+  /** Records that a member has answered a heartbeat. */
+  public recordAnswer(name: string): void {
     this.answeredAt.set(name, this.clock.nowMicroseconds());
   }
 
-  /** A majority of each list answered within the window, or the window since `startMicroseconds` is not over. */
-  public isReached(startMicroseconds: number): boolean {
-    const from = this.clock.nowMicroseconds() - this.windowMicroseconds;
-    if (startMicroseconds > from) return true;
-    const answering = [...this.answeredAt].flatMap(([name, at]) => (at >= from ? [name] : []));
+  /** Whether a majority of each member list answered within the window, or the window since `startMicroseconds` has not ended. */
+  public hasQuorum(startMicroseconds: number): boolean {
+    const windowStartMicroseconds = this.clock.nowMicroseconds() - this.windowMicroseconds;
+    if (startMicroseconds > windowStartMicroseconds) return true;
+    const answering = [...this.answeredAt].flatMap(([name, at]) => (at >= windowStartMicroseconds ? [name] : []));
     return Stamps.reached(this.core.members().sets, [this.core.name, ...answering]);
   }
 
-  /** For how long each other member has not answered; undefined: it never did. */
+  /** How long each other member has not answered; undefined if it never has. */
   public silenceMicroseconds(): Readonly<Record<string, number | undefined>> {
     const now = this.clock.nowMicroseconds();
     return Object.fromEntries(
--- a/source/core-keeper/register/recentEntries.ts
+++ b/source/core-keeper/register/recentEntries.ts
@@ -1,29 +1,28 @@
-/**
- * The last entries of each key that this replica has accepted, overtaken ones included, so that a reader that learned of a decided revision
- * a moment ago can still fetch its text. Whether a text may be used is for its receiver to know; a digest names it.
- */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Entry } from '../../shared/register/types';
 import type { KeeperEvent } from '../ledger/keeperState';
 
-/** How many entries of each key are kept. */
-const mostKept = 8;
+const maxEntriesPerKey = 8;
 
+/**
+ * The last entries of each key that this replica has accepted, including superseded ones, so that a reader that has just learned of a
+ * decided revision can still fetch its text. Entries are found by digest; the receiver decides whether it may use the text.
+ */
 export class RecentEntries {
-  private readonly kept = new Map<DocumentKey, readonly Entry[]>();
+  private readonly entries = new Map<DocumentKey, readonly Entry[]>();
 
-  /** What has been written to the log. */
+  /** Records the entries among events written to the log. */
   public written(events: readonly KeeperEvent[]): void {
     for (const event of events) if (event.kind === 'accepted') this.keep(event.key, event.entry);
   }
 
-  /** Undefined: none of this digest was accepted lately. */
+  /** Undefined if no entry with this digest was accepted recently. */
   public find(key: DocumentKey, digest: string): Entry | undefined {
-    return this.kept.get(key)?.find((entry) => entry.digest === digest);
+    return this.entries.get(key)?.find((entry) => entry.digest === digest);
   }
 
   private keep(key: DocumentKey, entry: Entry): void {
-    const others = (this.kept.get(key) ?? []).filter(({ digest }) => digest !== entry.digest);
-    this.kept.set(key, [entry, ...others].slice(0, mostKept));
+    const others = (this.entries.get(key) ?? []).filter(({ digest }) => digest !== entry.digest);
+    this.entries.set(key, [entry, ...others].slice(0, maxEntriesPerKey));
   }
 }
--- a/source/core-keeper/register/replicaReport.ts
+++ b/source/core-keeper/register/replicaReport.ts
@@ -1,4 +1,3 @@
-/** What a replica says of what it holds and leads: to members and agents that read, and to operators. */
 import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { WordsAnswer } from '../../shared/register/majorityRead';
@@ -11,7 +10,7 @@
 import type { QuorumWatch } from './quorumWatch';
 import type { WeightsAges } from './weightsAges';
 
-/** What one replica holds of a key, and since when it leads it; null where it does not. */
+/** What one replica holds of a key, and how long it has led the key; null if it does not lead. */
 export type ReplicaKeyStatus = Readonly<{
   epoch: string;
   revision: number;
@@ -19,13 +18,14 @@
   takeovers: number;
 }>;
 
-/** One replica as operators see it. */
+/** The status of one replica that operators see. */
 export type ReplicaStatus = Readonly<{
   keys: Readonly<Record<string, ReplicaKeyStatus>>;
-  /** For how long each other member has not answered a heartbeat; null: never. */
+  /** How long each other member has not answered a heartbeat; null if it never has. */
   silentMicroseconds: Readonly<Record<string, number | null>>;
 }>;
 
+/** The leader of a key, with its epoch and revision. */
 export type KeyLeader = Readonly<{ owner: string; epoch: string; revision: number }>;
 
 /** The parts of a control node that the report reads. */
@@ -39,10 +39,11 @@
   ages: WeightsAges;
 }>;
 
+/** Reports what this replica holds and leads: to members and agents that read, and to operators. */
 export class ReplicaReport {
   public constructor(private readonly parts: ReportParts) {}
 
-  /** Who leads each key, as far as this node knows; an empty name: nobody that it hears. */
+  /** The leader of each key as known to this node; an empty name if it knows none. */
   public owners(): Readonly<Record<string, KeyLeader>> {
     const { core, leadership, leaders } = this.parts;
     return Object.fromEntries(
@@ -89,7 +90,7 @@
     const { core, leadership, heartbeats, leaders, ages } = this.parts;
     return DocumentKeys.map((key) => {
       const accepted = KeeperStates.cell(core.state, key).accepted;
-      const decided = leadership(key).word() ?? heartbeats.decidedWord(key);
+      const decided = leadership(key).word() ?? heartbeats.decidedStatement(key);
       return {
         key,
         epoch: accepted?.epoch ?? Epochs.none,
@@ -98,19 +99,19 @@
         decidedRevision: decided?.revision ?? 0,
         decidedDigest: decided?.digest ?? '',
         owner: leaders.lastLeader(key),
-        ...(key === 'blueprint' ? { weights: ages.words() } : {}),
+        ...(key === 'blueprint' ? { weights: ages.ages() } : {}),
       };
     });
   }
 
-  /** What this replica holds, as agents and readers judge it. */
+  /** What this replica holds, as an answer that agents and readers evaluate. */
   public wordsAnswer(): WordsAnswer {
     const { core } = this.parts;
     const view = core.members();
     return { kind: 'words', stamp: core.stamp(), membersRevision: view.revision, view, words: this.words() };
   }
 
-  /** The text of a key that has this digest, where this replica holds it. */
+  /** The text of a key with this digest; undefined if this replica does not hold it. */
   public heldText(key: DocumentKey, digest: string): string | undefined {
     const { core } = this.parts;
     const entry = KeeperStates.cell(core.state, key).accepted?.entry;
--- a/source/core-keeper/register/vacancies.ts
+++ b/source/core-keeper/register/vacancies.ts
@@ -1,4 +1,3 @@
-/** Campaigns for keys that nobody leads, as far as this replica hears. */
 import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
@@ -8,11 +7,12 @@
 import type { KeeperCore } from './keeperCore';
 import type { Ownership } from './ownership';
 
-/** Starting values, ours: how far apart members of two ranks campaign, and the pause after a campaign. */
-const rankMicroseconds = 250_000;
-const leastPauseMicroseconds = 200_000;
-const pauseSpreadMicroseconds = 400_000;
+/** Delay between the campaigns of members of successive ranks, and delay with random jitter after a campaign. */
+const rankStepMicroseconds = 250_000;
+const minRetryDelayMicroseconds = 200_000;
+const retryJitterMicroseconds = 400_000;
 
+/** What elections need from their control node. */
 export type VacancyParts = Readonly<{
   core: KeeperCore;
   clock: Clock;
@@ -20,38 +20,42 @@
   leadership: (key: DocumentKey) => Ownership;
   leaders: LeaderWatch;
   heartbeats: Heartbeats;
-  /** A disk that hangs for longer keeps its node from leading. */
+  /** A node whose disk has stalled for longer than this does not campaign. */
   ownerSilentMicroseconds: number;
 }>;
 
+/** Campaigns for keys without a leader, as far as this replica receives heartbeats. */
 export class Vacancies {
-  /** Until when a key without a leader is left alone. */
-  private readonly quietUntil = new Map<DocumentKey, number>();
+  /** Earliest time of the next campaign for a key without a leader. */
+  private readonly nextCampaignMicroseconds = new Map<DocumentKey, number>();
 
   public constructor(private readonly parts: VacancyParts) {}
 
-  /** One look at all keys; a campaign for each whose pause is over. */
+  /** Checks all keys and campaigns for each vacant one whose delay has passed. */
   public async fill(): Promise<void> {
     const { core, ownerSilentMicroseconds } = this.parts;
     if (!core.votes() || core.ledger.stalledMicroseconds() > ownerSilentMicroseconds) return;
     const now = this.parts.clock.nowMicroseconds();
-    for (const key of DocumentKeys) await this.fillOne(key, now);
+    for (const key of DocumentKeys) await this.campaignIfVacant(key, now);
   }
 
-  private async fillOne(key: DocumentKey, now: number): Promise<void> {
+  private async campaignIfVacant(key: DocumentKey, now: number): Promise<void> {
     const { random, leadership, heartbeats } = this.parts;
     if (leadership(key).state.kind !== 'none' || this.isLed(key)) {
-      this.quietUntil.delete(key);
+      this.nextCampaignMicroseconds.delete(key);
       return;
     }
-    const quiet = this.quietUntil.get(key);
-    if (quiet === undefined) {
-      this.quietUntil.set(key, now + this.rankPauseMicroseconds(key));
+    const nextCampaign = this.nextCampaignMicroseconds.get(key);
+    if (nextCampaign === undefined) {
+      this.nextCampaignMicroseconds.set(key, now + this.campaignDelayMicroseconds(key));
       return;
     }
-    if (now < quiet) return;
+    if (now < nextCampaign) return;
     if (await leadership(key).win('vacancy')) heartbeats.send();
-    this.quietUntil.set(key, now + leastPauseMicroseconds + Math.floor(random.fraction() * pauseSpreadMicroseconds));
+    this.nextCampaignMicroseconds.set(
+      key,
+      now + minRetryDelayMicroseconds + Math.floor(random.fraction() * retryJitterMicroseconds),
+    );
   }
 
   private isLed(key: DocumentKey): boolean {
@@ -59,10 +63,10 @@
     return leader !== undefined && this.parts.core.members().members[leader.leader] !== undefined;
   }
 
-  /** Why by rank: the keys spread over the members, and two rarely campaign at once. */
-  private rankPauseMicroseconds(key: DocumentKey): number {
+  /** The delay depends on the member's rank for the key, which spreads the keys over the members and makes simultaneous campaigns rare. */
+  private campaignDelayMicroseconds(key: DocumentKey): number {
     const { core } = this.parts;
     const rank = Rendezvous.rank(`owner/${key}`, core.name, Object.keys(core.members().members));
-    return Math.max(0, rank) * rankMicroseconds;
+    return Math.max(0, rank) * rankStepMicroseconds;
   }
 }
--- a/source/core-keeper/register/waitingChanges.ts
+++ b/source/core-keeper/register/waitingChanges.ts
@@ -1,39 +1,39 @@
-/**
- * Changes that this member could not bring to the leader of their key. The leader fetches them over a connection of its own: it may
- * be out of reach for connections of others, and lead in good health all the same.
- */
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Message } from '../../shared/effects/transport/transport';
 import type { ChangeOrder, ChangeOutcome, FetchChange } from './messages';
 
-/** Starting value, ours: so many changes wait at most; further ones only ask again. */
-const mostWaiting = 64;
+/** Further changes are not offered to the leader; their requests are only retried. */
+const maxWaitingChanges = 64;
 
-type Waiting = Readonly<{ order: ChangeOrder; settle: (outcome: ChangeOutcome | undefined) => void }>;
+type WaitingChange = Readonly<{ request: ChangeOrder; onOutcome: (outcome: ChangeOutcome | undefined) => void }>;
 
+/**
+ * Changes that this member could not deliver to the leader of their key. The leader fetches them over a connection that it opens
+ * itself: connections to it may fail although it is healthy and leads.
+ */
 export class WaitingChanges {
-  private readonly waiting = new Map<number, Waiting>();
+  private readonly waiting = new Map<number, WaitingChange>();
   private lastNumber = 0;
 
-  /** `settle` hears what the leader made of the order; undefined: it leads no more. What is returned takes the order back. */
-  public offer(order: ChangeOrder, settle: (outcome: ChangeOutcome | undefined) => void): () => void {
-    if (this.waiting.size >= mostWaiting) return () => undefined;
+  /** Offers a change to the leader. `onOutcome` receives its outcome, undefined if it no longer leads. The result withdraws the offer. */
+  public offer(request: ChangeOrder, onOutcome: (outcome: ChangeOutcome | undefined) => void): () => void {
+    if (this.waiting.size >= maxWaitingChanges) return () => undefined;
     this.lastNumber += 1;
     const number = this.lastNumber;
-    this.waiting.set(number, { order, settle });
+    this.waiting.set(number, { request, onOutcome });
     return () => void this.waiting.delete(number);
   }
 
-  /** How many changes of these keys wait. */
+  /** Number of waiting changes of these keys. */
   public count(keys: readonly DocumentKey[]): number {
-    return [...this.waiting.values()].filter(({ order }) => keys.includes(order.key)).length;
+    return [...this.waiting.values()].filter(({ request }) => keys.includes(request.key)).length;
   }
 
-  /** The next change for a leader of these keys, once the outcome of the one before has been heard. */
+  /** Passes on the outcome of the previous change and returns the next one for a leader of these keys. */
   public fetch({ keys, after, done }: FetchChange): Message {
-    if (done !== undefined) this.waiting.get(after)?.settle(done.outcome ?? undefined);
-    for (const [number, { order }] of this.waiting)
-      if (number > after && keys.includes(order.key)) return { kind: 'fetchedChange', number, order };
+    if (done !== undefined) this.waiting.get(after)?.onOutcome(done.outcome ?? undefined);
+    for (const [number, { request }] of this.waiting)
+      if (number > after && keys.includes(request.key)) return { kind: 'fetchedChange', number, order: request };
     return { kind: 'nothingWaits' };
   }
 }
--- a/source/shared/register/majorityRead.ts
+++ b/source/shared/register/majorityRead.ts
@@ -3,13 +3,14 @@
 import type { Statement } from '../freshness/freshness';
 import { Epochs, Stamps, type KeyWord, type Stamp } from './types';
 
-/** The list of members as one of them knows it; two sets while the list changes. */
+/** The member list as one member knows it; two sets while a member changes. */
 export type MembersView = Readonly<{
   revision: number;
   sets: readonly (readonly string[])[];
   members: Readonly<Record<string, CoreMember>>;
 }>;
 
+/** What one control node has accepted for each key, and its member list. */
 export type WordsAnswer = Readonly<{
   kind: 'words';
   stamp: Stamp;
@@ -18,25 +19,26 @@
   view: MembersView;
 }>;
 
+/** What the answers of a majority prove. */
 export type MajorityRead = Readonly<{
   statements: readonly Omit<Statement, 'ageMicroseconds'>[];
   view: MembersView | undefined;
-  /** A majority of the newest list of members has answered; what it says may still be undecided. */
+  /** A majority of the newest member list has answered; the values it holds may still be undecided. */
   isMajority: boolean;
 }>;
 
-const weightsOf = (words: readonly KeyWord[]): Statement['weights'] => {
+const mergeWeightsAges = (statements: readonly KeyWord[]): Statement['weights'] => {
   const best: Record<string, { weights: string; previous: string | null; ageMicroseconds: number | null }> = {};
-  for (const word of words) {
-    for (const [service, age] of Object.entries(word.weights ?? {})) {
+  for (const statement of statements) {
+    for (const [service, age] of Object.entries(statement.weights ?? {})) {
       const known = best[service];
-      // Why the oldest: the clock of the old weights runs from the first keeper that had the change.
+      // The highest age counts: the time limit of the old weights runs from the first control node that held the change.
       const isOlder =
         known === undefined ||
         (age.ageMicroseconds !== null &&
           (known.ageMicroseconds === null || age.ageMicroseconds > known.ageMicroseconds));
       const [first, second] = isOlder ? [age, known] : [known, age];
-      // Why of another too: one that joined lately does not know which weights were before.
+      // The previous weights may come from the other answer: a control node that joined recently does not know them.
       const previous = first.previous ?? second?.previous ?? null;
       best[service] = { weights: first.weights, previous, ageMicroseconds: first.ageMicroseconds };
     }
@@ -44,49 +46,52 @@
   return best;
 };
 
-/** One member's word on one key. */
-type MemberWord = Readonly<{ keeper: string; word: KeyWord }>;
+/** One member's statement about one key. */
+type MemberStatement = Readonly<{ keeper: string; statement: KeyWord }>;
 
 const compareValues = (left: KeyWord, right: KeyWord): number =>
   Epochs.compare(left.epoch, right.epoch) || left.revision - right.revision;
 
-const newestOf = (words: readonly MemberWord[]): KeyWord | undefined =>
-  words.reduce<KeyWord | undefined>(
-    (best, { word }) => (best === undefined || compareValues(word, best) > 0 ? word : best),
+const newestStatement = (statements: readonly MemberStatement[]): KeyWord | undefined =>
+  statements.reduce<KeyWord | undefined>(
+    (best, { statement }) => (best === undefined || compareValues(statement, best) > 0 ? statement : best),
     undefined,
   );
 
 /**
- * The newest value that is known to be decided. A value on its way that the members asked do not prove hides none before it, as long
- * as those that have not accepted it are a majority: it was decided nowhere when they were asked, and their words alone are a whole
- * reading. Undefined: no majority proves a value.
+ * The newest value that is known to be decided; undefined if no majority proves a value. An undecided newer value does not hide the
+ * one before it if the members that have not accepted it form a majority: the newer value was then undecided when they answered, and
+ * their statements alone suffice.
  */
-const provenOf = (
-  words: readonly MemberWord[],
+const provenStatement = (
+  statements: readonly MemberStatement[],
   sets: MembersView['sets'],
-  isDecided: (word: KeyWord) => boolean,
+  isDecided: (statement: KeyWord) => boolean,
 ): KeyWord | undefined => {
-  const names = words.map(({ keeper }) => keeper);
-  const newest = newestOf(words);
+  const names = statements.map(({ keeper }) => keeper);
+  const newest = newestStatement(statements);
   if (newest === undefined || !Stamps.reached(sets, names)) return undefined;
-  const holders = words.filter(({ word }) => compareValues(word, newest) === 0).map(({ keeper }) => keeper);
+  const holders = statements
+    .filter(({ statement }) => compareValues(statement, newest) === 0)
+    .map(({ keeper }) => keeper);
   if (Stamps.reached(sets, holders) || isDecided(newest)) return newest;
-  const others = words.filter(({ keeper }) => !holders.includes(keeper));
-  return provenOf(others, sets, isDecided);
+  const others = statements.filter(({ keeper }) => !holders.includes(keeper));
+  return provenStatement(others, sets, isDecided);
 };
 
+/** Evaluates the answers of control nodes. */
 export const MajorityReads = {
   /**
-   * What a set of keepers' words proves. A revision is named only when it is known to be decided: it stands on a
-   * majority under one epoch, or an owner said so, or it is the very one already applied.
+   * What a set of answers proves. A revision is reported only if it is known to be decided: a majority holds it under one epoch, a
+   * leader announced it as decided, or it is the one already applied.
    */
   judge: (
     answers: readonly WordsAnswer[],
     fleet: string,
-    appliedDigest: (key: DocumentKey) => Readonly<{ revision: number; digest: string }> | undefined,
+    appliedValue: (key: DocumentKey) => Readonly<{ revision: number; digest: string }> | undefined,
   ): MajorityRead => {
-    const sound = Stamps.sound(answers.filter(({ stamp }) => fleet !== '' && stamp.fleet === fleet));
-    const view = sound.reduce<MembersView | undefined>(
+    const valid = Stamps.sound(answers.filter(({ stamp }) => fleet !== '' && stamp.fleet === fleet));
+    const view = valid.reduce<MembersView | undefined>(
       (best, answer) => (best === undefined || answer.view.revision > best.revision ? answer.view : best),
       undefined,
     );
@@ -94,20 +99,24 @@
       view === undefined ||
       !Stamps.reached(
         view.sets,
-        sound.map(({ stamp }) => stamp.keeper),
+        valid.map(({ stamp }) => stamp.keeper),
       )
     )
       return { statements: [], view, isMajority: false };
     const statements: Omit<Statement, 'ageMicroseconds'>[] = [];
     for (const key of DocumentKeys) {
-      const words = sound.flatMap((answer) =>
-        answer.words.filter((word) => word.key === key).map((word) => ({ keeper: answer.stamp.keeper, word })),
+      const keyStatements = valid.flatMap((answer) =>
+        answer.words
+          .filter((statement) => statement.key === key)
+          .map((statement) => ({ keeper: answer.stamp.keeper, statement })),
       );
-      const applied = appliedDigest(key);
+      const applied = appliedValue(key);
       const isDecided = ({ revision, digest }: KeyWord): boolean =>
         (applied?.revision === revision && applied.digest === digest) ||
-        words.some(({ word }) => word.decidedRevision === revision && word.decidedDigest === digest);
-      const proven = provenOf(words, view.sets, isDecided);
+        keyStatements.some(
+          ({ statement }) => statement.decidedRevision === revision && statement.decidedDigest === digest,
+        );
+      const proven = provenStatement(keyStatements, view.sets, isDecided);
       if (proven === undefined || proven.digest === '') continue;
       statements.push({
         key,
@@ -115,7 +124,11 @@
         digest: proven.digest,
         weights:
           key === 'blueprint'
-            ? weightsOf(words.filter(({ word }) => word.digest === proven.digest).map(({ word }) => word))
+            ? mergeWeightsAges(
+                keyStatements
+                  .filter(({ statement }) => statement.digest === proven.digest)
+                  .map(({ statement }) => statement),
+              )
             : {},
       });
     }
--- a/source/shared/register/types.ts
+++ b/source/shared/register/types.ts
@@ -1,8 +1,9 @@
 import type { DocumentKey } from '../blueprint/types';
 
-/** A ballot's height: the number decides, the keeper's name breaks ties. */
+/** A ballot number; the control node's name breaks ties. */
 export type Epoch = Readonly<{ number: number; keeper: string }>;
 
+/** Comparison and text form of epochs. */
 export const Epochs = {
   none: { number: 0, keeper: '' } as Epoch,
   compare: (left: Epoch, right: Epoch): number =>
@@ -10,27 +11,28 @@
   text: (epoch: Epoch): string => `${epoch.number}.${epoch.keeper}`,
 } as const;
 
-/** The changes that led to a value, in fixed-size records, and the highest base of those that are forgotten. */
+/** The changes that led to a value, in fixed-size records, and the highest base of the changes no longer recorded. */
 export type OutcomeHistory = Readonly<{ records: Uint8Array; forgottenBase: number }>;
 
-/** One value of one key, with the changes that led to it, so that asking again gives the first outcome. */
+/** One value of one key, with the changes that led to it, so that a repeated change gets its first outcome. */
 export type Entry = Readonly<{
   revision: number;
   digest: string;
   text: string;
   outcomes: OutcomeHistory;
-  /** Only for `core-members`, while one member changes: the list before. Both lists then need a majority. */
+  /** Only for `core-members`, while one member changes: the previous list. Both lists then need a majority. */
   base?: string;
-  /** Only beside `base`: the member that must have caught up before the list stands alone. */
+  /** Only with `base`: the member that must catch up before the previous list stops counting. */
   learner?: string;
 }>;
 
+/** An entry with the epoch under which it was accepted. */
 export type Accepted = Readonly<{ epoch: Epoch; entry: Entry }>;
 
-/** How long the weights of one service have been intended, by one keeper's own clock. */
+/** How long the weights of one service have been in force, by one control node's clock; null if it does not know. */
 export type WeightsAge = Readonly<{ weights: string; previous: string | null; ageMicroseconds: number | null }>;
 
-/** A keeper's word on one key. */
+/** A control node's statement about one key: what it has accepted, what it knows as decided, and the leader it knows. */
 export type KeyWord = Readonly<{
   key: DocumentKey;
   epoch: Epoch;
@@ -42,18 +44,20 @@
   weights?: Readonly<Record<string, WeightsAge>>;
 }>;
 
-/** A keeper's identity rises with each wiped disk, and every answer says which ones it knows of. */
+/** The incarnation of each control node: a number that rises with each loss of its disk. */
 export type Incarnations = Readonly<Record<string, number>>;
+/** Attached to every answer: the sender's identity, and the incarnations that it knows. */
 export type Stamp = Readonly<{ fleet: string; keeper: string; incarnation: number; known: Incarnations }>;
 
+/** Majority rules over stamped answers. */
 export const Stamps = {
-  /** Answers of a keeper that has since lost its disk do not count towards a majority. */
+  /** Drops answers of a control node that has lost its disk since; they do not count towards a majority. */
   sound: <Item extends Readonly<{ stamp: Stamp }>>(answers: readonly Item[]): readonly Item[] =>
     answers.filter(({ stamp }) =>
       answers.every((other) => (other.stamp.known[stamp.keeper] ?? 0) <= stamp.incarnation),
     ),
   majority: (count: number): number => Math.floor(count / 2) + 1,
-  /** A majority of each set; while one member changes there are two sets. */
+  /** Whether the names include a majority of each set; there are two sets while one member changes. */
   reached: (sets: readonly (readonly string[])[], names: readonly string[]): boolean =>
     sets.length > 0 &&
     sets.every(
--- a/tests/control-figures.test.ts
+++ b/tests/control-figures.test.ts
@@ -13,7 +13,7 @@
   return { key: 'blueprint', form: 'whole', text, ifMatch: version - 1, id: `put ${version}` };
 };
 
-const begun = async (seed: number, count: number): Promise<ControlFleet> => {
+const startedFleet = async (seed: number, count: number): Promise<ControlFleet> => {
   const fleet = new ControlFleet(seed, platformDialect, { membersWanted: count });
   assert.ok(await fleet.begin(count));
   await fleet.world.runFor(3_000_000);
@@ -31,12 +31,12 @@
 const quantile = (values: readonly number[], share: number): number =>
   sorted(values)[Math.min(values.length - 1, Math.floor(values.length * share))] ?? 0;
 const milliseconds = (microseconds: number): string => `${(microseconds / 1000).toFixed(1)} ms`;
-const said = (values: readonly number[]): string =>
+const summary = (values: readonly number[]): string =>
   `median ${milliseconds(quantile(values, 0.5))}, p99 ${milliseconds(quantile(values, 0.99))}`;
 
-type Trouble = (fleet: ControlFleet, leader: ControlMachine) => void;
+type Fault = (fleet: ControlFleet, leader: ControlMachine) => void;
 
-const troubles: Readonly<Record<string, Trouble>> = {
+const faults: Readonly<Record<string, Fault>> = {
   lost: (_, leader) => leader.kill(true),
   'cut off': (fleet, leader) => {
     for (const other of fleet.machines.filter((machine) => machine !== leader)) {
@@ -53,12 +53,12 @@
 };
 
 describe('figures of the control side', () => {
-  for (const [how, trouble] of Object.entries(troubles))
+  for (const [how, trouble] of Object.entries(faults))
     for (const count of [3, 5])
       test(`the leader of ${count} is ${how}: until the next change is confirmed elsewhere`, async (context) => {
         const times: number[] = [];
         for (const seed of seeds) {
-          const fleet = await begun(seed, count);
+          const fleet = await startedFleet(seed, count);
           const leader = leaderOf(fleet);
           trouble(fleet, leader);
           const began = fleet.world.nowMicroseconds;
@@ -66,7 +66,7 @@
           assert.equal((await fleet.persistAt(others, put(2), 6_000_000))?.kind, 'taken');
           times.push(fleet.world.nowMicroseconds - began);
         }
-        context.diagnostic(said(times));
+        context.diagnostic(summary(times));
         assert.ok(Math.max(...times) <= 4_000_000);
       });
 
@@ -74,7 +74,7 @@
     const times: number[] = [];
     const bytes: number[] = [];
     for (const seed of seeds) {
-      const fleet = await begun(seed, 3);
+      const fleet = await startedFleet(seed, 3);
       for (let version = 2; version <= 301; version += 1)
         assert.equal((await fleet.change(leaderOf(fleet), put(version)))?.kind, 'taken');
       const wiped = fleet.machines.find((machine) => machine !== leaderOf(fleet));
@@ -87,7 +87,7 @@
       times.push(fleet.world.nowMicroseconds - began);
       bytes.push(fleet.network.bytes - before);
     }
-    context.diagnostic(`${said(times)}; ${quantile(bytes, 0.5)} bytes on all links meanwhile`);
+    context.diagnostic(`${summary(times)}; ${quantile(bytes, 0.5)} bytes on all links meanwhile`);
     assert.ok(Math.max(...times) <= 4_000_000);
     assert.ok(Math.max(...bytes) <= 400_000);
   });
@@ -99,7 +99,7 @@
     test(`a change is confirmed while ${away} of ${count} are away`, async (context) => {
       const times: number[] = [];
       for (const seed of seeds) {
-        const fleet = await begun(seed, count);
+        const fleet = await startedFleet(seed, count);
         const leader = leaderOf(fleet);
         for (const gone of fleet.machines.filter((machine) => machine !== leader).slice(0, away)) gone.kill();
         await fleet.world.runFor(3_000_000);
@@ -110,12 +110,12 @@
           times.push(fleet.world.nowMicroseconds - began);
         }
       }
-      context.diagnostic(said(times));
+      context.diagnostic(summary(times));
       assert.ok(quantile(times, 0.99) <= 300_000);
     });
 
   test('at rest: messages and bytes between three control nodes', async (context) => {
-    const fleet = await begun(1001, 3);
+    const fleet = await startedFleet(1001, 3);
     const [messages, bytes] = [fleet.network.messages, fleet.network.bytes];
     await fleet.world.runFor(60_000_000);
     const perSecond = (fleet.network.bytes - bytes) / 60;
--- a/tests/control-read-back.test.ts
+++ b/tests/control-read-back.test.ts
@@ -14,9 +14,9 @@
 const readLimitMicroseconds = 850_000;
 const readBackMicroseconds = 4_000_000;
 /** From the return of the machines until the operator begins to read. */
-const recoverMicroseconds = 6_000_000;
+const recoveryMicroseconds = 6_000_000;
 
-const pick = <Item>(fleet: ControlFleet, items: readonly Item[]): Item => {
+const randomItem = <Item>(fleet: ControlFleet, items: readonly Item[]): Item => {
   const item = items[Math.floor(fleet.world.random.fraction() * items.length)];
   assert.ok(item !== undefined);
   return item;
@@ -36,22 +36,22 @@
 const race = async (fleet: ControlFleet, confirmed: Confirmed): Promise<void> => {
   const base = confirmed.version;
   const [first, second] = [largePut(base + 1, base), largePut(base + 2, base)];
-  fleet.send(pick(fleet, fleet.machines), second);
+  fleet.send(randomItem(fleet, fleet.machines), second);
   const outcome = await fleet.persist(first, 12_000_000);
   if (outcome?.kind === 'taken') confirmed.version = base + 1;
   else if ((await fleet.persist(second, 12_000_000))?.kind === 'taken') confirmed.version = base + 2;
   else assert.fail(`neither change of a race has an outcome: ${JSON.stringify(outcome)}`);
 };
 
-const troubles: readonly ((fleet: ControlFleet, confirmed: Confirmed) => Promise<void>)[] = [
+const faults: readonly ((fleet: ControlFleet, confirmed: Confirmed) => Promise<void>)[] = [
   async (fleet, confirmed) => {
-    const machine = pick(fleet, fleet.machines);
+    const machine = randomItem(fleet, fleet.machines);
     machine.kill(fleet.world.random.fraction() < 0.5);
     await race(fleet, confirmed);
     machine.start();
   },
   async (fleet, confirmed) => {
-    const mends = cutOff(fleet, pick(fleet, fleet.machines));
+    const mends = cutOff(fleet, randomItem(fleet, fleet.machines));
     await race(fleet, confirmed);
     await fleet.world.runFor(1_000_000 + Math.floor(fleet.world.random.fraction() * 3_000_000));
     for (const mend of mends) mend();
@@ -65,7 +65,7 @@
 ];
 
 /** Two machines lose their disks, all others power, a moment after a change was confirmed while another one is on its way. */
-const closingLoss = async (fleet: ControlFleet): Promise<void> => {
+const loseDisksAndPower = async (fleet: ControlFleet): Promise<void> => {
   const order = [...fleet.machines].sort(() => fleet.world.random.fraction() - 0.5);
   await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 60_000));
   for (const machine of order) machine.kill(true);
@@ -82,7 +82,7 @@
   const until = fleet.world.nowMicroseconds + readBackMicroseconds;
   let [answered, asked, least] = [0, 0, Infinity];
   while (fleet.world.nowMicroseconds < until) {
-    const outcome = await fleet.read(pick(fleet, fleet.machines), readLimitMicroseconds);
+    const outcome = await fleet.read(randomItem(fleet, fleet.machines), readLimitMicroseconds);
     asked += 1;
     if (outcome?.kind === 'read') {
       answered += 1;
@@ -105,13 +105,13 @@
       const confirmed: Confirmed = { version: 0 };
       await race(fleet, confirmed);
       for (let count = 0; count < 2; count += 1) {
-        await pick(fleet, troubles)(fleet, confirmed);
+        await randomItem(fleet, faults)(fleet, confirmed);
         await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 3_000_000));
       }
       await race(fleet, confirmed);
-      fleet.send(pick(fleet, fleet.machines), largePut(confirmed.version + 3, confirmed.version));
-      await closingLoss(fleet);
-      await fleet.world.runFor(recoverMicroseconds);
+      fleet.send(randomItem(fleet, fleet.machines), largePut(confirmed.version + 3, confirmed.version));
+      await loseDisksAndPower(fleet);
+      await fleet.world.runFor(recoveryMicroseconds);
       const { answered, asked, least } = await readBack(fleet);
       assert.ok(answered >= asked - 1, `${answered} of ${asked} reads are answered`);
       assert.ok(least >= confirmed.version, `version ${least} was read, ${confirmed.version} was confirmed`);
--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -7,7 +7,7 @@
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
 
-const five = { membersWanted: 5 };
+const fiveMembers = { membersWanted: 5 };
 const seeds = Number(process.env['POSTDRUM_TEST_SEEDS'] ?? 6);
 
 const orderOf = (text: string, ifMatch: number, form: ChangeOrder['form'] = 'whole'): ChangeOrder => ({
@@ -24,7 +24,7 @@
   return document === '' ? 0 : (JSON.parse(document) as { version: number }).version;
 };
 
-type Mend = () => void;
+type Heal = () => void;
 
 /** Each link between two groups of nodes, both ways or one way. */
 const cutBetween = (
@@ -32,7 +32,7 @@
   first: readonly ControlMachine[],
   second: readonly ControlMachine[],
   ways: 'both' | 'one',
-): Mend => {
+): Heal => {
   const mends = first.flatMap((one) =>
     second.flatMap((two) => [
       fleet.network.cut(one.machine, two.machine),
@@ -48,7 +48,7 @@
     .sort((left, right) => left.at - right.at)
     .map(({ machine }) => machine);
 
-const troubles: readonly ((fleet: ControlFleet) => Mend)[] = [
+const faults: readonly ((fleet: ControlFleet) => Heal)[] = [
   (fleet) => {
     const order = shuffled(fleet);
     return cutBetween(fleet, order.slice(0, 2), order.slice(2), 'both');
@@ -80,10 +80,10 @@
   },
 ];
 
-type Tally = { readonly older: string[]; answered: number; asked: number };
+type Tally = { readonly stale: string[]; answered: number; asked: number };
 
 /** Asks every node; what is answered must be no older than what was confirmed when it was asked. */
-const askAll = (fleet: ControlFleet, confirmed: Readonly<{ version: number }>, tally: Tally): void => {
+const readAll = (fleet: ControlFleet, confirmed: Readonly<{ version: number }>, tally: Tally): void => {
   for (const machine of fleet.machines) {
     if (!machine.process.alive || machine.keeper === undefined) continue;
     const { version } = confirmed;
@@ -94,7 +94,7 @@
         void keeper.read('blueprint', 900_000).then((read) => {
           if (read.kind !== 'read') return;
           tally.answered += 1;
-          if (versionIn(read.text) < version) tally.older.push(`${name}: ${versionIn(read.text)} for ${version}`);
+          if (versionIn(read.text) < version) tally.stale.push(`${name}: ${versionIn(read.text)} for ${version}`);
         }),
     );
   }
@@ -103,19 +103,19 @@
 describe('a read is never older than what was confirmed before it was asked for', () => {
   for (let seed = 1; seed <= seeds; seed += 1)
     test(`halves, one-way cuts, kills and disks in trouble, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       const confirmed = { version: 0 };
-      const tally: Tally = { older: [], answered: 0, asked: 0 };
+      const tally: Tally = { stale: [], answered: 0, asked: 0 };
       let isOver = false;
       const ask = (): void => {
         if (isOver) return;
-        askAll(fleet, confirmed, tally);
+        readAll(fleet, confirmed, tally);
         fleet.world.clock.after(150_000, ask);
       };
       ask();
       for (let round = 0; round < 8; round += 1) {
-        const trouble = troubles[Math.floor(fleet.world.random.fraction() * troubles.length)];
+        const trouble = faults[Math.floor(fleet.world.random.fraction() * faults.length)];
         const mend = trouble?.(fleet);
         for (let change = 0; change < 2; change += 1) {
           const next = confirmed.version + 1;
@@ -130,7 +130,7 @@
       await fleet.world.runFor(2_000_000);
       isOver = true;
       await fleet.world.runFor(1_500_000);
-      assert.deepEqual(tally.older, []);
+      assert.deepEqual(tally.stale, []);
       assert.ok(tally.answered > tally.asked / 2, `${tally.answered} of ${tally.asked} reads were answered`);
     });
 });
@@ -138,7 +138,7 @@
 describe('full disks', () => {
   for (const seed of [1, 2, 3])
     test(`the leader's disk is full: changes are confirmed and every node answers reads, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
@@ -162,7 +162,7 @@
     });
 
   test('all are full: changes are refused as not possible now, reads go on, and the same change is taken later', async () => {
-    const fleet = new ControlFleet(7, platformDialect, five);
+    const fleet = new ControlFleet(7, platformDialect, fiveMembers);
     assert.ok(await fleet.begin(5));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     for (const { disk } of fleet.machines) disk.faults.full = true;
@@ -194,7 +194,7 @@
 
   for (const seed of [1, 2])
     test(`put, changed by one route and read back at each node within the bounds, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       fleet.network.linkBytesPerSecond = 15_000_000;
       const timed = async (order: ChangeOrder, machine: ControlMachine): Promise<void> => {
--- a/tests/control-safety.test.ts
+++ b/tests/control-safety.test.ts
@@ -5,7 +5,7 @@
 import { KeeperStates, type KeeperEvent } from '../source/core-keeper/ledger/keeperState';
 import { Changes, Digests, emptyEntry } from '../source/core-keeper/register/changes';
 import type { ChangeOrder, ChangeOutcome } from '../source/core-keeper/register/messages';
-import { rememberedChanges } from '../source/core-keeper/register/outcomeHistory';
+import { maxRememberedChanges } from '../source/core-keeper/register/outcomeHistory';
 import type { Entry } from '../source/shared/register/types';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
@@ -39,7 +39,7 @@
   return () => mends.forEach((mend) => mend());
 };
 
-const isRefusedForGood = (outcome: ChangeOutcome | undefined): boolean =>
+const isRefusedPermanently = (outcome: ChangeOutcome | undefined): boolean =>
   outcome?.kind === 'refused' && outcome.reason !== 'noMajority' && outcome.reason !== 'full';
 
 describe('1: a member cut off for 20 s', () => {
@@ -62,7 +62,7 @@
           version = next;
           const late = await fleet.change(cut, put(version + 1000, version - 1, { by: 'cut off' }), 1_500_000);
           assert.ok(late?.kind !== 'taken', 'it confirmed a change');
-          assert.equal(isRefusedForGood(late), false, 'it refused for good');
+          assert.equal(isRefusedPermanently(late), false, 'it refused for good');
           const read = await fleet.read(cut, 1_500_000);
           assert.ok(read?.kind !== 'read', 'it handed out a configuration');
           await fleet.world.runFor(1_000_000);
@@ -148,7 +148,7 @@
     let entry = emptyEntry;
     const orders: ChangeOrder[] = [];
     const sizes: number[] = [];
-    for (let version = 1; version <= rememberedChanges + 200; version += 1) {
+    for (let version = 1; version <= maxRememberedChanges + 200; version += 1) {
       const order = put(version * 3, (version - 1) * 3);
       const planned = Changes.plan(entry, order, platformDialect);
       assert.ok(planned.kind === 'write');
@@ -163,7 +163,7 @@
     }
     // One that lost its race builds on a version that is remembered, and is refused for sure.
     assert.equal(sentAgain(entry, put(5_000, 1_800, { by: 'loser' }))?.kind, 'refused');
-    assert.equal(sizes.at(-1), sizes[rememberedChanges - 1], 'an accept costs no more than before');
+    assert.equal(sizes.at(-1), sizes[maxRememberedChanges - 1], 'an accept costs no more than before');
     assert.ok((sizes.at(-1) ?? 0) <= 12_288, `${sizes.at(-1)} bytes`);
   });
 
--- a/tests/incident-skipped-revisions.test.ts
+++ b/tests/incident-skipped-revisions.test.ts
@@ -6,21 +6,21 @@
 /** 7 Mbit/s: what an edge machine's link carries. */
 const linkBytesPerSecond = 875_000;
 const proxyCount = 39;
-const manyRoutes = 1_830;
+const routeCount = 1_830;
 /** Within this time of its confirmation a change is in force on each machine in touch. */
 const applyMicroseconds = 2_500_000;
 const settledMicroseconds = 4_000_000;
-const apartMicroseconds = 1_500_000;
+const partitionMicroseconds = 1_500_000;
 
 /** As in a fleet of 63 proxies and 56 engines: some 80 kB a second to each proxy. */
-const talkOfLoads = { facts: 63, periodMicroseconds: 350_000, bytes: 200 };
-const talkOfEngines = { facts: 56, periodMicroseconds: 150_000, bytes: 200 };
+const loadTraffic = { facts: 63, periodMicroseconds: 350_000, bytes: 200 };
+const engineTraffic = { facts: 56, periodMicroseconds: 150_000, bytes: 200 };
 
-const confirmed = async ({ fleet }: FedFleet, weights: string): Promise<void> =>
-  assert.ok((await fleet.take('blueprint', blueprintOf(manyRoutes, weights))) !== undefined);
+const changeWeights = async ({ fleet }: FedFleet, weights: string): Promise<void> =>
+  assert.ok((await fleet.take('blueprint', blueprintOf(routeCount, weights))) !== undefined);
 
 /** Cuts all agents but the first one off from it and from the control nodes; what is returned mends it. */
-const partAgents = ({ fleet }: FedFleet): (() => void) => {
+const partitionAgents = ({ fleet }: FedFleet): (() => void) => {
   const [first, ...others] = fleet.edges.filter((edge) => fleet.hasAgent(edge)).map(({ machine }) => machine);
   const far = [...fleet.keepers.map(({ machine }) => machine), first ?? ''];
   const mends = others.flatMap((agent) =>
@@ -33,18 +33,18 @@
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8])
     test(`the agent that had it is lost: the newest revision reaches all proxies in time, seed ${seed}`, async () => {
       const fed = await startedFleet(seed, { edges: proxyCount, agents: 3 }, linkBytesPerSecond);
-      await confirmed(fed, 'w2');
+      await changeWeights(fed, 'w2');
       await fed.world.runFor(settledMicroseconds);
-      keepTalking(fed, talkOfLoads);
-      keepTalking(fed, talkOfEngines);
+      keepTalking(fed, loadTraffic);
+      keepTalking(fed, engineTraffic);
       await fed.world.runFor(settledMicroseconds);
-      const mend = partAgents(fed);
-      await confirmed(fed, 'w3');
-      await fed.world.runFor(apartMicroseconds);
+      const mend = partitionAgents(fed);
+      await changeWeights(fed, 'w3');
+      await fed.world.runFor(partitionMicroseconds);
       mend();
       fed.fleet.edge(0).agentProcess.kill();
-      await confirmed(fed, 'w4');
-      await confirmed(fed, 'w5');
+      await changeWeights(fed, 'w4');
+      await changeWeights(fed, 'w5');
       await fed.world.runFor(applyMicroseconds);
       assert.equal(proxiesOn(fed, 'w5'), proxyCount);
     });
--- a/tests/majority-read.test.ts
+++ b/tests/majority-read.test.ts
@@ -28,7 +28,7 @@
   ],
 });
 
-const provenBy = (held: Readonly<Record<string, Held>>): readonly number[] =>
+const provenRevisions = (held: Readonly<Record<string, Held>>): readonly number[] =>
   MajorityReads.judge(
     Object.entries(held).map(([keeper, word]) => answerOf(keeper, word)),
     'fleet',
@@ -40,33 +40,33 @@
 
 describe('a majority read while a change is on its way', () => {
   test('the revision before it is proven by a majority that has not accepted the change', () => {
-    assert.deepEqual(provenBy({ a: offered, b: settled, c: settled, d: settled, e: settled }), [7]);
-    assert.deepEqual(provenBy({ a: offered, b: offered, c: settled, d: settled, e: settled }), [7]);
-    assert.deepEqual(provenBy({ a: offered, b: settled, c: settled, d: settled }), [7]);
+    assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled, d: settled, e: settled }), [7]);
+    assert.deepEqual(provenRevisions({ a: offered, b: offered, c: settled, d: settled, e: settled }), [7]);
+    assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled, d: settled }), [7]);
   });
 
   test('nothing is proven where those that have not accepted the change are no majority', () => {
-    assert.deepEqual(provenBy({ a: offered, b: settled, c: settled }), []);
-    assert.deepEqual(provenBy({ a: offered, b: offered, c: settled, d: settled }), []);
-    assert.deepEqual(provenBy({ a: offered, d: settled, e: settled }), []);
+    assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled }), []);
+    assert.deepEqual(provenRevisions({ a: offered, b: offered, c: settled, d: settled }), []);
+    assert.deepEqual(provenRevisions({ a: offered, d: settled, e: settled }), []);
   });
 
   test('a change that a majority holds, or that is known as decided, is never hidden by the others', () => {
-    assert.deepEqual(provenBy({ a: offered, b: offered, c: offered, d: settled, e: settled }), [8]);
-    const told: Held = { ...settled, decided: 8 };
-    assert.deepEqual(provenBy({ a: offered, b: settled, c: settled, d: told, e: settled }), [8]);
+    assert.deepEqual(provenRevisions({ a: offered, b: offered, c: offered, d: settled, e: settled }), [8]);
+    const informed: Held = { ...settled, decided: 8 };
+    assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled, d: informed, e: settled }), [8]);
   });
 
   test('two changes of different epochs on their way: only what a majority of the rest proves', () => {
     const other: Held = { epoch: 2, revision: 8, decided: 7 };
-    assert.deepEqual(provenBy({ a: offered, b: other, c: settled, d: settled, e: settled }), [7]);
-    assert.deepEqual(provenBy({ a: offered, b: other, c: settled, d: settled }), []);
+    assert.deepEqual(provenRevisions({ a: offered, b: other, c: settled, d: settled, e: settled }), [7]);
+    assert.deepEqual(provenRevisions({ a: offered, b: other, c: settled, d: settled }), []);
   });
 
   test('a value that was offered again under a higher epoch is not proven by those that hold it under the lower one', () => {
     const again: Held = { epoch: 2, revision: 7, decided: 0 };
     const before: Held = { epoch: 1, revision: 7, decided: 0 };
-    assert.deepEqual(provenBy({ a: again, b: before, c: before }), []);
-    assert.deepEqual(provenBy({ a: again, b: before, c: before, d: before }), [7]);
+    assert.deepEqual(provenRevisions({ a: again, b: before, c: before }), []);
+    assert.deepEqual(provenRevisions({ a: again, b: before, c: before, d: before }), [7]);
   });
 });
--- a/tests/model-checker.test.ts
+++ b/tests/model-checker.test.ts
@@ -67,7 +67,7 @@
   {
     what: 'an acceptor that keeps no promise',
     scope: 'two changes on one base, messages and power lost',
-    cuts: [['core-keeper/register/acceptor.ts', 'Epochs.compare(order.epoch, cell.promised) < 0 ||', '']],
+    cuts: [['core-keeper/register/acceptor.ts', 'Epochs.compare(request.epoch, cell.promised) < 0 ||', '']],
     sees: /two changes on one base|a later read/,
   },
   {
@@ -106,12 +106,12 @@
     cuts: [
       [
         'core-keeper/register/acceptor.ts',
-        'if (oldList || Epochs.compare(order.epoch, promised) <= 0)',
-        'if (Epochs.compare(order.epoch, promised) <= 0)',
+        'if (isOutdatedList || Epochs.compare(request.epoch, promised) <= 0)',
+        'if (Epochs.compare(request.epoch, promised) <= 0)',
       ],
-      ['core-keeper/register/acceptor.ts', 'if (oldList || outranked)', 'if (outranked)'],
+      ['core-keeper/register/acceptor.ts', 'if (isOutdatedList || isOutranked)', 'if (isOutranked)'],
       ['core-keeper/register/prepareRound.ts', '|| answer.membersRevision <= membersRevision', '|| true'],
-      ['core-keeper/register/acceptRound.ts', '|| answer.membersRevision <= order.membersRevision', '|| true'],
+      ['core-keeper/register/acceptRound.ts', '|| answer.membersRevision <= request.membersRevision', '|| true'],
       ['core-keeper/register/preVote.ts', 'if (address !== undefined) await this.settings.learnMembers(address);', ''],
     ],
     sees: /two changes on one base/,
@@ -122,8 +122,8 @@
     cuts: [
       [
         'core-keeper/register/ownership.ts',
-        'const entry = gathered.accepted?.entry ?? this.firstEntry();',
-        'const entry = this.firstEntry();',
+        'const entry = promises.accepted?.entry ?? this.initialEntry();',
+        'const entry = this.initialEntry();',
       ],
     ],
     sees: /a later read|two changes on one base/,
--- a/tests/support/leaderDuel.ts
+++ b/tests/support/leaderDuel.ts
@@ -6,11 +6,11 @@
 import { platformDocument } from './platformDocument';
 
 /** As many routes as the incident's day had, so that a value is some 400 kB. */
-const manyRoutes = 1_800;
+const extraRouteCount = 1_800;
 
 const largeDocument = (version: number): string => {
   const small = JSON.parse(platformDocument(version)) as { routes: readonly Record<string, unknown>[] };
-  const more = Array.from({ length: manyRoutes }, (_, index) => ({
+  const more = Array.from({ length: extraRouteCount }, (_, index) => ({
     ...small.routes[0],
     name: `r-${index}`,
     pathPrefix: `/more-${index}/`,
@@ -29,22 +29,22 @@
 const writePauseMicroseconds = 500_000;
 const readPauseMicroseconds = 200_000;
 /** A read of the last 0.85 s may still be under way when the look ends. */
-const readsUnderWay = 5;
-const troubleMicroseconds = 4_000_000;
+const maxReadsInFlight = 5;
+const faultMicroseconds = 4_000_000;
 const settleMicroseconds = 3_000_000;
 /** One when the leader is lost, and one more where the first winner is cut off or an old epoch comes back. */
-const mostTakeovers = 2;
-const lookMicroseconds = 4_000_000;
+const maxTakeovers = 2;
+const observationMicroseconds = 4_000_000;
 
-type Reads = { answered: number; begun: number };
+type Reads = { answered: number; started: number };
 
 /** An operator that reads at one member after the other, a new call every 0.2 s whether the last was answered or not. */
-const readAgainAndAgain = (fleet: ControlFleet, machines: readonly ControlMachine[], reads: Reads): (() => void) => {
+const readPeriodically = (fleet: ControlFleet, machines: readonly ControlMachine[], reads: Reads): (() => void) => {
   let isOn = true;
   const next = (): void => {
     if (!isOn) return;
-    const machine = machines[reads.begun % machines.length];
-    reads.begun += 1;
+    const machine = machines[reads.started % machines.length];
+    reads.started += 1;
     const began = fleet.world.nowMicroseconds;
     machine?.process.enter(
       () =>
@@ -61,7 +61,7 @@
 };
 
 /** Two operators that both change the first version, and send the very same call again until the test is over. */
-const writeAgainAndAgain = (fleet: ControlFleet): (() => void) => {
+const writePeriodically = (fleet: ControlFleet): (() => void) => {
   let isOn = true;
   const send = (order: ChangeOrder, turn: number): void => {
     if (!isOn) return;
@@ -87,44 +87,44 @@
   return found;
 };
 
-export type Trouble = 'cut' | 'killed';
+export type Fault = 'cut' | 'killed';
 /** What operators do meanwhile: read, or send two changes on one base again and again. */
-export type Calls = 'reads' | 'changes';
+export type Workload = 'reads' | 'changes';
 
 /** What was wrong once the trouble was 3 s over; empty: nothing. */
-export const playedTrouble = async (trouble: Trouble, calls: Calls, seed: number): Promise<string> => {
+export const runFault = async (fault: Fault, workload: Workload, seed: number): Promise<string> => {
   const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
   assert.ok(await fleet.begin(5));
   fleet.network.linkBytesPerSecond = linkBytesPerSecond;
   assert.equal((await fleet.persist(largePut(1, 0), 10_000_000))?.kind, 'taken');
   await fleet.world.runFor(1_000_000);
   const leader = leaderOf(fleet);
-  const reads = { answered: 0, begun: 0 };
+  const reads = { answered: 0, started: 0 };
   const first = takeovers(fleet);
-  const stopReading = readAgainAndAgain(fleet, fleet.machines, reads);
-  const stopWriting = calls === 'changes' ? writeAgainAndAgain(fleet) : () => undefined;
+  const stopReading = readPeriodically(fleet, fleet.machines, reads);
+  const stopWriting = workload === 'changes' ? writePeriodically(fleet) : () => undefined;
   const mends = fleet.machines
     .filter((machine) => machine !== leader)
     .flatMap((other) => [
       fleet.network.cut(other.machine, leader.machine),
       fleet.network.cut(leader.machine, other.machine),
     ]);
-  if (trouble === 'killed') leader.kill();
-  await fleet.world.runFor(troubleMicroseconds);
+  if (fault === 'killed') leader.kill();
+  await fleet.world.runFor(faultMicroseconds);
   for (const mend of mends) mend();
-  if (trouble === 'killed') leader.start();
+  if (fault === 'killed') leader.start();
   await fleet.world.runFor(settleMicroseconds);
   const before = { ...reads, takeovers: takeovers(fleet), bytes: fleet.network.bytes };
-  await fleet.world.runFor(lookMicroseconds);
+  await fleet.world.runFor(observationMicroseconds);
   stopReading();
   stopWriting();
   const changes = takeovers(fleet) - before.takeovers;
   const answered = reads.answered - before.answered;
-  const begun = reads.begun - before.begun;
+  const started = reads.started - before.started;
   const during = before.takeovers - first;
-  const isWell = during <= mostTakeovers && changes === 0 && answered >= begun - readsUnderWay;
+  const isHealthy = during <= maxTakeovers && changes === 0 && answered >= started - maxReadsInFlight;
   const bytes = fleet.network.bytes - before.bytes;
-  return isWell
+  return isHealthy
     ? ''
-    : `seed ${seed}: ${during} takeovers in the trouble, ${changes} after it, ${answered} of ${begun} reads answered, ${bytes} bytes`;
+    : `seed ${seed}: ${during} takeovers in the trouble, ${changes} after it, ${answered} of ${started} reads answered, ${bytes} bytes`;
 };
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -140,7 +140,7 @@
     faults: ['keyRevoked', 'keeperKilled', 'keeperPowerLost'],
     seeds: 40,
     cuts: [
-      ['core-keeper/register/heartbeats.ts', 'void this.repair(word, owner);', ''],
+      ['core-keeper/register/heartbeats.ts', 'void this.catchUp(statement, leader);', ''],
       ['shared/news/newsExchange.ts', 'body.revision <= (theirs[key] ?? 0)', 'body.revision === (theirs[key] ?? 0)'],
       ['shared/freshness/freshness.ts', 'if (revision <= (this.applied?.revision ?? -1)) return undefined;', ''],
       [
@@ -156,8 +156,8 @@
       ['shared/freshness/freshness.ts', 'statement.revision < this.sinceRevision', 'statement.revision < 0'],
       [
         'shared/register/majorityRead.ts',
-        'best === undefined || compareValues(word, best) > 0',
-        'best === undefined || compareValues(word, best) < 0',
+        'best === undefined || compareValues(statement, best) > 0',
+        'best === undefined || compareValues(statement, best) < 0',
       ],
       [
         'shared/register/majorityRead.ts',
@@ -253,8 +253,8 @@
     ],
     seeds: 80,
     cuts: [
-      ['core-keeper/register/ownership.ts', "return mayStand ? { kind: 'unknown' } : undefined;", 'return undefined;'],
-      ['core-keeper/register/changeRouter.ts', "maySettle ||= outcome?.kind === 'unknown';", ''],
+      ['core-keeper/register/ownership.ts', "return mayBeAccepted ? { kind: 'unknown' } : undefined;", 'return undefined;'],
+      ['core-keeper/register/changeRouter.ts', "mayBeAccepted ||= outcome?.kind === 'unknown';", ''],
     ],
   },
   {
