--- a/source/core-keeper/register/acceptRound.ts
+++ b/source/core-keeper/register/acceptRound.ts
@@ -26,7 +26,7 @@
   ) {}
 
   /** Calls `onOutranked` with each higher epoch that a member has promised. */
-  public async run(
+  public async execute(
     epoch: Epoch,
     entry: Entry,
     purpose: RoundPurpose,
--- a/source/core-keeper/register/changeFetcher.ts
+++ b/source/core-keeper/register/changeFetcher.ts
@@ -27,7 +27,7 @@
     this.activeFetches.add(name);
     try {
       for (
-        let next = await this.fetchNext(address, 0);
+        let next = await this.ask(address, 0);
         next !== undefined;
         next = await this.applyAndFetchNext(address, next)
       );
@@ -38,17 +38,13 @@
 
   private async applyAndFetchNext(
     address: string,
-    { number, order: request }: FetchedChange,
+    { number, order }: FetchedChange,
   ): Promise<FetchedChange | undefined> {
-    const outcome = (await this.node.changeAsLeader(request)) ?? null;
-    return this.fetchNext(address, number, { outcome });
+    const outcome = (await this.node.changeAsLeader(order)) ?? null;
+    return this.ask(address, number, { outcome });
   }
 
-  private async fetchNext(
-    address: string,
-    after: number,
-    done?: FetchChange['done'],
-  ): Promise<FetchedChange | undefined> {
+  private async ask(address: string, after: number, done?: FetchChange['done']): Promise<FetchedChange | undefined> {
     const message = { kind: 'fetchChange', fleet: this.node.fleet(), keys: this.node.ledKeys(), after } as const;
     const request: FetchChange = done === undefined ? message : { ...message, done };
     return Answers.read(await this.transport.ask(address, request, this.askMicroseconds), 'fetchedChange');
--- a/source/core-keeper/register/changeRouter.ts
+++ b/source/core-keeper/register/changeRouter.ts
@@ -42,10 +42,7 @@
 /** Routes an operator's change to the leader of its key; a repeated request joins the attempt in progress. */
 export class ChangeRouter {
   /** Changes requested at this node that have no outcome yet, by all fields that identify a change except its text. */
-  private readonly changesInProgress = new Map<
-    string,
-    Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>
-  >();
+  private readonly changing = new Map<string, Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>>();
 
   public constructor(
     private readonly node: ChangeNode,
@@ -61,23 +58,23 @@
    * members know. This replica campaigns only if a majority receives no heartbeats of a leader. A change id has one outcome,
    * however often the change is forwarded.
    */
-  public change(request: ChangeOrder): Promise<ChangeOutcome> {
-    const identity = JSON.stringify([request.key, request.id, request.form, request.ifMatch, request.learner]);
-    const inProgress = this.changesInProgress.get(identity);
+  public change(order: ChangeOrder): Promise<ChangeOutcome> {
+    const identity = JSON.stringify([order.key, order.id, order.form, order.ifMatch, order.learner]);
+    const inProgress = this.changing.get(identity);
     // A repeated request waits for the attempt in progress instead of starting another one.
-    if (inProgress !== undefined && inProgress.order.text === request.text) return inProgress.outcome;
-    const outcome = this.changeNow(request).finally(() => this.changesInProgress.delete(identity));
-    this.changesInProgress.set(identity, { order: request, outcome });
+    if (inProgress !== undefined && inProgress.order.text === order.text) return inProgress.outcome;
+    const outcome = this.changeNow(order).finally(() => this.changing.delete(identity));
+    this.changing.set(identity, { order, outcome });
     return outcome;
   }
 
-  private async changeNow(request: ChangeOrder): Promise<ChangeOutcome> {
-    if (this.node.ledMembers().length > 0) return this.forwardToMembers(request);
+  private async changeNow(order: ChangeOrder): Promise<ChangeOutcome> {
+    if (this.node.ledMembers().length > 0) return this.passChange(order);
     const { clock, random } = this;
     const deadlineMicroseconds = clock.nowMicroseconds() + this.limits.changeMicroseconds;
     let mayBeAccepted = false;
     for (;;) {
-      const outcome = await this.changeOnce(request);
+      const outcome = await this.changeOnce(order);
       if (outcome !== undefined && outcome.kind !== 'unknown') return outcome;
       mayBeAccepted ||= outcome?.kind === 'unknown';
       if (clock.nowMicroseconds() >= deadlineMicroseconds)
@@ -87,28 +84,28 @@
   }
 
   /** Undefined: no replica accepted the change. `unknown`: one may have accepted it. */
-  private async changeOnce(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const leadership = this.node.leadership(request.key);
-    const forwarded = leadership.state.kind === 'owning' ? undefined : await this.changeAtLeader(request);
+  private async changeOnce(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const leadership = this.node.leadership(order.key);
+    const forwarded = leadership.state.kind === 'owning' ? undefined : await this.changeAtLeader(order);
     if (forwarded !== undefined && forwarded.kind !== 'unknown') return forwarded;
-    const ownOutcome = await leadership.change(request);
+    const ownOutcome = await leadership.change(order);
     if (ownOutcome !== undefined) return ownOutcome;
-    return (await this.relayChange(request, leadership.leaderHearerAddresses)) ?? forwarded;
+    return (await this.relayChange(order, leadership.leaderHearerAddresses)) ?? forwarded;
   }
 
   /** Undefined: no leader is known, or it no longer leads. `unknown`: the leader stopped answering. */
-  private async changeAtLeader(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const address = this.node.leaderAddress(request.key);
+  private async changeAtLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const address = this.node.leaderAddress(order.key);
     if (address === undefined) return undefined;
-    const changed = Answers.read(await this.askLeader(request, address), 'changed');
+    const changed = Answers.read(await this.askLeader(order, address), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
   /** If only other members can reach the leader, one of them forwards the change. */
-  private async relayChange(request: ChangeOrder, addresses: readonly string[]): Promise<ChangeOutcome | undefined> {
+  private async relayChange(order: ChangeOrder, addresses: readonly string[]): Promise<ChangeOutcome | undefined> {
     const address = addresses[Math.floor(this.random.fraction() * addresses.length)];
     if (address === undefined) return undefined;
-    const message = { kind: 'relayChange', order: request };
+    const message = { kind: 'relayChange', order };
     const changed = Answers.read(await this.transport.ask(address, message, this.limits.passMicroseconds), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
@@ -118,7 +115,7 @@
    * over. If its heartbeats arrive but no answer does, connections from this node may fail in one direction only, so the change is
    * offered for the leader to fetch.
    */
-  private askLeader(request: ChangeOrder, leader: string): Promise<Answer> {
+  private askLeader(order: ChangeOrder, leader: string): Promise<Answer> {
     return new Promise((resolve) => {
       let isOpen = true;
       let withdrawOffer = (): void => undefined;
@@ -129,31 +126,26 @@
       };
       const checkLeader = (): void => {
         if (!isOpen) return;
-        if (this.node.leaderAddress(request.key) !== leader)
-          finish({ kind: 'silent', reason: 'the leader fell silent' });
+        if (this.node.leaderAddress(order.key) !== leader) finish({ kind: 'silent', reason: 'the leader fell silent' });
         else this.clock.after(leaderCheckIntervalMicroseconds, checkLeader);
       };
       const offer = (): void => {
         if (!isOpen) return;
-        withdrawOffer = this.waiting.offer(request, (outcome) =>
+        withdrawOffer = this.waiting.offer(order, (outcome) =>
           finish({ kind: 'answered', message: { kind: 'changed', outcome: outcome ?? null } }),
         );
       };
       this.clock.after(leaderCheckIntervalMicroseconds, checkLeader);
       this.clock.after(this.limits.askMicroseconds, offer);
-      void this.transport.ask(leader, { kind: 'change', order: request }, this.limits.passMicroseconds).then(finish);
+      void this.transport.ask(leader, { kind: 'change', order }, this.limits.passMicroseconds).then(finish);
     });
   }
 
   /** On a standby: forwards an operator's change to the voting members. */
-  private async forwardToMembers(request: ChangeOrder): Promise<ChangeOutcome> {
+  private async passChange(order: ChangeOrder): Promise<ChangeOutcome> {
     let mayBeAccepted = false;
     for (const { address } of this.node.ledMembers()) {
-      const answer = await this.transport.ask(
-        address,
-        { kind: 'passChange', order: request },
-        this.limits.passMicroseconds,
-      );
+      const answer = await this.transport.ask(address, { kind: 'passChange', order }, this.limits.passMicroseconds);
       const outcome = Answers.read(answer, 'changed')?.outcome ?? undefined;
       if (outcome !== undefined) return outcome;
       mayBeAccepted ||= answer.kind === 'silent';
@@ -162,13 +154,13 @@
   }
 
   /** Makes the change on this replica only; undefined if it does not lead the key. */
-  public async changeAsLeader(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const leadership = this.node.leadership(request.key);
-    return leadership.state.kind === 'owning' ? leadership.change(request) : undefined;
+  public async changeAsLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    const leadership = this.node.leadership(order.key);
+    return leadership.state.kind === 'owning' ? leadership.change(order) : undefined;
   }
 
   /** Makes a change for a member that cannot reach the leader; it is forwarded at most once. */
-  public async changeFromMember(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    return (await this.changeAsLeader(request)) ?? this.changeAtLeader(request);
+  public async changeFromMember(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    return (await this.changeAsLeader(order)) ?? this.changeAtLeader(order);
   }
 }
--- a/source/core-keeper/register/changes.ts
+++ b/source/core-keeper/register/changes.ts
@@ -41,26 +41,26 @@
 };
 
 /** Only the operators' document has dialects; the lists of engines and members always use the product's own format. */
-const applyRequest = (entry: Entry, request: ChangeOrder, dialect: Dialect): DialectApplied =>
-  request.key === 'blueprint'
-    ? dialect.apply(entry, request)
+const applyOrder = (entry: Entry, order: ChangeOrder, dialect: Dialect): DialectApplied =>
+  order.key === 'blueprint'
+    ? dialect.apply(entry, order)
     : Dialects.applyOwn(
         entry,
-        request,
-        (text) => Blueprints.checkText(request.key, text),
-        (text) => (request.key === 'core-members' ? memberChangeFaults(entry, text) : []),
+        order,
+        (text) => Blueprints.checkText(order.key, text),
+        (text) => (order.key === 'core-members' ? memberChangeFaults(entry, text) : []),
       );
 
 /** Rules for deriving the next entry of a key from a change request. */
 export const Changes = {
   /** Plans a change of the current entry: the next entry to write, or an immediate answer. A pure function. */
-  plan: (entry: Entry, request: ChangeOrder, dialect: Dialect = ownDialect): PlannedChange => {
-    const remembered = OutcomeHistories.find(entry.outcomes, request);
+  plan: (entry: Entry, order: ChangeOrder, dialect: Dialect = ownDialect): PlannedChange => {
+    const remembered = OutcomeHistories.find(entry.outcomes, order);
     if (remembered.kind === 'otherChange')
       return refusal('idUsed', [{ path: '', fault: 'this change id was used for another change' }], entry.revision);
     if (remembered.kind === 'accepted')
       return { kind: 'answer', outcome: { kind: 'taken', revision: remembered.revision } };
-    const next = applyRequest(entry, request, dialect);
+    const next = applyOrder(entry, order, dialect);
     if (next.kind === 'refused') {
       // The base is older than the remembered changes, so this change may have been accepted already, and an accepted change is never refused.
       if (next.reason === 'revision' && remembered.kind === 'forgotten')
@@ -75,9 +75,9 @@
         revision,
         digest: Digests.of(next.text),
         text: next.text,
-        outcomes: OutcomeHistories.add(entry.outcomes, request, revision),
-        ...(request.key === 'core-members' ? { base: entry.text } : {}),
-        ...(request.key === 'core-members' && request.learner !== undefined ? { learner: request.learner } : {}),
+        outcomes: OutcomeHistories.add(entry.outcomes, order, revision),
+        ...(order.key === 'core-members' ? { base: entry.text } : {}),
+        ...(order.key === 'core-members' && order.learner !== undefined ? { learner: order.learner } : {}),
       },
     };
   },
--- a/source/core-keeper/register/entryTransfer.ts
+++ b/source/core-keeper/register/entryTransfer.ts
@@ -35,7 +35,7 @@
 
   /** Fetches the accepted entry from an address and accepts it unless this replica promised a higher epoch. False if there was no answer. */
   public async take(key: DocumentKey, address: string): Promise<boolean> {
-    const answer = await this.requestEntry(key, address);
+    const answer = await this.ask(key, address);
     const offer = Answers.read(answer, 'accept');
     if (offer !== undefined) await this.acceptor.accept(offer);
     return answer.kind === 'answered';
@@ -47,14 +47,14 @@
    * leader may be electable.
    */
   public async takeMembers(address: string): Promise<void> {
-    const offer = Answers.read(await this.requestEntry('core-members', address), 'accept');
+    const offer = Answers.read(await this.ask('core-members', address), 'accept');
     if (offer === undefined) return;
     await this.acceptor.accept(offer);
     if (offer.fleet !== this.core.state.fleet || offer.entry.revision <= this.core.members().revision) return;
     await this.core.ledger.write([{ kind: 'membersLearned', epoch: offer.epoch, entry: offer.entry }]);
   }
 
-  private requestEntry(key: DocumentKey, address: string): Promise<Answer> {
+  private ask(key: DocumentKey, address: string): Promise<Answer> {
     return this.transport.ask(address, { kind: 'entry', key }, this.askMicroseconds * 2);
   }
 
--- a/source/core-keeper/register/heartbeats.ts
+++ b/source/core-keeper/register/heartbeats.ts
@@ -46,7 +46,7 @@
   private readonly pendingEntrySends = new Set<string>();
   private readonly keysCatchingUp = new Set<DocumentKey>();
   /** Keys whose newest value this replica lacks and could not fetch from their leader. */
-  private readonly unfetchedKeys = new Set<DocumentKey>();
+  private readonly lacking = new Set<DocumentKey>();
   private readonly decidedStatements = new Map<DocumentKey, OwnerWord>();
 
   public constructor(
@@ -71,11 +71,11 @@
     if (!core.votes() || core.ledger.stalledMicroseconds() > this.settings.ownerSilentMicroseconds) return;
     for (const leadership of this.parts.leaderships.values())
       if (!quorum.hasQuorum(leadership.ledSinceMicroseconds)) leadership.stepDown();
-    const statements = this.ledStatements();
+    const words = this.ledStatements();
     // If silent members can be replaced, a node that leads no key also sends heartbeats, so that the others know it is alive.
-    if (statements.length === 0 && this.settings.joins !== 'asks') return;
+    if (words.length === 0 && this.settings.joins !== 'asks') return;
     quorum.logChanges();
-    const message = { kind: 'owners', fleet: core.state.fleet, owner: core.name, words: statements };
+    const message = { kind: 'owners', fleet: core.state.fleet, owner: core.name, words };
     for (const [name, member] of core.others()) void this.sendTo(name, member.address, message);
   }
 
@@ -95,7 +95,7 @@
       kind: 'heard',
       promised: statements.flatMap((statement) => this.higherPromise(statement)),
       waiting: waiting.count(keys),
-      lacking: keys.filter((key) => this.unfetchedKeys.has(key)),
+      lacking: keys.filter((key) => this.lacking.has(key)),
     };
   }
 
@@ -122,7 +122,7 @@
     { promised = [], waiting = 0, lacking = [] }: AnswerOf<'heard'>,
   ): void {
     this.parts.members.hear(name);
-    this.parts.quorum.recordAnswer(name);
+    this.parts.quorum.answered(name);
     for (const { key, epoch } of promised) this.campaignAbove(key, epoch);
     // A member that cannot open connections to this leader is served over a connection that the leader opens.
     if (waiting > 0) void this.parts.fetcher.fetchFrom(name, address);
@@ -161,14 +161,14 @@
   /** Fetches an entry that this member missed from the leader, instead of waiting for the next change. */
   private async catchUp(statement: OwnerWord, leader: string): Promise<void> {
     if (!this.isBehind(statement)) {
-      this.unfetchedKeys.delete(statement.key);
+      this.lacking.delete(statement.key);
       return;
     }
     const address = this.parts.core.members().members[leader]?.address;
     if (address === undefined || this.keysCatchingUp.has(statement.key)) return;
     this.keysCatchingUp.add(statement.key);
     try {
-      if (!(await this.parts.entries.take(statement.key, address))) this.unfetchedKeys.add(statement.key);
+      if (!(await this.parts.entries.take(statement.key, address))) this.lacking.add(statement.key);
     } finally {
       this.keysCatchingUp.delete(statement.key);
     }
--- a/source/core-keeper/register/ownership.ts
+++ b/source/core-keeper/register/ownership.ts
@@ -150,8 +150,8 @@
     });
   }
 
-  public change(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    return this.runSerially(() => this.changeNow(request));
+  public change(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+    return this.runSerially(() => this.changeNow(order));
   }
 
   private transition(event: OwnershipEvent): void {
@@ -194,7 +194,7 @@
     const epoch: Epoch = { number: Math.max(promised.number, this.highestEpoch.number) + 1, keeper: this.core.name };
     this.highestEpoch = epoch;
     this.transition({ kind: 'began', epoch });
-    const promises = await this.prepareRound.run(epoch, this.core.members());
+    const promises = await this.prepareRound.execute(epoch, this.core.members());
     if (promises.kind === 'missed') {
       this.transition({ kind: 'lost' });
       this.outranked(promises.outrankedBy);
@@ -228,7 +228,7 @@
   private async runAcceptRound(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
     if (this.current.kind !== 'owning' && this.current.kind !== 'committing') return 'missed';
     const { epoch } = this.current;
-    const outcome = await this.acceptRound.run(epoch, entry, purpose, (higher) => this.outranked(higher));
+    const outcome = await this.acceptRound.execute(epoch, entry, purpose, (higher) => this.outranked(higher));
     return outcome === 'reached' && !this.isLeadingUnder(epoch) ? 'missed' : outcome;
   }
 
@@ -257,11 +257,11 @@
   }
 
   /** Undefined: this replica does not lead and may not. `unknown`: it lost the leadership and its entry may still be decided. */
-  private async changeNow(request: ChangeOrder): Promise<ChangeOutcome | undefined> {
+  private async changeNow(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
     const deadlineMicroseconds = this.clock.nowMicroseconds() + this.settings.changeMicroseconds;
     let mayBeAccepted = false;
     while (await this.acquireNow()) {
-      const attempt = await this.changeAsLeader(request);
+      const attempt = await this.changeAsLeader(order);
       if (attempt.kind === 'answer') return attempt.outcome;
       mayBeAccepted ||= attempt.mayBeAccepted;
       // The entry may be held by a minority, and only a new epoch can determine whether it is decided.
@@ -272,10 +272,10 @@
     return mayBeAccepted ? { kind: 'unknown' } : undefined;
   }
 
-  private async changeAsLeader(request: ChangeOrder): Promise<LedChange> {
+  private async changeAsLeader(order: ChangeOrder): Promise<LedChange> {
     if (this.current.kind !== 'owning') return { kind: 'deposed', mayBeAccepted: false };
     const { entry } = this.current;
-    const planned = Changes.plan(entry, request, this.settings.dialect);
+    const planned = Changes.plan(entry, order, this.settings.dialect);
     if (planned.kind === 'answer') {
       // A deposed leader could answer with a wrong refusal or an outdated outcome, so the leadership is confirmed first.
       const isConfirmed = (await this.replicate(entry, 'confirm')) === 'reached';
--- a/source/core-keeper/register/prepareRound.ts
+++ b/source/core-keeper/register/prepareRound.ts
@@ -24,7 +24,7 @@
   ) {}
 
   /** Returns the newest value accepted by any member of a majority that has promised the epoch. */
-  public async run(epoch: Epoch, initialView: MemberView): Promise<PrepareResult> {
+  public async execute(epoch: Epoch, initialView: MemberView): Promise<PrepareResult> {
     let view = initialView;
     const received = new Map<string, PrepareAnswer>();
     for (;;) {
--- a/source/core-keeper/register/quorumWatch.ts
+++ b/source/core-keeper/register/quorumWatch.ts
@@ -9,30 +9,30 @@
  */
 export class QuorumWatch {
   private readonly answeredAt = new Map<string, number>();
-  private readonly silentMembers = new Set<string>();
+  private readonly silent = new Set<string>();
 
   public constructor(
     private readonly core: KeeperCore,
     private readonly clock: Clock,
     /** How long an answer to a heartbeat counts. */
     private readonly windowMicroseconds: number,
-    private readonly log: Log = () => undefined,
+    private readonly notice: Log = () => undefined,
   ) {}
 
   /** Logs which members have stopped answering, or answer again, since the last call. */
   public logChanges(): void {
     const windowStartMicroseconds = this.clock.nowMicroseconds() - this.windowMicroseconds;
     for (const [name, at] of this.answeredAt) {
-      if (at < windowStartMicroseconds && !this.silentMembers.has(name)) {
-        this.silentMembers.add(name);
-        this.log(`${name} does not answer heartbeats.`);
-      } else if (at >= windowStartMicroseconds && this.silentMembers.delete(name))
-        this.log(`${name} answers heartbeats again.`);
+      if (at < windowStartMicroseconds && !this.silent.has(name)) {
+        this.silent.add(name);
+        this.notice(`${name} does not answer heartbeats.`);
+      } else if (at >= windowStartMicroseconds && this.silent.delete(name))
+        this.notice(`${name} answers heartbeats again.`);
     }
   }
 
   /** Records that a member has answered a heartbeat. */
-  public recordAnswer(name: string): void {
+  public answered(name: string): void {
     this.answeredAt.set(name, this.clock.nowMicroseconds());
   }
 
--- a/source/core-keeper/register/recentEntries.ts
+++ b/source/core-keeper/register/recentEntries.ts
@@ -9,7 +9,7 @@
  * decided revision can still fetch its text. Entries are found by digest; the receiver decides whether it may use the text.
  */
 export class RecentEntries {
-  private readonly entries = new Map<DocumentKey, readonly Entry[]>();
+  private readonly kept = new Map<DocumentKey, readonly Entry[]>();
 
   /** Records the entries among events written to the log. */
   public written(events: readonly KeeperEvent[]): void {
@@ -18,11 +18,11 @@
 
   /** Undefined if no entry with this digest was accepted recently. */
   public find(key: DocumentKey, digest: string): Entry | undefined {
-    return this.entries.get(key)?.find((entry) => entry.digest === digest);
+    return this.kept.get(key)?.find((entry) => entry.digest === digest);
   }
 
   private keep(key: DocumentKey, entry: Entry): void {
-    const others = (this.entries.get(key) ?? []).filter(({ digest }) => digest !== entry.digest);
-    this.entries.set(key, [entry, ...others].slice(0, maxEntriesPerKey));
+    const others = (this.kept.get(key) ?? []).filter(({ digest }) => digest !== entry.digest);
+    this.kept.set(key, [entry, ...others].slice(0, maxEntriesPerKey));
   }
 }
--- a/source/core-keeper/register/replicaReport.ts
+++ b/source/core-keeper/register/replicaReport.ts
@@ -99,7 +99,7 @@
         decidedRevision: decided?.revision ?? 0,
         decidedDigest: decided?.digest ?? '',
         owner: leaders.lastLeader(key),
-        ...(key === 'blueprint' ? { weights: ages.ages() } : {}),
+        ...(key === 'blueprint' ? { weights: ages.words() } : {}),
       };
     });
   }
--- a/source/core-keeper/register/waitingChanges.ts
+++ b/source/core-keeper/register/waitingChanges.ts
@@ -5,7 +5,7 @@
 /** Further changes are not offered to the leader; their requests are only retried. */
 const maxWaitingChanges = 64;
 
-type WaitingChange = Readonly<{ request: ChangeOrder; onOutcome: (outcome: ChangeOutcome | undefined) => void }>;
+type WaitingChange = Readonly<{ order: ChangeOrder; onOutcome: (outcome: ChangeOutcome | undefined) => void }>;
 
 /**
  * Changes that this member could not deliver to the leader of their key. The leader fetches them over a connection that it opens
@@ -16,24 +16,24 @@
   private lastNumber = 0;
 
   /** Offers a change to the leader. `onOutcome` receives its outcome, undefined if it no longer leads. The result withdraws the offer. */
-  public offer(request: ChangeOrder, onOutcome: (outcome: ChangeOutcome | undefined) => void): () => void {
+  public offer(order: ChangeOrder, onOutcome: (outcome: ChangeOutcome | undefined) => void): () => void {
     if (this.waiting.size >= maxWaitingChanges) return () => undefined;
     this.lastNumber += 1;
     const number = this.lastNumber;
-    this.waiting.set(number, { request, onOutcome });
+    this.waiting.set(number, { order, onOutcome });
     return () => void this.waiting.delete(number);
   }
 
   /** Number of waiting changes of these keys. */
   public count(keys: readonly DocumentKey[]): number {
-    return [...this.waiting.values()].filter(({ request }) => keys.includes(request.key)).length;
+    return [...this.waiting.values()].filter(({ order }) => keys.includes(order.key)).length;
   }
 
   /** Passes on the outcome of the previous change and returns the next one for a leader of these keys. */
   public fetch({ keys, after, done }: FetchChange): Message {
     if (done !== undefined) this.waiting.get(after)?.onOutcome(done.outcome ?? undefined);
-    for (const [number, { request }] of this.waiting)
-      if (number > after && keys.includes(request.key)) return { kind: 'fetchedChange', number, order: request };
+    for (const [number, { order }] of this.waiting)
+      if (number > after && keys.includes(order.key)) return { kind: 'fetchedChange', number, order };
     return { kind: 'nothingWaits' };
   }
 }
--- a/source/shared/register/majorityRead.ts
+++ b/source/shared/register/majorityRead.ts
@@ -47,14 +47,14 @@
 };
 
 /** One member's statement about one key. */
-type MemberStatement = Readonly<{ keeper: string; statement: KeyWord }>;
+type MemberStatement = Readonly<{ keeper: string; word: KeyWord }>;
 
 const compareValues = (left: KeyWord, right: KeyWord): number =>
   Epochs.compare(left.epoch, right.epoch) || left.revision - right.revision;
 
 const newestStatement = (statements: readonly MemberStatement[]): KeyWord | undefined =>
   statements.reduce<KeyWord | undefined>(
-    (best, { statement }) => (best === undefined || compareValues(statement, best) > 0 ? statement : best),
+    (best, { word }) => (best === undefined || compareValues(word, best) > 0 ? word : best),
     undefined,
   );
 
@@ -71,9 +71,7 @@
   const names = statements.map(({ keeper }) => keeper);
   const newest = newestStatement(statements);
   if (newest === undefined || !Stamps.reached(sets, names)) return undefined;
-  const holders = statements
-    .filter(({ statement }) => compareValues(statement, newest) === 0)
-    .map(({ keeper }) => keeper);
+  const holders = statements.filter(({ word }) => compareValues(word, newest) === 0).map(({ keeper }) => keeper);
   if (Stamps.reached(sets, holders) || isDecided(newest)) return newest;
   const others = statements.filter(({ keeper }) => !holders.includes(keeper));
   return provenStatement(others, sets, isDecided);
@@ -106,16 +104,12 @@
     const statements: Omit<Statement, 'ageMicroseconds'>[] = [];
     for (const key of DocumentKeys) {
       const keyStatements = valid.flatMap((answer) =>
-        answer.words
-          .filter((statement) => statement.key === key)
-          .map((statement) => ({ keeper: answer.stamp.keeper, statement })),
+        answer.words.filter((word) => word.key === key).map((word) => ({ keeper: answer.stamp.keeper, word })),
       );
       const applied = appliedValue(key);
       const isDecided = ({ revision, digest }: KeyWord): boolean =>
         (applied?.revision === revision && applied.digest === digest) ||
-        keyStatements.some(
-          ({ statement }) => statement.decidedRevision === revision && statement.decidedDigest === digest,
-        );
+        keyStatements.some(({ word }) => word.decidedRevision === revision && word.decidedDigest === digest);
       const proven = provenStatement(keyStatements, view.sets, isDecided);
       if (proven === undefined || proven.digest === '') continue;
       statements.push({
@@ -125,9 +119,7 @@
         weights:
           key === 'blueprint'
             ? mergeWeightsAges(
-                keyStatements
-                  .filter(({ statement }) => statement.digest === proven.digest)
-                  .map(({ statement }) => statement),
+                keyStatements.filter(({ word }) => word.digest === proven.digest).map(({ word }) => word),
               )
             : {},
       });
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -156,8 +156,8 @@
       ['shared/freshness/freshness.ts', 'statement.revision < this.sinceRevision', 'statement.revision < 0'],
       [
         'shared/register/majorityRead.ts',
-        'best === undefined || compareValues(statement, best) > 0',
-        'best === undefined || compareValues(statement, best) < 0',
+        'best === undefined || compareValues(word, best) > 0',
+        'best === undefined || compareValues(word, best) < 0',
       ],
       [
         'shared/register/majorityRead.ts',
--- a/tests/weights-known.test.ts
+++ b/tests/weights-known.test.ts
@@ -82,7 +82,7 @@
   ages.restored(entry('w1'));
   clock.now = 2_000_000;
   ages.accepted(entry('w2'));
-  assert.deepEqual(ages.ages()['pool'], { weights: 'w2', previous: 'w1', ageMicroseconds: 0 });
+  assert.deepEqual(ages.words()['pool'], { weights: 'w2', previous: 'w1', ageMicroseconds: 0 });
 });
 
 test('a daemon that lacks the newest revision names no weights, and those that hear it keep what they know of them', () => {
