--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -253,7 +253,11 @@
     ],
     seeds: 80,
     cuts: [
-      ['core-keeper/register/ownership.ts', "return mayBeAccepted ? { kind: 'unknown' } : undefined;", 'return undefined;'],
+      [
+        'core-keeper/register/ownership.ts',
+        "return mayBeAccepted ? { kind: 'unknown' } : undefined;",
+        'return undefined;',
+      ],
       ['core-keeper/register/changeRouter.ts', "mayBeAccepted ||= outcome?.kind === 'unknown';", ''],
     ],
   },
