--- a/source/core-keeper/register/changes.ts
+++ b/source/core-keeper/register/changes.ts
@@ -62,7 +62,7 @@
       return { kind: 'answer', outcome: { kind: 'taken', revision: remembered.revision } };
     const next = applyOrder(entry, order, dialect);
     if (next.kind === 'refused') {
-      // The base is older than the remembered changes, so this change may have been accepted already, and an accepted change is never refused.
+      // The base is older than the remembered changes, so this change may have been accepted already. Accepted changes are never refused.
       if (next.reason === 'revision' && remembered.kind === 'forgotten')
         return { kind: 'answer', outcome: { kind: 'unknown' } };
       return refusal(next.reason, next.faults, entry.revision);
--- a/source/core-keeper/register/entryTransfer.ts
+++ b/source/core-keeper/register/entryTransfer.ts
@@ -33,7 +33,7 @@
     } satisfies Accept;
   }
 
-  /** Fetches the accepted entry from an address and accepts it unless this replica promised a higher epoch. False if there was no answer. */
+  /** Fetches the entry accepted at an address and accepts it unless a higher epoch is promised here. False without an answer. */
   public async take(key: DocumentKey, address: string): Promise<boolean> {
     const answer = await this.ask(key, address);
     const offer = Answers.read(answer, 'accept');
--- a/source/core-keeper/register/ownership.ts
+++ b/source/core-keeper/register/ownership.ts
@@ -122,7 +122,10 @@
       : undefined;
   }
 
-  /** Records an epoch that was promised elsewhere and gives up the leadership if it is higher. True if this replica led until now. */
+  /**
+   * Records an epoch that another replica has promised. A replica that leads or campaigns under a lower epoch gives up; the result is
+   * then true.
+   */
   public outranked(epoch: Epoch): boolean {
     if (Epochs.compare(epoch, this.highestEpoch) > 0) this.highestEpoch = epoch;
     const wasLeading = this.current.kind !== 'none' && Epochs.compare(epoch, this.current.epoch) > 0;
@@ -178,7 +181,7 @@
   private async acquireNow(reason: CampaignReason = 'request'): Promise<boolean> {
     if (this.current.kind === 'owning') return true;
     if (!this.core.votes()) return false;
-    // Without the pre-vote, a partitioned replica would promise itself ever higher epochs and depose the leader once the partition heals.
+    // Without the pre-vote, a partitioned replica would promise itself ever higher epochs and depose the leader after the partition.
     if (!(await this.preVote.isGranted(reason))) {
       this.settings.metrics.campaign(this.key, reason, 'refused');
       return false;
--- a/source/core-keeper/register/quorumReader.ts
+++ b/source/core-keeper/register/quorumReader.ts
@@ -129,7 +129,10 @@
     );
   }
 
-  /** Asks one member after the other, since parallel transfers of the value would slow each other down; the stagger limits the delay by a member that does not answer. */
+  /**
+   * Asks the members at staggered times. Parallel transfers of the value would slow each other down, and a member that does not answer
+   * delays the read by one stagger only.
+   */
   private firstTextFrom(
     addresses: readonly string[],
     request: (address: string) => Promise<string | undefined>,
--- a/source/core-keeper/register/registerMetrics.ts
+++ b/source/core-keeper/register/registerMetrics.ts
@@ -1,7 +1,7 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Metrics } from '../../shared/metrics/metrics';
 
-/** Why a replica campaigns: it receives no heartbeats of a leader, or a request needs a leader. */
+/** Reason for a campaign: the replica receives no heartbeats of a leader, or a request needs one. */
 export type CampaignReason = 'vacancy' | 'request';
 /** `refused`: no majority granted the pre-vote. `missed`: outranked, or no majority answered. */
 export type CampaignOutcome = 'won' | 'refused' | 'missed';
--- a/tests/control-figures.test.ts
+++ b/tests/control-figures.test.ts
@@ -1,4 +1,4 @@
-/** Figures of the control side on virtual time, each with a bound that it must keep. Printed as diagnostics. */
+/** Measures the control nodes in virtual time, checks an upper bound for each figure and prints the figures as diagnostics. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
@@ -23,7 +23,7 @@
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
   const found = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
-  assert.ok(found !== undefined, 'somebody leads');
+  assert.ok(found !== undefined, 'there is a leader');
   return found;
 };
 
@@ -52,15 +52,15 @@
   },
 };
 
-describe('figures of the control side', () => {
-  for (const [how, trouble] of Object.entries(faults))
+describe('measurements of the control nodes', () => {
+  for (const [how, fault] of Object.entries(faults))
     for (const count of [3, 5])
-      test(`the leader of ${count} is ${how}: until the next change is confirmed elsewhere`, async (context) => {
+      test(`the leader of ${count} nodes is ${how}: the next change is confirmed elsewhere in time`, async (context) => {
         const times: number[] = [];
         for (const seed of seeds) {
           const fleet = await startedFleet(seed, count);
           const leader = leaderOf(fleet);
-          trouble(fleet, leader);
+          fault(fleet, leader);
           const began = fleet.world.nowMicroseconds;
           const others = fleet.machines.filter((machine) => machine !== leader);
           assert.equal((await fleet.persistAt(others, put(2), 6_000_000))?.kind, 'taken');
@@ -87,7 +87,7 @@
       times.push(fleet.world.nowMicroseconds - began);
       bytes.push(fleet.network.bytes - before);
     }
-    context.diagnostic(`${summary(times)}; ${quantile(bytes, 0.5)} bytes on all links meanwhile`);
+    context.diagnostic(`${summary(times)}; ${quantile(bytes, 0.5)} bytes on all links during that time`);
     assert.ok(Math.max(...times) <= 4_000_000);
     assert.ok(Math.max(...bytes) <= 400_000);
   });
@@ -96,7 +96,7 @@
     [3, 1],
     [5, 2],
   ] as const)
-    test(`a change is confirmed while ${away} of ${count} are away`, async (context) => {
+    test(`a change is confirmed while ${away} of ${count} nodes are down`, async (context) => {
       const times: number[] = [];
       for (const seed of seeds) {
         const fleet = await startedFleet(seed, count);
@@ -114,7 +114,7 @@
       assert.ok(quantile(times, 0.99) <= 300_000);
     });
 
-  test('at rest: messages and bytes between three control nodes', async (context) => {
+  test('three idle control nodes exchange few bytes', async (context) => {
     const fleet = await startedFleet(1001, 3);
     const [messages, bytes] = [fleet.network.messages, fleet.network.bytes];
     await fleet.world.runFor(60_000_000);
--- a/tests/control-list-stuck.test.ts
+++ b/tests/control-list-stuck.test.ts
@@ -1,9 +1,9 @@
 /**
- * Found by the model checker. The order of events: a list of members with a newcomer stood on its leader and one more member, the
- * third did not have it yet, and the leader was lost. A campaign for the list then raised the promise of the third member above
- * the epoch of that list, so that it could not accept the list any more. The newcomer needs snapshots from a majority that knows the
- * new list, a new leader needs the vote of the newcomer, and so neither came about for as long as the old leader was away: no change
- * of any key, although two of three members and the newcomer were up. The evidence: the model's history, which never ends.
+ * Guards against a deadlock of a membership change, found by the model checker. A member list with a joining member is held by its
+ * leader and one other member when the leader is lost. A campaign for the list raises the promise of the third member above the
+ * epoch of that list, so it cannot accept the list. The joining member needs snapshots from a majority that uses the new list, and
+ * a new leader needs the vote of the joining member: no change of any key is possible until the old leader returns, although two of
+ * three members and the joining member are up.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -19,8 +19,8 @@
 
 const isJoint = ({ keeper }: ControlMachine): boolean => keeper?.core.members().sets.length === 2;
 
-describe('the leader of the list of members is lost while one member lacks the changed list', () => {
-  test('the newcomer joins and changes go on, 8 seeds', async () => {
+describe('the leader of the member list is lost while one member lacks the changed list', () => {
+  test('the joining member gets a vote and changes are confirmed, 8 seeds', async () => {
     for (let seed = 801; seed <= 808; seed += 1) {
       const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
       assert.ok(await fleet.begin(3));
@@ -30,12 +30,12 @@
       assert.ok(leader !== undefined);
       const others = fleet.machines.filter((machine) => machine !== leader);
       const [informed, uninformed] = others as [ControlMachine, ControlMachine];
-      // What the leader sends to one member is late, so that it may be lost on its way.
+      // Messages from the leader to one member are delayed, so that they can be lost in transit.
       fleet.network.slowDown(leader.machine, uninformed.machine, 100_000);
       fleet.add().start();
       assert.ok(
         await fleet.world.runUntil(() => isJoint(leader) && isJoint(informed), 10_000_000),
-        'a changed list stands on the leader and one more',
+        'the leader and one other member hold the changed list',
       );
       leader.kill(true);
       fleet.network.cut(leader.machine, uninformed.machine);
@@ -43,7 +43,7 @@
       assert.equal((await fleet.persistAt(others, put(2), 10_000_000))?.kind, 'taken', `seed ${seed}`);
       assert.ok(
         await fleet.world.runUntil(() => fleet.machine(4).votes, 10_000_000),
-        `the newcomer has a vote, seed ${seed}`,
+        `the joining member votes, seed ${seed}`,
       );
     }
   });
--- a/tests/control-read-back.test.ts
+++ b/tests/control-read-back.test.ts
@@ -1,6 +1,6 @@
 /**
- * After the worst that may come at once, right behind a confirmed change, the configuration is read back: by an operator that goes from
- * one control node to the next, for four seconds, each read with less than a second to be answered.
+ * Guards against a lost or unreadable configuration after all nodes lose power and two lose their disks right after a confirmed change.
+ * An operator then reads from randomly chosen control nodes for four seconds, with a limit of 0.85 s for each read.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -13,7 +13,7 @@
 
 const readLimitMicroseconds = 850_000;
 const readBackMicroseconds = 4_000_000;
-/** From the return of the machines until the operator begins to read. */
+/** Time between the restart of the machines and the operator's first read. */
 const recoveryMicroseconds = 6_000_000;
 
 const randomItem = <Item>(fleet: ControlFleet, items: readonly Item[]): Item => {
@@ -32,7 +32,7 @@
 
 type Confirmed = { version: number };
 
-/** Two changes on one base through two nodes, both sent again until one of them has an outcome. */
+/** Sends two changes on one base through two nodes and repeats them until one of them is confirmed. */
 const race = async (fleet: ControlFleet, confirmed: Confirmed): Promise<void> => {
   const base = confirmed.version;
   const [first, second] = [largePut(base + 1, base), largePut(base + 2, base)];
@@ -40,7 +40,7 @@
   const outcome = await fleet.persist(first, 12_000_000);
   if (outcome?.kind === 'taken') confirmed.version = base + 1;
   else if ((await fleet.persist(second, 12_000_000))?.kind === 'taken') confirmed.version = base + 2;
-  else assert.fail(`neither change of a race has an outcome: ${JSON.stringify(outcome)}`);
+  else assert.fail(`neither of two concurrent changes was confirmed: ${JSON.stringify(outcome)}`);
 };
 
 const faults: readonly ((fleet: ControlFleet, confirmed: Confirmed) => Promise<void>)[] = [
@@ -51,10 +51,10 @@
     machine.start();
   },
   async (fleet, confirmed) => {
-    const mends = cutOff(fleet, randomItem(fleet, fleet.machines));
+    const heals = cutOff(fleet, randomItem(fleet, fleet.machines));
     await race(fleet, confirmed);
     await fleet.world.runFor(1_000_000 + Math.floor(fleet.world.random.fraction() * 3_000_000));
-    for (const mend of mends) mend();
+    for (const heal of heals) heal();
   },
   async (fleet, confirmed) => {
     for (const machine of fleet.machines) machine.kill();
@@ -64,7 +64,7 @@
   },
 ];
 
-/** Two machines lose their disks, all others power, a moment after a change was confirmed while another one is on its way. */
+/** All machines lose power and two of them their disks, shortly after a change was confirmed and while another one is in progress. */
 const loseDisksAndPower = async (fleet: ControlFleet): Promise<void> => {
   const order = [...fleet.machines].sort(() => fleet.world.random.fraction() - 0.5);
   await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 60_000));
@@ -77,7 +77,7 @@
   }
 };
 
-/** How many reads were answered, and the least version that one of them gave. */
+/** Counts the answered reads and returns the lowest version read. */
 const readBack = async (fleet: ControlFleet): Promise<Readonly<{ answered: number; asked: number; least: number }>> => {
   const until = fleet.world.nowMicroseconds + readBackMicroseconds;
   let [answered, asked, least] = [0, 0, Infinity];
@@ -96,7 +96,7 @@
   return { answered, asked, least };
 };
 
-describe('the configuration is read back after two disks and all power were lost', () => {
+describe('the configuration can be read after a loss of power on all nodes and of two disks', () => {
   for (let seed = firstSeed; seed < firstSeed + seeds; seed += 1)
     test(`seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
@@ -113,7 +113,7 @@
       await loseDisksAndPower(fleet);
       await fleet.world.runFor(recoveryMicroseconds);
       const { answered, asked, least } = await readBack(fleet);
-      assert.ok(answered >= asked - 1, `${answered} of ${asked} reads are answered`);
+      assert.ok(answered >= asked - 1, `${answered} of ${asked} reads were answered`);
       assert.ok(least >= confirmed.version, `version ${least} was read, ${confirmed.version} was confirmed`);
     });
 });
--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -1,4 +1,4 @@
-/** What control nodes answer to reads of the configuration: in trouble, with full disks, and with a large document. */
+/** Reads of the configuration from control nodes: under faults, with full disks, and with a large document. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
@@ -26,20 +26,20 @@
 
 type Heal = () => void;
 
-/** Each link between two groups of nodes, both ways or one way. */
+/** Cuts each link between two groups of nodes, in both directions or one. */
 const cutBetween = (
   fleet: ControlFleet,
   first: readonly ControlMachine[],
   second: readonly ControlMachine[],
   ways: 'both' | 'one',
 ): Heal => {
-  const mends = first.flatMap((one) =>
+  const heals = first.flatMap((one) =>
     second.flatMap((two) => [
       fleet.network.cut(one.machine, two.machine),
       ...(ways === 'both' ? [fleet.network.cut(two.machine, one.machine)] : []),
     ]),
   );
-  return () => mends.forEach((mend) => mend());
+  return () => heals.forEach((heal) => heal());
 };
 
 const shuffled = (fleet: ControlFleet): readonly ControlMachine[] =>
@@ -82,7 +82,7 @@
 
 type Tally = { readonly stale: string[]; answered: number; asked: number };
 
-/** Asks every node; what is answered must be no older than what was confirmed when it was asked. */
+/** Reads at every node; each answer must be at least as new as the last change confirmed when the read began. */
 const readAll = (fleet: ControlFleet, confirmed: Readonly<{ version: number }>, tally: Tally): void => {
   for (const machine of fleet.machines) {
     if (!machine.process.alive || machine.keeper === undefined) continue;
@@ -100,9 +100,9 @@
   }
 };
 
-describe('a read is never older than what was confirmed before it was asked for', () => {
+describe('a read is never older than the last change confirmed before it began', () => {
   for (let seed = 1; seed <= seeds; seed += 1)
-    test(`halves, one-way cuts, kills and disks in trouble, seed ${seed}`, async () => {
+    test(`under partitions, one-way cuts, kills and disk faults, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       const confirmed = { version: 0 };
@@ -115,8 +115,8 @@
       };
       ask();
       for (let round = 0; round < 8; round += 1) {
-        const trouble = faults[Math.floor(fleet.world.random.fraction() * faults.length)];
-        const mend = trouble?.(fleet);
+        const fault = faults[Math.floor(fleet.world.random.fraction() * faults.length)];
+        const heal = fault?.(fleet);
         for (let change = 0; change < 2; change += 1) {
           const next = confirmed.version + 1;
           const outcome = await fleet.persist(put(next, confirmed.version), 12_000_000);
@@ -124,7 +124,7 @@
           confirmed.version = next;
           await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 600_000));
         }
-        mend?.();
+        heal?.();
         await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 2_000_000));
       }
       await fleet.world.runFor(2_000_000);
@@ -161,7 +161,7 @@
       assert.equal(read?.kind === 'read' ? versionIn(read.text) : read?.kind, 4);
     });
 
-  test('all are full: changes are refused as not possible now, reads go on, and the same change is taken later', async () => {
+  test('all disks are full: changes are refused temporarily, reads are answered, and the same change is accepted later', async () => {
     const fleet = new ControlFleet(7, platformDialect, fiveMembers);
     assert.ok(await fleet.begin(5));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -193,7 +193,7 @@
   };
 
   for (const seed of [1, 2])
-    test(`put, changed by one route and read back at each node within the bounds, seed ${seed}`, async () => {
+    test(`is put, changed by one route and read at each node within the time limits, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       fleet.network.linkBytesPerSecond = 15_000_000;
--- a/tests/control-safety.test.ts
+++ b/tests/control-safety.test.ts
@@ -25,32 +25,32 @@
   const found = fleet.machines.find(
     ({ process, keeper, name }) => process.alive && keeper?.owners()[key]?.owner === name,
   );
-  assert.ok(found !== undefined, `somebody leads ${key}`);
+  assert.ok(found !== undefined, `${key} has a leader`);
   return found;
 };
 
 const cutOff = (fleet: ControlFleet, machine: ControlMachine, ways: 'both' | 'in' | 'out' = 'both'): (() => void) => {
-  const mends = fleet.machines
+  const heals = fleet.machines
     .filter((other) => other !== machine)
     .flatMap((other) => [
       ...(ways === 'out' ? [] : [fleet.network.cut(other.machine, machine.machine)]),
       ...(ways === 'in' ? [] : [fleet.network.cut(machine.machine, other.machine)]),
     ]);
-  return () => mends.forEach((mend) => mend());
+  return () => heals.forEach((heal) => heal());
 };
 
 const isRefusedPermanently = (outcome: ChangeOutcome | undefined): boolean =>
   outcome?.kind === 'refused' && outcome.reason !== 'noMajority' && outcome.reason !== 'full';
 
-describe('1: a member cut off for 20 s', () => {
+describe('a member partitioned for 20 s', () => {
   for (const ways of ['both', 'in', 'out'] as const)
     for (const seed of [101, 102, 103])
-      test(`the leader, links cut ${ways}: it confirms, refuses and hands out nothing, seed ${seed}`, async () => {
+      test(`a leader with links cut ${ways} confirms, refuses and returns nothing, seed ${seed}`, async () => {
         const fleet = new ControlFleet(seed, platformDialect);
         assert.ok(await fleet.begin(3));
         assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
         const cut = leaderOf(fleet);
-        const mend = cutOff(fleet, cut, ways);
+        const heal = cutOff(fleet, cut, ways);
         const began = fleet.world.nowMicroseconds;
         const rest = fleet.machines.filter((machine) => machine !== cut);
         const [other] = rest;
@@ -62,38 +62,38 @@
           version = next;
           const late = await fleet.change(cut, put(version + 1000, version - 1, { by: 'cut off' }), 1_500_000);
           assert.ok(late?.kind !== 'taken', 'it confirmed a change');
-          assert.equal(isRefusedPermanently(late), false, 'it refused for good');
+          assert.equal(isRefusedPermanently(late), false, 'it refused permanently');
           const read = await fleet.read(cut, 1_500_000);
-          assert.ok(read?.kind !== 'read', 'it handed out a configuration');
+          assert.ok(read?.kind !== 'read', 'it returned a configuration');
           await fleet.world.runFor(1_000_000);
         }
-        assert.equal(cut.keeper?.owners()['blueprint']?.owner === cut.name, false, 'it still says that it leads');
-        mend();
-        assert.equal(await documentAt(fleet, cut), platformDocument(version), 'older after the heal');
+        assert.equal(cut.keeper?.owners()['blueprint']?.owner === cut.name, false, 'it still reports itself as leader');
+        heal();
+        assert.equal(await documentAt(fleet, cut), platformDocument(version), 'outdated after the partition healed');
         assert.equal((await fleet.persist(put(version + 1, version), 3_000_000))?.kind, 'taken');
       });
 
   for (const seed of [111, 112, 113, 114])
-    test(`a member that comes back does not depose the leader, seed ${seed}`, async () => {
+    test(`a member that returns does not depose the leader, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = leaderOf(fleet);
       const cut = fleet.machines.find((machine) => machine !== leader);
       assert.ok(cut !== undefined);
-      const mend = cutOff(fleet, cut);
-      // Keys that it led itself move on first.
+      const heal = cutOff(fleet, cut);
+      // Other members first take over the keys that it led.
       await fleet.world.runFor(4_000_000);
       const epochs = (): string => JSON.stringify(fleet.machines.find((one) => one !== cut)?.keeper?.owners());
       const before = epochs();
       await fleet.world.runFor(16_000_000);
-      mend();
+      heal();
       await fleet.world.runFor(3_000_000);
-      assert.equal(epochs(), before, 'leaders and epochs are as they were');
+      assert.equal(epochs(), before, 'leaders and epochs are unchanged');
       assert.equal((await fleet.change(cut, put(2, 1)))?.kind, 'taken');
     });
 
-  test('a link cut between two members alone: the one that does not hear the leader leaves it in place', async () => {
+  test('a member cut off from the leader alone does not depose it', async () => {
     const fleet = new ControlFleet(121, platformDialect);
     assert.ok(await fleet.begin(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -105,20 +105,16 @@
     fleet.network.cut(left.machine, leader.machine);
     await fleet.world.runFor(15_000_000);
     assert.deepEqual(leader.keeper?.owners()['blueprint'], before);
-    assert.equal(
-      (await fleet.persistAt([left], put(2, 1), 4_000_000))?.kind,
-      'taken',
-      'it serves operators all the same',
-    );
+    assert.equal((await fleet.persistAt([left], put(2, 1), 4_000_000))?.kind, 'taken', 'it still serves operators');
     assert.equal(await documentAt(fleet, left), platformDocument(2));
   });
 
-  test('restarted inside the cut, with seeds that begin with it: newcomers follow the majority', async () => {
+  test('a joining member follows the majority although the first seed is a restarted, partitioned member', async () => {
     const fleet = new ControlFleet(131, platformDialect);
     assert.ok(await fleet.begin(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     const cut = fleet.machine(2);
-    const mend = cutOff(fleet, cut);
+    const heal = cutOff(fleet, cut);
     assert.equal((await fleet.persistAt([fleet.machine(1)], put(2, 1), 5_000_000))?.kind, 'taken');
     cut.kill();
     cut.start();
@@ -128,23 +124,23 @@
     spare.start();
     assert.ok(
       await fleet.world.runUntil(() => spare.votes, 8_000_000),
-      'the newcomer takes the place of the silent one',
+      'the joining member replaces the unreachable one',
     );
     assert.equal(await documentAt(fleet, spare), platformDocument(2));
-    mend();
+    heal();
     await fleet.world.runFor(3_000_000);
-    assert.equal(cut.votes, false, 'it learns that its place is taken');
+    assert.equal(cut.votes, false, 'it learns that it has been replaced');
     assert.equal(await documentAt(fleet, cut), platformDocument(2));
   });
 });
 
-describe('2: two operators and orders that are sent again', () => {
-  const sentAgain = (entry: Entry, order: ChangeOrder): ChangeOutcome | undefined => {
+describe('concurrent and repeated changes', () => {
+  const outcomeOfRepeat = (entry: Entry, order: ChangeOrder): ChangeOutcome | undefined => {
     const planned = Changes.plan(entry, order, platformDialect);
     return planned.kind === 'answer' ? planned.outcome : undefined;
   };
 
-  test(`a change once accepted is never refused, however many came after it`, () => {
+  test(`an accepted change is never refused when repeated, however many changes followed`, () => {
     let entry = emptyEntry;
     const orders: ChangeOrder[] = [];
     const sizes: number[] = [];
@@ -157,17 +153,17 @@
       sizes.push(entry.outcomes.records.length);
     }
     for (const [index, order] of orders.entries()) {
-      const outcome = sentAgain(entry, order);
+      const outcome = outcomeOfRepeat(entry, order);
       if (index < 200) assert.deepEqual(outcome, { kind: 'unknown' }, `change ${index + 1}`);
       else assert.deepEqual(outcome, { kind: 'taken', revision: index + 1 }, `change ${index + 1}`);
     }
-    // One that lost its race builds on a version that is remembered, and is refused for sure.
-    assert.equal(sentAgain(entry, put(5_000, 1_800, { by: 'loser' }))?.kind, 'refused');
-    assert.equal(sizes.at(-1), sizes[maxRememberedChanges - 1], 'an accept costs no more than before');
+    // A change that lost a race is based on a remembered version, so it is refused.
+    assert.equal(outcomeOfRepeat(entry, put(5_000, 1_800, { by: 'loser' }))?.kind, 'refused');
+    assert.equal(sizes.at(-1), sizes[maxRememberedChanges - 1], 'the history no longer grows');
     assert.ok((sizes.at(-1) ?? 0) <= 12_288, `${sizes.at(-1)} bytes`);
   });
 
-  test('the history of an earlier build is read from its file, with its outcomes', () => {
+  test('reads the history format of earlier builds, with its outcomes', () => {
     const order = put(9, 0);
     const first = Changes.plan(emptyEntry, order, platformDialect);
     assert.ok(first.kind === 'write');
@@ -182,9 +178,9 @@
     } as unknown as KeeperEvent;
     const read = KeeperStates.cell(KeeperStates.reduce(KeeperStates.start, event), 'blueprint').accepted?.entry;
     assert.ok(read !== undefined);
-    assert.deepEqual(sentAgain(read, order), { kind: 'taken', revision: 1 });
-    assert.equal(sentAgain(read, { ...order, text: `${order.text} ` })?.kind, 'refused');
-    assert.equal(sentAgain(read, put(11, 0))?.kind, 'refused');
+    assert.deepEqual(outcomeOfRepeat(read, order), { kind: 'taken', revision: 1 });
+    assert.equal(outcomeOfRepeat(read, { ...order, text: `${order.text} ` })?.kind, 'refused');
+    assert.equal(outcomeOfRepeat(read, put(11, 0))?.kind, 'refused');
   });
 
   for (const seed of [201, 202, 203, 204, 205, 206])
@@ -196,7 +192,7 @@
       for (let round = 0; round < 6; round += 1) {
         const version = base + 7;
         const pair = ['one', 'two'].map((by) => put(version, base, { by }));
-        // Both at once at different machines; the answers are lost, and a leader goes.
+        // Both are sent at once to different machines; the answers are lost, and a leader is killed.
         for (const [index, order] of pair.entries()) fleet.send(fleet.machine(((round + index) % 3) + 1), order);
         await fleet.world.runFor(round * 1500);
         const leader = leaderOf(fleet);
@@ -209,7 +205,7 @@
         const winner = pair[outcomes.findIndex((outcome) => outcome?.kind === 'taken')];
         const loser = pair[outcomes.findIndex((outcome) => outcome?.kind === 'refused')];
         assert.ok(winner !== undefined && loser !== undefined);
-        // Sent again to every machine, also after the next change.
+        // Both are repeated at every machine after the next change.
         assert.equal((await fleet.persist(put(version + 1, version), 4_000_000))?.kind, 'taken');
         for (const machine of fleet.machines) {
           assert.equal((await fleet.persistAt([machine], winner, 6_000_000))?.kind, 'taken');
@@ -220,9 +216,9 @@
     });
 });
 
-describe('3: a second loss right after a repair or a replacement', () => {
+describe('a second loss right after a repair or a replacement', () => {
   for (const seed of [301, 302, 303, 304, 305, 306])
-    test(`a planned replacement, then another member is lost at once: a majority is left, seed ${seed}`, async () => {
+    test(`a majority remains if a member is lost right after a planned replacement, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -232,7 +228,7 @@
       const leaving = fleet.machine((seed % 3) + 1);
       await fleet.leave(leaving, 6_000_000);
       leaving.disk.wipe();
-      // No pause: the newcomer has been there for longer than it may take to catch up.
+      // No delay: the joining member has run for longer than the time limit for catching up.
       const lost = fleet.machine(((seed + 1) % 3) + 1);
       lost.kill(true);
       const began = fleet.world.nowMicroseconds;
@@ -246,7 +242,7 @@
     });
 
   for (const seed of [311, 312, 313, 314])
-    test(`the leaving member held one of two copies; the other is lost right after, seed ${seed}`, async () => {
+    test(`a change survives if one of its two holders leaves and the other is lost right after, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -255,10 +251,10 @@
       await fleet.world.runFor(3_000_000);
       const [behind, holder, leaving] = fleet.machines;
       assert.ok(behind !== undefined && holder !== undefined && leaving !== undefined);
-      // One member hears nothing while the change is accepted, so that it stands on two alone.
-      const mend = cutOff(fleet, behind);
+      // One member is partitioned while the change is accepted, so that only two members hold it.
+      const heal = cutOff(fleet, behind);
       assert.equal((await fleet.persistAt([holder], put(2, 1), 6_000_000))?.kind, 'taken');
-      mend();
+      heal();
       await fleet.leave(leaving, 6_000_000);
       leaving.disk.wipe();
       holder.kill(true);
@@ -272,7 +268,7 @@
     });
 
   for (const seed of [321, 322, 323])
-    test(`crash, wipe, replacement: as many may be lost again within the time to catch up, seed ${seed}`, async () => {
+    test(`after each crash, wipe or replacement another member may be lost once the catch-up time has passed, seed ${seed}`, async () => {
       const catchUp = 4_000_000;
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
@@ -288,7 +284,7 @@
         const back = how === 'replace' ? fleet.add() : lost;
         back.start();
         await fleet.world.runFor(catchUp);
-        assert.ok(back.votes, `${how}: it votes`);
+        assert.ok(back.votes, `after ${how} the member votes`);
         const next = fleet.machines.find((machine) => machine.votes && machine !== back);
         assert.ok(next !== undefined);
         next.kill(true);
@@ -301,7 +297,7 @@
       }
     });
 
-  test('a newcomer that dies while it catches up does not hold up changes, nor the next newcomer', async () => {
+  test('a joining member that dies while it catches up blocks neither changes nor the next joining member', async () => {
     const fleet = new ControlFleet(331, platformDialect);
     assert.ok(await fleet.begin(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -316,22 +312,22 @@
     assert.equal((await fleet.persist(put(2, 1), 4_000_000))?.kind, 'taken');
     const next = fleet.add();
     next.start();
-    assert.ok(await fleet.world.runUntil(() => next.votes, 14_000_000), 'the next newcomer votes');
+    assert.ok(await fleet.world.runUntil(() => next.votes, 14_000_000), 'the next joining member votes');
     assert.ok(await fleet.settled(3, 2_000_000));
     assert.equal(await documentAt(fleet, next), platformDocument(2));
   });
 });
 
-describe('founding with a seed out of reach', () => {
+describe('founding a fleet with an unreachable seed', () => {
   for (const [missing, seed] of [
     [1, 401],
     [2, 402],
     [3, 403],
   ] as const)
-    test(`seed ${missing} is cut off from the first moment: the others found the fleet, and it joins`, async () => {
+    test(`seed ${missing} is partitioned from the start: the others found the fleet, and it joins later`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       for (let number = 1; number <= 3; number += 1) fleet.add();
-      const mend = cutOff(fleet, fleet.machine(missing));
+      const heal = cutOff(fleet, fleet.machine(missing));
       for (const machine of fleet.machines) machine.start(true);
       assert.ok(
         await fleet.world.runUntil(() => fleet.machines.filter(({ votes }) => votes).length === 2, 5_000_000),
@@ -340,13 +336,13 @@
       const rest = fleet.machines.filter(({ votes }) => votes);
       assert.equal((await fleet.persistAt(rest, put(1, 0), 3_000_000))?.kind, 'taken');
       await fleet.world.runFor(10_000_000);
-      mend();
-      assert.ok(await fleet.settled(3, 4_000_000), 'the third is taken in');
+      heal();
+      assert.ok(await fleet.settled(3, 4_000_000), 'the third joins');
       assert.equal(await documentAt(fleet, fleet.machine(missing)), platformDocument(1));
       assert.equal(new Set(fleet.machines.map(({ keeper }) => keeper?.core.state.fleet)).size, 1);
     });
 
-  test('a seed that two founders ask at one moment says yes to one of them, 20 seeds', async () => {
+  test('a seed that two founders ask at the same time agrees to one of them, 20 seeds', async () => {
     for (let seed = 421; seed <= 440; seed += 1) {
       const fleet = new ControlFleet(seed, platformDialect);
       const asked = fleet.add();
@@ -368,23 +364,23 @@
     }
   });
 
-  test('one that lost its disk since the first start does not found again with one that was away', async () => {
+  test('a node that lost its disk since the first start does not found a second fleet with one that was partitioned', async () => {
     const fleet = new ControlFleet(411, platformDialect);
     for (let number = 1; number <= 3; number += 1) fleet.add();
-    const mend = cutOff(fleet, fleet.machine(3));
+    const heal = cutOff(fleet, fleet.machine(3));
     for (const machine of fleet.machines) machine.start(true);
     assert.ok(await fleet.world.runUntil(() => fleet.machines.filter(({ votes }) => votes).length === 2, 5_000_000));
     assert.equal((await fleet.persistAt([fleet.machine(1)], put(1, 0), 3_000_000))?.kind, 'taken');
     fleet.machine(1).kill(true);
     fleet.machine(1).disk.wipe();
-    mend();
+    heal();
     cutOff(fleet, fleet.machine(2));
     fleet.machine(1).start();
     await fleet.world.runFor(10_000_000);
     assert.equal(fleet.machine(1).votes || fleet.machine(3).votes, false, 'no second fleet');
   });
 
-  test('replicas that stand by never found a fleet among themselves when they are told as seeds', async () => {
+  test('standby replicas configured as seeds never found a fleet among themselves', async () => {
     const fleet = new ControlFleet(421, platformDialect);
     for (let number = 1; number <= 6; number += 1) fleet.add().start(true);
     assert.ok(await fleet.settled(3, 5_000_000));
@@ -399,7 +395,7 @@
   });
 
   for (const seed of [431, 432, 433])
-    test(`all killed before they have founded, back without word of a first start, seed ${seed}`, async () => {
+    test(`nodes killed before founding found the fleet after a restart that is not marked as the first, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       for (let number = 1; number <= 3; number += 1) fleet.add().start(true);
       await fleet.world.runFor(15_000);
@@ -410,13 +406,13 @@
     });
 });
 
-describe('4: after hundreds of changes', () => {
+describe('after hundreds of changes', () => {
   for (const [how, seed] of [
     ['away', 501],
     ['wiped', 502],
     ['power', 503],
   ] as const)
-    test(`a member that was ${how} for 300 changes catches up, and never leads or answers from old state`, async () => {
+    test(`a member lost for 300 changes (${how}) catches up and never leads or answers from outdated state`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -431,9 +427,9 @@
       lost.start();
       assert.ok(await fleet.settled(3, 4_000_000));
       assert.equal(await documentAt(fleet, lost), platformDocument(300));
-      assert.ok(fleet.world.nowMicroseconds - back < 4_000_000, 'within the time to catch up');
+      assert.ok(fleet.world.nowMicroseconds - back < 4_000_000, 'caught up within the time limit');
       assert.ok(fleet.network.bytes - bytes < 400_000, `${fleet.network.bytes - bytes} bytes`);
-      // It is as good as any: the two others go, one after the other.
+      // It is fully up to date: it still answers while each of the two others is down in turn.
       for (const machine of rest) {
         machine.kill(true);
         assert.equal(await documentAt(fleet, lost), platformDocument(300));
@@ -444,10 +440,10 @@
     });
 });
 
-describe('3 and 4: fences of leases over a change of members', () => {
+describe('lease fencing tokens across membership changes', () => {
   type Vote = Readonly<{ granted: boolean; term: number }>;
 
-  /** Votes of some members on one duty, asked by a candidate that goes by a list of members of a certain revision. */
+  /** Requests votes of some members on one lease for a candidate whose member list has the given revision. */
   const votes = async (
     fleet: ControlFleet,
     machines: readonly ControlMachine[],
@@ -472,13 +468,13 @@
   const granted = (given: readonly Vote[]): number => given.filter((vote) => vote.granted).length;
 
   for (const seed of [601, 602, 603])
-    test(`a candidate with the old list and one with the new never hold one duty together, seed ${seed}`, async () => {
+    test(`candidates with the old and the new member list never hold the same lease, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
       const [first, second, cut] = fleet.machines;
       assert.ok(first !== undefined && second !== undefined && cut !== undefined);
       const before = first.keeper?.core.members().revision ?? 0;
-      // The replaced member goes on voting for daemons on its side, and knows nothing of its successor.
+      // The replaced member still votes for daemons on its side of the partition and does not know its successor.
       cutOff(fleet, cut);
       const spare = fleet.add();
       spare.start();
@@ -490,11 +486,11 @@
       const old = await votes(fleet, [second, cut], 'old', 7, before);
       const next = await votes(fleet, [first, spare], 'next', 7, now);
       assert.equal(granted(next), 2);
-      assert.ok(granted(old) < 2, 'both hold it under one fence');
+      assert.ok(granted(old) < 2, 'both hold it under one fencing token');
     });
 
   for (const seed of [611, 612])
-    test(`a fence never falls over wipes, a replacement and the loss of power on all, seed ${seed}`, async () => {
+    test(`the fencing token never decreases across wipes, a replacement and a loss of power on all, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.begin(3));
       const revision = (): number =>
--- a/tests/control-unreached-leader.test.ts
+++ b/tests/control-unreached-leader.test.ts
@@ -1,9 +1,8 @@
 /**
- * What operators saw: with one control node cut off, no change was confirmed for 15 s and longer, at any node. The order of events:
- * the node led every key; connections towards it were lost, those that it had opened itself worked on. Its heartbeats were heard and
- * answered, so all took it for a leader in good health and none campaigned. Each change waited 4.7 s for an answer that could not
- * come, was relayed to the third node, and waited there again. The evidence: the status of all nodes in a failed run of real
- * processes names one leader, whose heartbeats were answered 62 ms before, while no other node had ever had an answer from it.
+ * Guards against a leader that nobody can open a connection to. In a run of real processes no change was confirmed at any node for
+ * 15 s and longer: connections to the leader failed while those it had opened still worked. Its heartbeats were received and
+ * answered (62 ms before, by the status of all nodes), so no other node campaigned, although none had ever had an answer from the
+ * leader. Each change waited 4.7 s for that answer, was relayed to the third node, and waited there again.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -19,17 +18,17 @@
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
   const found = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
-  assert.ok(found !== undefined, 'somebody leads');
+  assert.ok(found !== undefined, 'there is a leader');
   return found;
 };
 
-/** Nobody can open a connection to the machine any more; its own connections go on. */
+/** Refuses new connections to the machine; connections that it opens still work. */
 const refuseAllTo = (fleet: ControlFleet, machine: ControlMachine): void => {
   for (const other of fleet.machines)
     if (other !== machine) fleet.network.refuseConnections(other.machine, machine.machine);
 };
 
-/** Within this time a change is confirmed by whichever node hears it: an ask that is given up, a heartbeat, and a round. */
+/** Time limit for a change at any node: the timeout of a request, a heartbeat and a round. */
 const confirmedWithinMicroseconds = 1_200_000;
 
 describe('a leader that no other node can open a connection to', () => {
@@ -53,26 +52,26 @@
       }
     });
 
-  test('a member that missed a change takes it over a connection of the leader', async () => {
+  test('a member that missed a change receives it over a connection opened by the leader', async () => {
     const fleet = new ControlFleet(721, platformDialect);
     assert.ok(await fleet.begin(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
     const leader = leaderOf(fleet);
     const [behind, other] = fleet.machines.filter((machine) => machine !== leader);
     assert.ok(behind !== undefined && other !== undefined);
-    const mends = [leader, other].flatMap(({ machine }) => [
+    const heals = [leader, other].flatMap(({ machine }) => [
       fleet.network.cut(machine, behind.machine),
       fleet.network.cut(behind.machine, machine),
     ]);
     assert.equal((await fleet.change(other, put(2)))?.kind, 'taken');
     fleet.network.refuseConnections(behind.machine, leader.machine);
-    for (const mend of mends) mend();
+    for (const heal of heals) heal();
     await fleet.world.runFor(4_000_000);
     assert.equal(leaderOf(fleet), leader);
     assert.equal(behind.keeper?.replicaStatus().keys['blueprint']?.revision, 2);
   });
 
-  test('its death meanwhile leaves no change behind that is confirmed twice or lost', async () => {
+  test('no change is confirmed twice or lost when that leader dies', async () => {
     const fleet = new ControlFleet(711, platformDialect);
     assert.ok(await fleet.begin(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
--- a/tests/incident-leader-duel.test.ts
+++ b/tests/incident-leader-duel.test.ts
@@ -12,18 +12,18 @@
   return results.filter((result) => result !== '');
 };
 
-describe('incident inc1: reads of a large configuration while its leader is out of reach', () => {
-  for (const trouble of ['cut', 'killed'] as const)
-    test(`the leader is ${trouble}: leadership settles within 3 s of its return, and reads are answered`, async () => {
-      assert.deepEqual(await violationsIn(runFault, trouble, 'reads'), []);
+describe('reads of a large configuration while its leader is unreachable (incident inc1)', () => {
+  for (const fault of ['cut', 'killed'] as const)
+    test(`the leader is ${fault}: leadership is stable within 3 s of its return, and reads are answered`, async () => {
+      assert.deepEqual(await violationsIn(runFault, fault, 'reads'), []);
     });
 
-  for (const trouble of ['cut', 'killed'] as const)
-    test(`the leader is ${trouble} while two changes are sent again and again: the same holds`, async () => {
-      assert.deepEqual(await violationsIn(runFault, trouble, 'changes'), []);
+  for (const fault of ['cut', 'killed'] as const)
+    test(`the leader is ${fault} while two changes are repeated: leadership is stable and reads are answered`, async () => {
+      assert.deepEqual(await violationsIn(runFault, fault, 'changes'), []);
     });
 
-  test('with the pre-vote cut out of campaigns for requests, leaders depose each other', async () => {
+  test('without the pre-vote, leaders depose each other', async () => {
     const { module, cut, end } = await loadWithout<typeof LeaderDuel>('tests/support/leaderDuel.ts', [
       ['core-keeper/register/preVote.ts', 'if (!answer.hearsLeader) return name;', 'return name;'],
     ]);
--- a/tests/majority-read.test.ts
+++ b/tests/majority-read.test.ts
@@ -1,4 +1,4 @@
-/** What the answers of five control nodes prove while a change is on its way among them. */
+/** What the answers of five control nodes prove while a change is being accepted. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { MajorityReads, type WordsAnswer } from '../source/shared/register/majorityRead';
@@ -7,7 +7,7 @@
 const member = { address: '', operatorsAddress: '', zone: '' };
 const view = { revision: 1, sets: [names], members: Object.fromEntries(names.map((name) => [name, member])) };
 
-/** What a control node has accepted, and which revision it knows as decided. */
+/** What a control node has accepted, and which revision it knows to be decided. */
 type Held = Readonly<{ epoch: number; revision: number; decided: number }>;
 
 const answerOf = (keeper: string, { epoch, revision, decided }: Held): WordsAnswer => ({
@@ -38,32 +38,32 @@
 const settled: Held = { epoch: 1, revision: 7, decided: 7 };
 const offered: Held = { epoch: 1, revision: 8, decided: 7 };
 
-describe('a majority read while a change is on its way', () => {
-  test('the revision before it is proven by a majority that has not accepted the change', () => {
+describe('a majority read while a change is being accepted', () => {
+  test('a majority that has not accepted the change proves the previous revision', () => {
     assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled, d: settled, e: settled }), [7]);
     assert.deepEqual(provenRevisions({ a: offered, b: offered, c: settled, d: settled, e: settled }), [7]);
     assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled, d: settled }), [7]);
   });
 
-  test('nothing is proven where those that have not accepted the change are no majority', () => {
+  test('nothing is proven if the members that have not accepted the change are no majority', () => {
     assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled }), []);
     assert.deepEqual(provenRevisions({ a: offered, b: offered, c: settled, d: settled }), []);
     assert.deepEqual(provenRevisions({ a: offered, d: settled, e: settled }), []);
   });
 
-  test('a change that a majority holds, or that is known as decided, is never hidden by the others', () => {
+  test('a change held by a majority, or known to be decided, is never hidden by the other members', () => {
     assert.deepEqual(provenRevisions({ a: offered, b: offered, c: offered, d: settled, e: settled }), [8]);
     const informed: Held = { ...settled, decided: 8 };
     assert.deepEqual(provenRevisions({ a: offered, b: settled, c: settled, d: informed, e: settled }), [8]);
   });
 
-  test('two changes of different epochs on their way: only what a majority of the rest proves', () => {
+  test('with two concurrent changes of different epochs only a majority of the remaining members proves a revision', () => {
     const other: Held = { epoch: 2, revision: 8, decided: 7 };
     assert.deepEqual(provenRevisions({ a: offered, b: other, c: settled, d: settled, e: settled }), [7]);
     assert.deepEqual(provenRevisions({ a: offered, b: other, c: settled, d: settled }), []);
   });
 
-  test('a value that was offered again under a higher epoch is not proven by those that hold it under the lower one', () => {
+  test('holders of a value under a lower epoch do not prove it once it is offered under a higher epoch', () => {
     const again: Held = { epoch: 2, revision: 7, decided: 0 };
     const before: Held = { epoch: 1, revision: 7, decided: 0 };
     assert.deepEqual(provenRevisions({ a: again, b: before, c: before }), []);
--- a/tests/quorum-reader.test.ts
+++ b/tests/quorum-reader.test.ts
@@ -40,7 +40,7 @@
 
 const limitMicroseconds = 850_000;
 
-/** A read at a node without a vote of its own, of members that hold this. */
+/** Reads at a node that does not vote, from members with the given state. */
 const readOf = async (
   members: Readonly<Record<string, Held>>,
   known: Readonly<Record<string, number>> = {},
@@ -65,7 +65,7 @@
         if (answer === undefined) world.plan(limit, () => resolve({ kind: 'silent', reason: 'limit passed' }));
         else world.plan(1_000, () => resolve({ kind: 'answered', message: answer }));
       }),
-    listen: () => Promise.reject(new Error('nobody listens here')),
+    listen: () => Promise.reject(new Error('this transport does not listen')),
     close: () => Promise.resolve(),
   };
   const node = {
@@ -85,28 +85,25 @@
 const old: Held = { epoch: 1, revision: 1, text: 'old' };
 const next: Held = { epoch: 1, revision: 2, text: 'next' };
 
-describe('a read by a majority', () => {
-  test('what a majority holds under one epoch is given, whoever else is silent', async () => {
+describe('a majority read', () => {
+  test('returns a value held by a majority under one epoch although another member does not answer', async () => {
     const { outcome, tookMicroseconds, asked } = await readOf({ a: next, b: next, c: undefined });
     assert.deepEqual(outcome, { kind: 'read', revision: 2, text: 'next' });
     assert.ok(tookMicroseconds < 10_000, `${tookMicroseconds}`);
     assert.deepEqual(
       asked.filter((kind) => kind !== 'words' && kind !== 'body'),
       [],
-      'nothing but questions',
+      'only read requests are sent',
     );
   });
 
-  test('a newer value on one member is neither given nor passed over', async () => {
+  test('neither returns nor ignores a newer value held by one member', async () => {
     const { outcome, tookMicroseconds } = await readOf({ a: next, b: old, c: undefined });
     assert.deepEqual(outcome, { kind: 'noMajority' });
-    assert.ok(
-      tookMicroseconds <= limitMicroseconds + 2_000,
-      `it ends with the patience of its caller: ${tookMicroseconds}`,
-    );
+    assert.ok(tookMicroseconds <= limitMicroseconds + 2_000, `it ends at the caller's time limit: ${tookMicroseconds}`);
   });
 
-  test('it is given once a leader said that it is decided', async () => {
+  test('returns the newer value once a leader has announced it as decided', async () => {
     const { outcome } = await readOf({ a: { ...next, decided: 2 }, b: old, c: undefined });
     assert.deepEqual(outcome, { kind: 'read', revision: 2, text: 'next' });
   });
@@ -116,17 +113,17 @@
     assert.deepEqual(outcome, { kind: 'noMajority' });
   });
 
-  test('one member alone, or none, is no majority', async () => {
+  test('one member, or none, is no majority', async () => {
     assert.deepEqual((await readOf({ a: next, b: undefined, c: undefined })).outcome, { kind: 'noMajority' });
     assert.deepEqual((await readOf({})).outcome, { kind: 'noMajority' });
   });
 
-  test('an answer from before a member lost its disk does not count', async () => {
+  test('does not count an answer of a member from before it lost its disk', async () => {
     const { outcome } = await readOf({ a: old, b: old, c: undefined }, { b: 1 });
     assert.deepEqual(outcome, { kind: 'noMajority' });
   });
 
-  test('before the first change a majority says so', async () => {
+  test('returns the empty value before the first change', async () => {
     const none: Held = { epoch: 0, revision: 0, text: '' };
     assert.deepEqual((await readOf({ a: none, b: none, c: undefined })).outcome, {
       kind: 'read',
--- a/tests/support/leaderDuel.ts
+++ b/tests/support/leaderDuel.ts
@@ -1,11 +1,11 @@
-/** The trouble of incident inc1: the leader of a large configuration out of reach while operators go on calling every member. */
+/** Scenario of incident inc1: the leader of a large configuration is unreachable while operators keep calling every member. */
 import assert from 'node:assert/strict';
 import { platformDialect } from '../../platform/operators/dialect';
 import type { ChangeOrder } from '../../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './controlFleet';
 import { platformDocument } from './platformDocument';
 
-/** As many routes as the incident's day had, so that a value is some 400 kB. */
+/** The number of routes in the incident, for a value of about 400 kB. */
 const extraRouteCount = 1_800;
 
 const largeDocument = (version: number): string => {
@@ -18,27 +18,28 @@
   return JSON.stringify({ ...small, routes: [...small.routes, ...more] });
 };
 
+/** A change that replaces the configuration with a large document. */
 export const largePut = (version: number, ifMatch: number): ChangeOrder => {
   const text = largeDocument(version);
   return { key: 'blueprint', form: 'whole', text, ifMatch, id: `put ${ifMatch} ${version}` };
 };
 
-/** The incident's links between core machines. */
+/** Bandwidth of the links between control nodes in the incident. */
 export const linkBytesPerSecond = 15_000_000;
 const readLimitMicroseconds = 850_000;
 const writePauseMicroseconds = 500_000;
 const readPauseMicroseconds = 200_000;
-/** A read of the last 0.85 s may still be under way when the look ends. */
+/** Reads of the last 0.85 s may still be in progress when the observation ends. */
 const maxReadsInFlight = 5;
 const faultMicroseconds = 4_000_000;
 const settleMicroseconds = 3_000_000;
-/** One when the leader is lost, and one more where the first winner is cut off or an old epoch comes back. */
+/** One when the leader is lost, and one more if the first winner is partitioned or an old epoch returns. */
 const maxTakeovers = 2;
 const observationMicroseconds = 4_000_000;
 
 type Reads = { answered: number; started: number };
 
-/** An operator that reads at one member after the other, a new call every 0.2 s whether the last was answered or not. */
+/** Reads at one member after the other, with a new call every 0.2 s even if the last one has not been answered. */
 const readPeriodically = (fleet: ControlFleet, machines: readonly ControlMachine[], reads: Reads): (() => void) => {
   let isOn = true;
   const next = (): void => {
@@ -60,7 +61,7 @@
   };
 };
 
-/** Two operators that both change the first version, and send the very same call again until the test is over. */
+/** Two operators change the first version and repeat the same call until the test ends. */
 const writePeriodically = (fleet: ControlFleet): (() => void) => {
   let isOn = true;
   const send = (order: ChangeOrder, turn: number): void => {
@@ -87,11 +88,12 @@
   return found;
 };
 
+/** How the leader becomes unreachable. */
 export type Fault = 'cut' | 'killed';
-/** What operators do meanwhile: read, or send two changes on one base again and again. */
+/** What operators do during the fault: read only, or also repeat two changes on one base. */
 export type Workload = 'reads' | 'changes';
 
-/** What was wrong once the trouble was 3 s over; empty: nothing. */
+/** Runs the scenario and describes what was still wrong 3 s after the fault ended; empty if nothing was. */
 export const runFault = async (fault: Fault, workload: Workload, seed: number): Promise<string> => {
   const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
   assert.ok(await fleet.begin(5));
@@ -103,7 +105,7 @@
   const first = takeovers(fleet);
   const stopReading = readPeriodically(fleet, fleet.machines, reads);
   const stopWriting = workload === 'changes' ? writePeriodically(fleet) : () => undefined;
-  const mends = fleet.machines
+  const heals = fleet.machines
     .filter((machine) => machine !== leader)
     .flatMap((other) => [
       fleet.network.cut(other.machine, leader.machine),
@@ -111,7 +113,7 @@
     ]);
   if (fault === 'killed') leader.kill();
   await fleet.world.runFor(faultMicroseconds);
-  for (const mend of mends) mend();
+  for (const heal of heals) heal();
   if (fault === 'killed') leader.start();
   await fleet.world.runFor(settleMicroseconds);
   const before = { ...reads, takeovers: takeovers(fleet), bytes: fleet.network.bytes };
@@ -126,5 +128,5 @@
   const bytes = fleet.network.bytes - before.bytes;
   return isHealthy
     ? ''
-    : `seed ${seed}: ${during} takeovers in the trouble, ${changes} after it, ${answered} of ${started} reads answered, ${bytes} bytes`;
+    : `seed ${seed}: ${during} takeovers during the fault, ${changes} after it, ${answered} of ${started} reads answered, ${bytes} bytes`;
 };
--- a/tests/weights-known.test.ts
+++ b/tests/weights-known.test.ts
@@ -31,8 +31,8 @@
   ],
 });
 
-test('which weights were before is told by those that know it, whoever has held the new ones for longest', () => {
-  // The control node that joined lately has had the change first, and does not know what was before it.
+test('the previous weights come from a node that knows them, even if another has held the new ones for longer', () => {
+  // The control node that joined recently received the change first and does not know the previous weights.
   const joined: WeightsAge = { weights: 'w2', previous: null, ageMicroseconds: 900_000 };
   const knows: WeightsAge = { weights: 'w2', previous: 'w1', ageMicroseconds: 400_000 };
   for (const [first, second] of [
@@ -45,7 +45,7 @@
   }
 });
 
-test('engines on the weights before go on being used until they are told, though one statement does not name them', () => {
+test('engines on the previous weights stay in use until the limit although one statement does not name them', () => {
   const clock = handClock();
   const freshness = new Freshness(clock);
   const fence = new Fence(freshness, clock, Infinity, 8_000_000);
@@ -66,13 +66,13 @@
   assert.equal(
     fence.weights('pool', 'w1'),
     'untilChanged',
-    'an earlier time of one that does not know takes nothing away',
+    'a higher age without previous weights does not remove the known ones',
   );
   clock.now += 7_200_000;
-  assert.equal(fence.weights('pool', 'w1'), 'forbidden', 'and the earlier time counts');
+  assert.equal(fence.weights('pool', 'w1'), 'forbidden', 'the higher age counts');
 });
 
-test('a control node that took its state from others knows the weights before the next change', () => {
+test('a control node with restored state knows the previous weights after the next change', () => {
   const clock = handClock();
   const ages = new WeightsAges(clock, ownDialect);
   const entry = (weights: string): Entry => {
@@ -85,7 +85,7 @@
   assert.deepEqual(ages.words()['pool'], { weights: 'w2', previous: 'w1', ageMicroseconds: 0 });
 });
 
-test('a daemon that lacks the newest revision names no weights, and those that hear it keep what they know of them', () => {
+test('a statement without weights does not erase the weights that its receiver knows', () => {
   const clock = handClock();
   const freshness = new Freshness(clock);
   const fence = new Fence(freshness, clock, Infinity, 8_000_000);
