--- a/source/core-keeper/controlSettings.ts
+++ b/source/core-keeper/controlSettings.ts
@@ -1,40 +1,52 @@
-/** The settings of a control node, and their defaults. */
 import type { CoreMember } from '../shared/blueprint/types';
 
+/** Settings of a control node. */
 export type KeeperSettings = Readonly<{
   name: string;
   member: CoreMember;
-  /** Where it listens, if others reach it by another address. */
+  /** The address to listen on; empty: the address in `member`. */
   listenAddress: string;
+  /** Addresses of the first contacts. A new fleet is founded by the nodes at these addresses. */
   seeds: readonly string[];
+  /** Name of the member that this node replaces; empty: none. */
   replaces: string;
+  /** How many nodes found a new fleet. */
   founders: number;
+  /** Timeout of a request to another control node. */
   askMicroseconds: number;
+  /** Time limit for an operator's change or read. */
   changeMicroseconds: number;
   heartbeatMicroseconds: number;
+  /** A leader that has sent no heartbeat for this long counts as failed. */
   ownerSilentMicroseconds: number;
+  /** How long a restarted or newly joined node grants no new lease, since it has forgotten which leases it granted before. */
   leaseMicroseconds: number;
+  /** The size of the log at which it is rewritten as a snapshot. */
   rewriteBytes: number;
-  /** How long an owner that still lives may take for what another keeper passed on to it. */
+  /** How long a leader that still sends heartbeats may take for a change that another node has forwarded to it. */
   passMicroseconds: number;
-  /** The whole system starts for the first time; only then may a fleet be founded. */
+  /** Whether the whole system starts for the first time. A new fleet may be founded only then. */
   isFirstStart: boolean;
-  /** named: members change by name only. asks: a keeper without a place asks for one, and comes back after it lost it. */
+  /**
+   * named: a node becomes a member only if its settings name the member that it replaces. asks: a node that is not a member asks
+   * the members to add it, also after it has lost its membership.
+   */
   joins: 'named' | 'asks';
-  /** How many members there should be; keepers beyond that stand by. */
+  /** The wanted number of members. Further nodes are standbys. */
   membersWanted: number;
-  /** A member that a majority has not heard for so long may lose its place to one that stands by. */
+  /** A member that a majority has not heard from for this long may be replaced by a standby. */
   memberSilentMicroseconds: number;
-  /** How long a changed list of members waits for its newcomer to catch up before it stands alone without it. */
+  /** How long a membership change waits for its new member to catch up before the new list applies alone. */
   learnerMicroseconds: number;
-  /** How long a member that stops goes on voting while its successor catches up. */
+  /** How long a stopping member continues to vote while its successor catches up. */
   handOverMicroseconds: number;
-  /** No address here ever belongs to another fleet, so one seed that answers is enough to find the fleet. */
+  /** Whether no seed address can ever belong to another fleet, so that one responding seed is enough to find the fleet. */
   isOnlyFleet: boolean;
-  /** After so long a part of the seeds that is a majority founds the fleet without the others; only where `joins` is asks. */
+  /** How long a majority of the seeds waits for the others before it founds the fleet without them; only where `joins` is asks. */
   foundingPatienceMicroseconds: number;
 }>;
 
+/** Default settings of a control node. */
 export const KeeperDefaults = {
   listenAddress: '',
   founders: 3,
--- a/source/core-keeper/coreKeeper.ts
+++ b/source/core-keeper/coreKeeper.ts
@@ -37,12 +37,13 @@
 import { MemberWatch } from './standing/memberWatch';
 import { Replaced, StandingKeeper } from './standing/standing';
 
-/** A leader steps down once no majority has answered it for so many times the silence after which others look for one. */
-const quorumSilences = 2;
+/** A leader steps down after this many leader timeouts without heartbeat responses from a majority. */
+const quorumTimeoutMultiplier = 2;
 
-/** How often whoever leads the list of members looks whether a newcomer has caught up. */
-const memberStepMicroseconds = 150_000;
+/** How often the leader of the member list checks whether a new member has caught up. */
+const memberChangePeriodMicroseconds = 150_000;
 
+/** A control node: a replica of the control state, with its elections, its membership and its message handling. */
 export class CoreKeeper {
   public readonly news = new Emittery<{ standing: Standing; broken: string }>();
   public readonly core: KeeperCore;
@@ -52,28 +53,28 @@
   private readonly effects: Effects;
   private readonly ledger: Ledger;
   private readonly acceptor: Acceptor;
-  private readonly entries: EntryTransfer;
+  private readonly entryTransfer: EntryTransfer;
   private readonly standing: StandingKeeper;
-  private readonly ownerships: ReadonlyMap<DocumentKey, Ownership>;
-  private readonly leaders: LeaderWatch;
-  private readonly reader: QuorumReader;
-  private readonly ages: WeightsAges;
-  private readonly watch: MemberWatch;
-  private readonly quorum: QuorumWatch;
+  private readonly leaderships: ReadonlyMap<DocumentKey, Ownership>;
+  private readonly leaderWatch: LeaderWatch;
+  private readonly quorumReader: QuorumReader;
+  private readonly weightsAges: WeightsAges;
+  private readonly memberWatch: MemberWatch;
+  private readonly quorumWatch: QuorumWatch;
   private readonly members: MemberChanges;
   private readonly tickers: readonly Ticker[];
   private readonly log: Log;
-  private readonly notice: Log;
+  private readonly noticeLog: Log;
   private listener: Listener | undefined;
   private readonly startedMicroseconds: number;
   private readonly agentContacts: AgentContacts;
   private readonly changeRouter: ChangeRouter;
   private readonly waitingChanges = new WaitingChanges();
-  private readonly recent = new RecentEntries();
+  private readonly recentEntries = new RecentEntries();
   private readonly heartbeats: Heartbeats;
   private readonly vacancies: Vacancies;
-  private readonly report: ReplicaReport;
-  private readonly handler: MessageHandler;
+  private readonly replicaReport: ReplicaReport;
+  private readonly messageHandler: MessageHandler;
 
   public constructor(
     given: Effects,
@@ -87,29 +88,29 @@
     const transport = new FleetTransport(given.transport, () => this.standing.fleet());
     this.effects = { ...given, transport };
     this.log = Logs.part(`keeper:${settings.name}`);
-    this.notice = Logs.part(`keeper:${settings.name}:notice`);
-    this.ledger = new Ledger(disk, clock, this.notice, settings.rewriteBytes);
+    this.noticeLog = Logs.part(`keeper:${settings.name}:notice`);
+    this.ledger = new Ledger(disk, clock, this.noticeLog, settings.rewriteBytes);
     this.core = new KeeperCore(settings.name, this.ledger, clock);
     this.acceptor = new Acceptor(this.core);
-    this.entries = new EntryTransfer(this.core, this.acceptor, transport, settings.askMicroseconds);
+    this.entryTransfer = new EntryTransfer(this.core, this.acceptor, transport, settings.askMicroseconds);
     this.duties = new DutyVoter(this.core, clock);
-    this.ages = new WeightsAges(clock, dialect);
-    this.watch = new MemberWatch(this.core, clock, settings.memberSilentMicroseconds);
-    this.leaders = new LeaderWatch(clock, settings.ownerSilentMicroseconds);
-    this.quorum = new QuorumWatch(
+    this.weightsAges = new WeightsAges(clock, dialect);
+    this.memberWatch = new MemberWatch(this.core, clock, settings.memberSilentMicroseconds);
+    this.leaderWatch = new LeaderWatch(clock, settings.ownerSilentMicroseconds);
+    this.quorumWatch = new QuorumWatch(
       this.core,
       clock,
-      settings.ownerSilentMicroseconds * quorumSilences,
-      LimitedLogs.of(this.notice, clock),
+      settings.ownerSilentMicroseconds * quorumTimeoutMultiplier,
+      LimitedLogs.of(this.noticeLog, clock),
     );
     this.members = new MemberChanges(
       this.core,
       clock,
       transport,
-      this.watch,
+      this.memberWatch,
       {
-        leadership: () => this.ownership('core-members'),
-        words: () => this.report.words(),
+        leadership: () => this.leadership('core-members'),
+        words: () => this.replicaReport.words(),
         read: (key) => this.read(key),
         change: (order) => this.change(order),
       },
@@ -130,14 +131,14 @@
         isOnlyFleet: settings.isOnlyFleet,
         foundingPatienceMicroseconds: settings.foundingPatienceMicroseconds,
       },
-      this.notice,
+      this.noticeLog,
       () => this.duties.waitOneLease(settings.leaseMicroseconds),
     );
     this.agentContacts = new AgentContacts(clock);
     this.changeRouter = new ChangeRouter(
       {
-        leadership: (key) => this.ownership(key),
-        leaderAddress: (key) => this.ownerAddress(key),
+        leadership: (key) => this.leadership(key),
+        leaderAddress: (key) => this.leaderAddress(key),
         ledMembers: () => this.standing.ledMembers(),
       },
       transport,
@@ -146,12 +147,12 @@
       settings,
       this.waitingChanges,
     );
-    this.reader = new QuorumReader(
+    this.quorumReader = new QuorumReader(
       {
         fleet: () => this.standing.fleet(),
-        members: () => this.membersToAsk(),
-        ownAnswer: () => (this.core.votes() ? this.report.wordsAnswer() : undefined),
-        heldText: (key, digest) => this.report.heldText(key, digest),
+        members: () => this.membersToQuery(),
+        ownAnswer: () => (this.core.votes() ? this.replicaReport.wordsAnswer() : undefined),
+        heldText: (key, digest) => this.replicaReport.heldText(key, digest),
       },
       transport,
       clock,
@@ -162,10 +163,10 @@
       changeMicroseconds: settings.changeMicroseconds,
       firstMembersText: () => this.firstMembersText(),
       dialect,
-      learnMembers: (address: string) => this.entries.takeMembers(address),
+      learnMembers: (address: string) => this.entryTransfer.takeMembers(address),
       metrics: this.registerMetrics,
     };
-    this.ownerships = new Map(
+    this.leaderships = new Map(
       DocumentKeys.map((key) => [
         key,
         new Ownership(
@@ -176,7 +177,7 @@
           clock,
           random,
           ownershipSettings,
-          LimitedLogs.of(this.notice, clock),
+          LimitedLogs.of(this.noticeLog, clock),
         ),
       ]),
     );
@@ -192,74 +193,74 @@
     this.heartbeats = new Heartbeats(
       {
         core: this.core,
-        leaderships: this.ownerships,
-        leaders: this.leaders,
-        members: this.watch,
-        quorum: this.quorum,
-        entries: this.entries,
+        leaderships: this.leaderships,
+        leaders: this.leaderWatch,
+        members: this.memberWatch,
+        quorum: this.quorumWatch,
+        entries: this.entryTransfer,
         waiting: this.waitingChanges,
         fetcher,
       },
       transport,
       settings,
     );
-    this.report = new ReplicaReport({
+    this.replicaReport = new ReplicaReport({
       core: this.core,
       clock,
-      leadership: (key) => this.ownership(key),
-      leaders: this.leaders,
+      leadership: (key) => this.leadership(key),
+      leaders: this.leaderWatch,
       heartbeats: this.heartbeats,
-      quorum: this.quorum,
-      ages: this.ages,
+      quorum: this.quorumWatch,
+      ages: this.weightsAges,
     });
     this.vacancies = new Vacancies({
       core: this.core,
       clock,
       random,
-      leadership: (key) => this.ownership(key),
-      leaders: this.leaders,
+      leadership: (key) => this.leadership(key),
+      leaders: this.leaderWatch,
       heartbeats: this.heartbeats,
       ownerSilentMicroseconds: settings.ownerSilentMicroseconds,
     });
-    this.handler = new MessageHandler(
+    this.messageHandler = new MessageHandler(
       {
         core: this.core,
         acceptor: this.acceptor,
         agentContacts: this.agentContacts,
         changeRouter: this.changeRouter,
         duties: this.duties,
-        entries: this.entries,
+        entryTransfer: this.entryTransfer,
         heartbeats: this.heartbeats,
-        leaders: this.leaders,
-        leadership: (key) => this.ownership(key),
+        leaderWatch: this.leaderWatch,
+        leadership: (key) => this.leadership(key),
         members: this.members,
-        recent: this.recent,
-        report: this.report,
+        recentEntries: this.recentEntries,
+        replicaReport: this.replicaReport,
         standing: this.standing,
         waitingChanges: this.waitingChanges,
-        watch: this.watch,
+        memberWatch: this.memberWatch,
       },
       this.startedMicroseconds,
       this.metrics,
-      LimitedLogs.of(this.notice, clock),
+      LimitedLogs.of(this.noticeLog, clock),
     );
-    const failed = (error: unknown): void => this.log(`A step failed: ${Logs.text(error)}.`);
+    const failed = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
     this.tickers = [
       new Ticker(
         clock,
         () => (this.core.votes() ? 1_000_000 : this.standing.ledMembers().length > 0 ? 400_000 : 150_000),
-        () => this.standingStep(),
+        () => this.advanceMembership(),
         failed,
       ),
       new Ticker(
         clock,
         () => settings.heartbeatMicroseconds,
-        () => this.beat(),
+        () => this.sendHeartbeats(),
         failed,
       ),
       new Ticker(
         clock,
-        () => memberStepMicroseconds,
+        () => memberChangePeriodMicroseconds,
         () => this.members.step(),
         failed,
       ),
@@ -272,6 +273,7 @@
     ];
   }
 
+  /** Replays the log, then starts to listen; returns the fault where the log cannot be read. */
   public async start(): Promise<
     Readonly<{ kind: 'started'; address: string }> | Exclude<LedgerOpened, Readonly<{ kind: 'opened' }>>
   > {
@@ -279,37 +281,38 @@
     if (opened.kind !== 'opened') return opened;
     this.ledger.news.on('broken', (text) => void this.news.emit('broken', text));
     this.ledger.news.on('synced', (events) => {
-      this.recent.written(events);
+      this.recentEntries.written(events);
       for (const event of events) {
-        if (event.kind === 'accepted' && event.key === 'blueprint') this.ages.accepted(event.entry);
-        // Why here too: what came with the state of others was accepted by none of this node's own steps.
-        if (event.kind === 'joined') this.restoreAges();
+        if (event.kind === 'accepted' && event.key === 'blueprint') this.weightsAges.accepted(event.entry);
+        // Entries that arrive with the state of other replicas do not pass through this node's own accept step.
+        if (event.kind === 'joined') this.restoreWeightsAges();
       }
     });
-    this.restoreAges();
+    this.restoreWeightsAges();
     if (opened.fresh && this.settings.isFirstStart)
       void this.ledger.write([{ kind: 'firstStarted', seeds: this.settings.seeds }]);
     if (!opened.fresh) this.duties.waitOneLease(this.settings.leaseMicroseconds);
     this.listener = await this.effects.transport.listen(
       this.settings.listenAddress || this.settings.member.address,
-      async (message) => this.handler.handle(message),
+      async (message) => this.messageHandler.handle(message),
     );
     for (const ticker of this.tickers) ticker.start();
     return { kind: 'started', address: this.listener.address };
   }
 
-  private restoreAges(): void {
+  private restoreWeightsAges(): void {
     const blueprint = KeeperStates.cell(this.core.state, 'blueprint').accepted;
-    if (blueprint !== null) this.ages.restored(blueprint.entry);
+    if (blueprint !== null) this.weightsAges.restored(blueprint.entry);
   }
 
+  /** Replaces the addresses of the first contacts. */
   public seedsAre(seeds: readonly string[]): void {
     this.standing.seedsAre(seeds);
   }
 
-  /** A planned stop: says that it leaves, so that others need not find out before they take its keys over. */
+  /** A planned stop. Announces it, so that the others can take over this node's keys without waiting for the leader timeout. */
   public async leave(): Promise<void> {
-    await this.members.handOver(() => this.standingStep());
+    await this.members.handOver(() => this.advanceMembership());
     for (const ticker of this.tickers) ticker.stop();
     const message = { kind: 'ownerLeaves', owner: this.settings.name };
     await Promise.all(
@@ -320,31 +323,32 @@
     await this.stop();
   }
 
+  /** Stops without a handover. */
   public async stop(): Promise<void> {
     for (const ticker of this.tickers) ticker.stop();
     await this.listener?.close();
     await this.ledger.close();
   }
 
-  /** The value of a key as of now, or that no majority answers within the limit. */
+  /** The current value of a key (a linearizable read), or `noMajority` if no majority responds within the limit. */
   public async read(key: DocumentKey, limitMicroseconds = this.settings.changeMicroseconds): Promise<ReadOutcome> {
-    const beganMicroseconds = this.effects.clock.nowMicroseconds();
-    const outcome = await this.reader.read(key, limitMicroseconds);
-    this.registerMetrics.read(key, outcome.kind, this.effects.clock.nowMicroseconds() - beganMicroseconds);
+    const startMicroseconds = this.effects.clock.nowMicroseconds();
+    const outcome = await this.quorumReader.read(key, limitMicroseconds);
+    this.registerMetrics.read(key, outcome.kind, this.effects.clock.nowMicroseconds() - startMicroseconds);
     return outcome;
   }
 
-  /** A change by whoever leads the key; the change id keeps one outcome, however often it is passed on. */
+  /** Has the leader of the key apply a change. The change id makes repeated and forwarded attempts idempotent. */
   public change(order: ChangeOrder): Promise<ChangeOutcome> {
     return this.changeRouter.change(order);
   }
 
-  /** Agents that named this keeper as a seed not long ago. */
+  /** Agents that have recently contacted this node. */
   public agents(): readonly unknown[] {
     return this.agentContacts.recent();
   }
 
-  /** What an agent says of itself and the fleet. Undefined: this keeper does not know it, or it does not answer. */
+  /** An agent's status page. Undefined: this node does not know the agent, or the agent does not respond. */
   public async agentStatus(name: string): Promise<unknown> {
     const address = this.agentContacts.address(name);
     if (address === undefined) return undefined;
@@ -352,48 +356,50 @@
     return answer.kind === 'answered' && answer.message.kind === 'status' ? answer.message['status'] : undefined;
   }
 
+  /** The known leader of each key. */
   public owners(): Readonly<Record<string, KeyLeader>> {
-    return this.report.owners();
+    return this.replicaReport.owners();
   }
 
   public replicaStatus(): ReplicaStatus {
-    return this.report.replicaStatus();
+    return this.replicaReport.replicaStatus();
   }
 
+  /** What this replica has accepted and knows to be decided, per key. */
   public words(): readonly KeyWord[] {
-    return this.report.words();
+    return this.replicaReport.words();
   }
 
-  private membersToAsk(): readonly CoreMember[] {
+  private membersToQuery(): readonly CoreMember[] {
     return this.core.votes() ? this.core.others().map(([, member]) => member) : this.standing.ledMembers();
   }
 
-  private ownership(key: DocumentKey): Ownership {
-    const ownership = this.ownerships.get(key);
-    if (ownership === undefined) throw new Error(`no such key ${String(key)}`);
-    return ownership;
+  private leadership(key: DocumentKey): Ownership {
+    const leadership = this.leaderships.get(key);
+    if (leadership === undefined) throw new Error(`unknown key ${String(key)}`);
+    return leadership;
   }
 
-  private ownerAddress(key: DocumentKey): string | undefined {
-    const leader = this.leaders.leader(key);
+  private leaderAddress(key: DocumentKey): string | undefined {
+    const leader = this.leaderWatch.leader(key);
     return leader === undefined ? undefined : this.core.members().members[leader.leader]?.address;
   }
 
   private firstMembersText(): string {
-    const members = this.core.state.firstMembers;
+    const initialMembers = this.core.state.firstMembers;
     return JSON.stringify({
-      members: Object.fromEntries(Object.entries(members).sort(([left], [right]) => (left < right ? -1 : 1))),
+      members: Object.fromEntries(Object.entries(initialMembers).sort(([left], [right]) => (left < right ? -1 : 1))),
     });
   }
 
-  private async standingStep(): Promise<void> {
+  private async advanceMembership(): Promise<void> {
     const before = this.core.state.standing;
     await this.standing.step();
     if (Replaced.isOut(this.core)) await this.ledger.write([{ kind: 'replaced' }]);
     if (before !== this.core.state.standing) await this.news.emit('standing', this.core.state.standing);
   }
 
-  private beat(): Promise<void> {
+  private sendHeartbeats(): Promise<void> {
     this.heartbeats.send();
     return Promise.resolve();
   }
--- a/source/core-keeper/main.ts
+++ b/source/core-keeper/main.ts
@@ -1,3 +1,4 @@
+/** The control node's program, for fleets that use the native document format and operator API. */
 import { ownDialect } from '../shared/blueprint/dialect';
 import { realClock } from '../shared/effects/clock/realClock';
 import { nodeDisk } from '../shared/effects/disk/nodeDisk';
@@ -46,7 +47,7 @@
     process.argv.slice(2),
   );
   const text = (name: string): string => String(settings[name]);
-  const notice = Logs.part('keeper:notice');
+  const noticeLog = Logs.part('keeper:notice');
   const member = { address: text('address'), operatorsAddress: text('operators'), zone: text('zone') };
   const program = await startKeeper({
     effects: { clock: realClock, random: realRandom, transport: new TcpTransport(realClock) },
@@ -67,6 +68,6 @@
       process.exit(4);
     },
   });
-  notice(`Keeper ${text('name')} listens on ${program.address}, for operators on ${program.door.address}.`);
+  noticeLog(`Control node ${text('name')} listens on ${program.address}; operator API on ${program.door.address}.`);
   Programs.onTerm(Number(settings['stopLimitMicroseconds']), program.stop);
 });
--- a/source/core-keeper/messages/answers.ts
+++ b/source/core-keeper/messages/answers.ts
@@ -1,4 +1,4 @@
-/** What control nodes answer each other, one schema an answer. An answer that does not fit counts as none. */
+/** Schemas of the responses between control nodes. A response that does not match its schema counts as missing. */
 import { Type, type TObject, type TProperties, type TSchema } from '@sinclair/typebox';
 import type { Answer } from '../../shared/effects/transport/transport';
 import { Schema, type Of } from '../../shared/schema/schema';
@@ -21,25 +21,25 @@
   View,
 } from './parts';
 
-const answer = <Kind extends string, Fields extends TProperties>(
+const responseSchema = <Kind extends string, Fields extends TProperties>(
   kind: Kind,
   fields: Fields,
 ): Schema<TObject<Fields & { kind: ReturnType<typeof Type.Literal<Kind>> }>> =>
   new Schema(Type.Object({ ...fields, kind: Type.Literal(kind) })) as never;
 
-const vote = { stamp: Stamp, membersRevision: Count };
+const voteFields = { stamp: Stamp, membersRevision: Count };
 
 const schemas = {
-  noVote: answer('noVote', {}),
-  promised: answer('promised', { ...vote, accepted: MaybeAccepted }),
-  outranked: answer('outranked', { epoch: Epoch, membersRevision: Count }),
-  accepted: answer('accepted', vote),
-  full: answer('full', {}),
-  behind: answer('behind', {}),
-  accept: answer('accept', { fleet: Name, membersRevision: Count, key: Key, epoch: Epoch, entry: Entry }),
-  mayLead: answer('mayLead', { hearsLeader: Type.Boolean(), membersRevision: Count }),
-  words: answer('words', { ...vote, view: View, words: Type.Array(KeyStatement, { maxItems: 3 }) }),
-  hello: answer('hello', {
+  noVote: responseSchema('noVote', {}),
+  promised: responseSchema('promised', { ...voteFields, accepted: MaybeAccepted }),
+  outranked: responseSchema('outranked', { epoch: Epoch, membersRevision: Count }),
+  accepted: responseSchema('accepted', voteFields),
+  full: responseSchema('full', {}),
+  behind: responseSchema('behind', {}),
+  accept: responseSchema('accept', { fleet: Name, membersRevision: Count, key: Key, epoch: Epoch, entry: Entry }),
+  mayLead: responseSchema('mayLead', { hearsLeader: Type.Boolean(), membersRevision: Count }),
+  words: responseSchema('words', { ...voteFields, view: View, words: Type.Array(KeyStatement, { maxItems: 3 }) }),
+  hello: responseSchema('hello', {
     keeper: Name,
     member: Member,
     standing: Type.Union(
@@ -52,30 +52,32 @@
     isFirstStart: Type.Boolean(),
     led: Names,
   }),
-  frame: answer('frame', { frame: Snapshot }),
-  changed: answer('changed', { outcome: Type.Union([ChangeOutcome, Type.Null()]) }),
-  fetchedChange: answer('fetchedChange', { number: Count, order: ChangeOrder }),
-  heard: answer('heard', {
+  frame: responseSchema('frame', { frame: Snapshot }),
+  changed: responseSchema('changed', { outcome: Type.Union([ChangeOutcome, Type.Null()]) }),
+  fetchedChange: responseSchema('fetchedChange', { number: Count, order: ChangeOrder }),
+  heard: responseSchema('heard', {
     promised: Type.Optional(Type.Array(Type.Object({ key: Key, epoch: Epoch }), { maxItems: 3 })),
     waiting: Type.Optional(Count),
     lacking: Type.Optional(Keys),
     hasStandby: Type.Optional(Type.Boolean()),
   }),
-  silentMembers: answer('silentMembers', { silent: Names }),
+  silentMembers: responseSchema('silentMembers', { silent: Names }),
 } as const;
 
-type AnswerKind = keyof typeof schemas;
-export type AnswerOf<Kind extends AnswerKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
+type ResponseKind = keyof typeof schemas;
+/** A response of one of the given kinds. */
+export type AnswerOf<Kind extends ResponseKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
 
+/** Checks the responses of control nodes against their schemas. */
 export const Answers = {
-  kinds: Object.keys(schemas) as readonly AnswerKind[],
+  kinds: Object.keys(schemas) as readonly ResponseKind[],
 
-  schemaOf: (kind: AnswerKind): TSchema => schemas[kind].type,
+  schemaOf: (kind: ResponseKind): TSchema => schemas[kind].type,
 
-  /** The answer, where it is one of these kinds and fits its schema. */
-  read: <Kind extends AnswerKind>(answer: Answer, ...kinds: readonly Kind[]): AnswerOf<Kind> | undefined => {
-    if (answer.kind !== 'answered') return undefined;
-    const { message } = answer;
+  /** The response, if it is of one of these kinds and matches its schema. */
+  read: <Kind extends ResponseKind>(response: Answer, ...kinds: readonly Kind[]): AnswerOf<Kind> | undefined => {
+    if (response.kind !== 'answered') return undefined;
+    const { message } = response;
     const kind = kinds.find((each) => each === message.kind);
     if (kind === undefined) return undefined;
     const schema: Schema<(typeof schemas)[Kind]['type']> = schemas[kind] as never;
--- a/source/core-keeper/messages/asks.ts
+++ b/source/core-keeper/messages/asks.ts
@@ -1,4 +1,4 @@
-/** What a control node may be asked, one schema a message. */
+/** Schemas of the requests that a control node accepts. */
 import { Type, type TObject, type TProperties, type TSchema } from '@sinclair/typebox';
 import type { Message } from '../../shared/effects/transport/transport';
 import { Schema, type Of } from '../../shared/schema/schema';
@@ -18,85 +18,88 @@
   Withdrawal,
 } from './parts';
 
-/** Agents ask on behalf of many engines at once. */
-const mostBallots = 65_536;
-const mostKnownCharacters = 4_096;
+/** One agent requests leases for many engines at once. */
+const maxBallots = 65_536;
+const maxKnownDigestCharacters = 4_096;
 
-/** The fleet that the asker belongs to; who does not know it yet says none. */
-const Fleet = Type.Optional(Name);
+/** The fleet that the sender belongs to; left out while the sender does not know it. */
+const OptionalFleet = Type.Optional(Name);
 
-const ask = <Kind extends string, Fields extends TProperties>(
+const requestSchema = <Kind extends string, Fields extends TProperties>(
   kind: Kind,
   fields: Fields,
-): Schema<TObject<Fields & { kind: ReturnType<typeof Type.Literal<Kind>>; fleet: typeof Fleet }>> =>
-  new Schema(Type.Object({ fleet: Fleet, ...fields, kind: Type.Literal(kind) })) as never;
+): Schema<TObject<Fields & { kind: ReturnType<typeof Type.Literal<Kind>>; fleet: typeof OptionalFleet }>> =>
+  new Schema(Type.Object({ fleet: OptionalFleet, ...fields, kind: Type.Literal(kind) })) as never;
 
-/** One that only a member of the same fleet asks. */
-const fleetAsk = <Kind extends string, Fields extends TProperties>(
+/** A request that only members of the same fleet send. */
+const fleetRequestSchema = <Kind extends string, Fields extends TProperties>(
   kind: Kind,
   fields: Fields,
 ): Schema<TObject<Fields & { kind: ReturnType<typeof Type.Literal<Kind>>; fleet: typeof Name }>> =>
   new Schema(Type.Object({ ...fields, fleet: Name, kind: Type.Literal(kind) })) as never;
 
-const round = { membersRevision: Count, key: Key, epoch: Epoch };
-const newcomer = { name: Name, member: Member };
-const order = { order: ChangeOrder };
+const roundFields = { membersRevision: Count, key: Key, epoch: Epoch };
+const newMemberFields = { name: Name, member: Member };
+const changeFields = { order: ChangeOrder };
 
 const schemas = {
-  hello: ask('hello', { asker: Name }),
-  form: fleetAsk('form', { members: Members }),
-  frame: fleetAsk('frame', { keeper: Name, incarnation: Count, membersRevision: Count }),
-  prepare: fleetAsk('prepare', round),
-  accept: fleetAsk('accept', { ...round, entry: Entry }),
-  confirm: fleetAsk('confirm', { ...round, revision: Count }),
-  owners: fleetAsk('owners', { owner: Name, words: Type.Array(LeaderStatement, { maxItems: 3 }) }),
-  ownerLeaves: ask('ownerLeaves', { owner: Name }),
-  words: ask('words', {
+  hello: requestSchema('hello', { asker: Name }),
+  form: fleetRequestSchema('form', { members: Members }),
+  frame: fleetRequestSchema('frame', { keeper: Name, incarnation: Count, membersRevision: Count }),
+  prepare: fleetRequestSchema('prepare', roundFields),
+  accept: fleetRequestSchema('accept', { ...roundFields, entry: Entry }),
+  confirm: fleetRequestSchema('confirm', { ...roundFields, revision: Count }),
+  owners: fleetRequestSchema('owners', { owner: Name, words: Type.Array(LeaderStatement, { maxItems: 3 }) }),
+  ownerLeaves: requestSchema('ownerLeaves', { owner: Name }),
+  words: requestSchema('words', {
     own: Type.Optional(Type.Unknown()),
-    known: Type.Optional(Type.String({ maxLength: mostKnownCharacters })),
+    known: Type.Optional(Type.String({ maxLength: maxKnownDigestCharacters })),
   }),
-  body: ask('body', { key: Key, digest: Name }),
-  ballots: ask('ballots', {
-    ballots: Type.Array(Ballot, { maxItems: mostBallots }),
+  body: requestSchema('body', { key: Key, digest: Name }),
+  ballots: requestSchema('ballots', {
+    ballots: Type.Array(Ballot, { maxItems: maxBallots }),
     membersRevision: Type.Optional(Count),
   }),
-  withdraw: ask('withdraw', { ballots: Type.Array(Withdrawal, { maxItems: mostBallots }) }),
-  change: ask('change', order),
-  relayChange: ask('relayChange', order),
-  passChange: ask('passChange', order),
-  fetchChange: fleetAsk('fetchChange', {
+  withdraw: requestSchema('withdraw', { ballots: Type.Array(Withdrawal, { maxItems: maxBallots }) }),
+  change: requestSchema('change', changeFields),
+  relayChange: requestSchema('relayChange', changeFields),
+  passChange: requestSchema('passChange', changeFields),
+  fetchChange: fleetRequestSchema('fetchChange', {
     keys: Keys,
     after: Count,
     done: Type.Optional(Type.Object({ outcome: Type.Union([ChangeOutcome, Type.Null()]) })),
   }),
-  entry: ask('entry', { key: Key }),
-  replace: ask('replace', { ...newcomer, gone: Name }),
-  takeIn: ask('takeIn', newcomer),
-  memberLeaves: fleetAsk('memberLeaves', { keeper: Name }),
-  mayLead: fleetAsk('mayLead', { key: Key, candidate: Name, reason: Type.Optional(Name) }),
-  silentMembers: ask('silentMembers', {}),
-  news: ask('news', { own: Type.Optional(Type.Unknown()) }),
-  newsMore: ask('newsMore', {}),
-  ping: ask('ping', {}),
+  entry: requestSchema('entry', { key: Key }),
+  replace: requestSchema('replace', { ...newMemberFields, gone: Name }),
+  takeIn: requestSchema('takeIn', newMemberFields),
+  memberLeaves: fleetRequestSchema('memberLeaves', { keeper: Name }),
+  mayLead: fleetRequestSchema('mayLead', { key: Key, candidate: Name, reason: Type.Optional(Name) }),
+  silentMembers: requestSchema('silentMembers', {}),
+  news: requestSchema('news', { own: Type.Optional(Type.Unknown()) }),
+  newsMore: requestSchema('newsMore', {}),
+  ping: requestSchema('ping', {}),
 } as const;
 
-type AskKind = keyof typeof schemas;
-export type Ask<Kind extends AskKind = AskKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
+type RequestKind = keyof typeof schemas;
+/** A request of one of the given kinds. */
+export type Ask<Kind extends RequestKind = RequestKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
 
+/** A request that has passed its schema, or the reason why it was refused. */
 export type AskRead =
-  Readonly<{ kind: 'good'; ask: Ask }> | Readonly<{ kind: 'refused'; of: AskKind | 'unknown'; fault: string }>;
+  Readonly<{ kind: 'good'; ask: Ask }> | Readonly<{ kind: 'refused'; of: RequestKind | 'unknown'; fault: string }>;
 
-const isKind = (kind: string): kind is AskKind => Object.hasOwn(schemas, kind);
+const isRequestKind = (kind: string): kind is RequestKind => Object.hasOwn(schemas, kind);
 
+/** Checks incoming requests against their schemas. */
 export const Asks = {
-  kinds: Object.keys(schemas) as readonly AskKind[],
+  kinds: Object.keys(schemas) as readonly RequestKind[],
 
-  schemaOf: (kind: AskKind): TSchema => schemas[kind].type,
+  schemaOf: (kind: RequestKind): TSchema => schemas[kind].type,
 
-  /** A message of another process, checked. */
+  /** Checks a message from another process. */
   read: (message: Message): AskRead => {
-    if (!isKind(message.kind)) return { kind: 'refused', of: 'unknown', fault: 'no such message' };
-    const schema: Schema<(typeof schemas)[AskKind]['type']> = schemas[message.kind] as never;
+    if (!isRequestKind(message.kind)) return { kind: 'refused', of: 'unknown', fault: 'no such message' };
+    const schema: Schema<(typeof schemas)[RequestKind]['type']> = schemas[message.kind] as never;
     return schema.is(message)
       ? { kind: 'good', ask: message }
       : { kind: 'refused', of: message.kind, fault: schema.fault(message) };
--- a/source/core-keeper/messages/messageHandler.ts
+++ b/source/core-keeper/messages/messageHandler.ts
@@ -1,4 +1,3 @@
-/** Answers what a control node is asked. What does not fit its schema changes nothing, and is counted. */
 import type { Message } from '../../shared/effects/transport/transport';
 import { BodyPacker } from '../../shared/freshness/bodies';
 import type { Log } from '../../shared/log/log';
@@ -24,99 +23,105 @@
 import type { StandingKeeper } from '../standing/standing';
 import { Asks, type Ask } from './asks';
 
-/** The parts of a control node that answer. */
-export type AnsweringParts = Readonly<{
+/** The components of a control node that requests are dispatched to. */
+export type MessageHandlerParts = Readonly<{
   core: KeeperCore;
   acceptor: Acceptor;
   agentContacts: AgentContacts;
   changeRouter: ChangeRouter;
   duties: DutyVoter;
-  entries: EntryTransfer;
+  entryTransfer: EntryTransfer;
   heartbeats: Heartbeats;
-  leaders: LeaderWatch;
+  leaderWatch: LeaderWatch;
   leadership: (key: DocumentKey) => Ownership;
   members: MemberChanges;
-  recent: RecentEntries;
-  report: ReplicaReport;
+  recentEntries: RecentEntries;
+  replicaReport: ReplicaReport;
   standing: StandingKeeper;
   waitingChanges: WaitingChanges;
-  watch: MemberWatch;
+  memberWatch: MemberWatch;
 }>;
 
-const noVote: Message = { kind: 'noVote' };
+const noVoteResponse: Message = { kind: 'noVote' };
 
+/** Dispatches the requests of other processes to the components of a control node. */
 export class MessageHandler {
-  private readonly packer = new BodyPacker();
+  private readonly bodyPacker = new BodyPacker();
 
   public constructor(
-    private readonly parts: AnsweringParts,
+    private readonly parts: MessageHandlerParts,
     private readonly startedMicroseconds: number,
     private readonly metrics: Metrics,
-    private readonly refusals: Log,
+    private readonly refusalLog: Log,
   ) {}
 
-  /** A message that does not fit its schema changes nothing, and leaves the connection to the others that it carries. */
+  /**
+   * A message that does not match its schema changes no state and is counted. It does not close the connection, which also
+   * carries other requests.
+   */
   public handle(message: Message): Promise<Message> | Message {
-    const read = Asks.read(message);
-    if (read.kind === 'good') return this.answer(read.ask);
-    this.metrics.count('postdrum_messages_refused_total', { message: read.of });
-    this.refusals(`A message was refused: ${read.of}, ${read.fault}.`);
+    const parsed = Asks.read(message);
+    if (parsed.kind === 'good') return this.respond(parsed.ask);
+    this.metrics.count('postdrum_messages_refused_total', { message: parsed.of });
+    this.refusalLog(`Message refused: kind ${parsed.of}, ${parsed.fault}.`);
     return { kind: 'refused' };
   }
 
-  private answer(ask: Ask): Promise<Message> | Message {
-    switch (ask.kind) {
+  private respond(request: Ask): Promise<Message> | Message {
+    switch (request.kind) {
       case 'hello':
-        return this.parts.standing.hello(ask.asker);
+        return this.parts.standing.hello(request.asker);
       case 'form':
-        return this.parts.standing.form(ask);
+        return this.parts.standing.form(request);
       case 'frame':
-        return this.parts.standing.frame(ask);
+        return this.parts.standing.frame(request);
       case 'prepare':
-        return this.prepare(ask);
+        return this.prepare(request);
       case 'accept':
-        return this.accept(ask);
+        return this.accept(request);
       case 'confirm':
-        return this.parts.acceptor.confirm(ask);
+        return this.parts.acceptor.confirm(request);
       case 'owners':
-        return this.parts.heartbeats.hear(ask);
+        return this.parts.heartbeats.hear(request);
       case 'fetchChange':
-        return this.isOwnFleet(ask.fleet) ? this.parts.waitingChanges.fetch(ask) : noVote;
+        return this.isOwnFleet(request.fleet) ? this.parts.waitingChanges.fetch(request) : noVoteResponse;
       case 'ownerLeaves':
-        this.parts.leaders.forget(ask.owner);
+        this.parts.leaderWatch.forget(request.owner);
         return { kind: 'heard' };
       case 'words':
-        return this.wordsFor(ask);
+        return this.replicaStatements(request);
       case 'body':
-        return this.body(ask);
+        return this.bodyResponse(request);
       case 'ballots':
-        return this.vote(ask);
+        return this.vote(request);
       case 'withdraw':
-        this.parts.duties.withdraw(ask.ballots);
+        this.parts.duties.withdraw(request.ballots);
         return { kind: 'heard' };
       case 'change':
-        return this.changed(this.parts.changeRouter.changeAsLeader(ask.order));
+        return this.changeResponse(this.parts.changeRouter.changeAsLeader(request.order));
       case 'relayChange':
-        return this.changed(this.parts.changeRouter.changeFromMember(ask.order));
+        return this.changeResponse(this.parts.changeRouter.changeFromMember(request.order));
       case 'passChange':
-        return this.parts.core.votes() ? this.changed(this.parts.changeRouter.change(ask.order)) : noVote;
+        return this.parts.core.votes()
+          ? this.changeResponse(this.parts.changeRouter.change(request.order))
+          : noVoteResponse;
       case 'entry':
-        return this.parts.entries.give(ask.key);
+        return this.parts.entryTransfer.give(request.key);
       case 'replace':
-        return this.parts.members.replace(ask.gone, ask.name, ask.member);
+        return this.parts.members.replace(request.gone, request.name, request.member);
       case 'takeIn':
-        return this.parts.members.takeIn(ask.name, ask.member);
+        return this.parts.members.takeIn(request.name, request.member);
       case 'memberLeaves':
-        return this.isOwnFleet(ask.fleet) ? this.parts.members.hearLeaving(ask.keeper) : noVote;
+        return this.isOwnFleet(request.fleet) ? this.parts.members.hearLeaving(request.keeper) : noVoteResponse;
       case 'mayLead':
-        return this.mayLead(ask);
+        return this.preVote(request);
       case 'silentMembers':
         return this.parts.core.votes()
-          ? { kind: 'silentMembers', silent: this.parts.watch.silent(), fleet: this.parts.core.state.fleet }
-          : noVote;
+          ? { kind: 'silentMembers', silent: this.parts.memberWatch.silent(), fleet: this.parts.core.state.fleet }
+          : noVoteResponse;
       case 'news':
-        // Why answered at all: a keeper as a seed leads an agent to its first colleagues.
-        return this.parts.agentContacts.seedNews(ask.own);
+        // A control node responds to gossip because an agent that has it as a seed finds the first other agents through it.
+        return this.parts.agentContacts.seedNews(request.own);
       case 'newsMore':
         return { kind: 'heard' };
       case 'ping':
@@ -128,33 +133,35 @@
     return fleet === this.parts.core.state.fleet;
   }
 
-  private async changed(change: Promise<ChangeOutcome | undefined>): Promise<Message> {
+  private async changeResponse(change: Promise<ChangeOutcome | undefined>): Promise<Message> {
     return { kind: 'changed', outcome: (await change) ?? null };
   }
 
-  private async prepare(order: Prepare): Promise<Message> {
-    const answer = await this.parts.acceptor.prepare(order);
-    if (answer.kind === 'promised') this.parts.leaders.promised(order.key, order.epoch);
-    return answer;
+  private async prepare(request: Prepare): Promise<Message> {
+    const response = await this.parts.acceptor.prepare(request);
+    if (response.kind === 'promised') this.parts.leaderWatch.promised(request.key, request.epoch);
+    return response;
   }
 
-  private async accept(order: Accept): Promise<Message> {
-    const answer = await this.parts.acceptor.accept(order);
-    if (answer.kind === 'accepted') this.parts.leaders.accepted(order.key, order.epoch);
-    return answer;
+  private async accept(request: Accept): Promise<Message> {
+    const response = await this.parts.acceptor.accept(request);
+    if (response.kind === 'accepted') this.parts.leaderWatch.accepted(request.key, request.epoch);
+    return response;
   }
 
   private async vote({ ballots, membersRevision = 0 }: Ask<'ballots'>): Promise<Message> {
-    const answers = await this.parts.duties.vote(ballots, membersRevision);
+    const results = await this.parts.duties.vote(ballots, membersRevision);
     const view = this.parts.core.members();
-    // The candidate need not wait for its next reading to learn the list that it lacked.
-    return membersRevision < view.revision ? { kind: 'ballots', answers, view } : { kind: 'ballots', answers };
+    // The newer member list is included, so that the candidate need not wait for its next read to learn it.
+    return membersRevision < view.revision
+      ? { kind: 'ballots', answers: results, view }
+      : { kind: 'ballots', answers: results };
   }
 
-  /** A pre-vote: whether this member answers under the same fleet, and whether it hears a leader other than the one asking. */
-  private mayLead({ key, fleet, candidate }: Ask<'mayLead'>): Message {
-    if (!this.parts.core.votes() || !this.isOwnFleet(fleet)) return noVote;
-    const wouldDepose = this.parts.leaders.wouldDepose(key, candidate);
+  /** Pre-vote: whether this node votes in the candidate's fleet, and whether it hears a leader other than the candidate. */
+  private preVote({ key, fleet, candidate }: Ask<'mayLead'>): Message {
+    if (!this.parts.core.votes() || !this.isOwnFleet(fleet)) return noVoteResponse;
+    const wouldDepose = this.parts.leaderWatch.wouldDepose(key, candidate);
     return {
       kind: 'mayLead',
       hearsLeader: wouldDepose || this.parts.leadership(key).state.kind !== 'none',
@@ -162,30 +169,30 @@
     };
   }
 
-  private wordsFor({ own, fleet = '', known: asked }: Ask<'words'>): Message {
-    // Why here: agents read several times a second, so an operator who asks finds them all.
+  private replicaStatements({ own, fleet = '', known: knownDigest }: Ask<'words'>): Message {
+    // Agents send this request several times a second, so recording them here keeps the operators' list of agents complete.
     this.parts.agentContacts.hear(own);
-    // Why silent without a voice: an answer of a keeper still catching up could hide what was taken.
+    // Without a vote this node gives no statements: while it is catching up, they could hide accepted changes.
     if (!this.parts.core.votes() || (fleet !== '' && !this.isOwnFleet(fleet)))
-      // Why name the members: who was led to a keeper that only stands by finds the others through it.
+      // A standby names the members, so that a process that has reached the standby finds them.
       return { kind: 'noVote', led: this.parts.standing.ledMembers().map(({ address }) => address) };
-    const answer = this.parts.report.wordsAnswer();
-    // Why without the ages: they go on by themselves, and the asker counts them on.
-    // Why with the start: who asks then notices that this keeper began anew, and has forgotten whom it met.
-    const known = Digests.of(
-      JSON.stringify([this.startedMicroseconds, answer], (field, value: unknown) =>
+    const response = this.parts.replicaReport.wordsAnswer();
+    // The digest leaves out the ages, which grow with time; the reader advances them itself. It includes the start time, so that
+    // the reader notices a restart, after which this node has forgotten its agent contacts.
+    const digest = Digests.of(
+      JSON.stringify([this.startedMicroseconds, response], (field, value: unknown) =>
         field === 'ageMicroseconds' ? value === null : value,
       ),
     );
-    return asked === known ? { kind: 'wordsSame', known } : { ...answer, known };
+    return knownDigest === digest ? { kind: 'wordsSame', known: digest } : { ...response, known: digest };
   }
 
-  private body({ key, digest }: Ask<'body'>): Message {
-    const { core, recent } = this.parts;
-    const accepted = KeeperStates.cell(core.state, key).accepted?.entry;
-    const entry = accepted?.digest === digest ? accepted : recent.find(key, digest);
+  private bodyResponse({ key, digest }: Ask<'body'>): Message {
+    const { core, recentEntries } = this.parts;
+    const acceptedEntry = KeeperStates.cell(core.state, key).accepted?.entry;
+    const entry = acceptedEntry?.digest === digest ? acceptedEntry : recentEntries.find(key, digest);
     if (!core.votes() || entry === undefined) return { kind: 'noBody' };
     const { revision, text } = entry;
-    return { kind: 'body', ...this.packer.sent({ key, revision, digest, text }), fleet: core.state.fleet };
+    return { kind: 'body', ...this.bodyPacker.sent({ key, revision, digest, text }), fleet: core.state.fleet };
   }
 }
--- a/source/core-keeper/messages/parts.ts
+++ b/source/core-keeper/messages/parts.ts
@@ -1,25 +1,30 @@
-/** Parts that several messages of control nodes share. Bounds keep a message from costing more than its own bytes. */
+/**
+ * Schemas that several messages of control nodes share. The bounds on counts and lengths keep the cost of a message in
+ * proportion to its size.
+ */
 import { Type, type TSchema } from '@sinclair/typebox';
 import { TransportLimits } from '../../shared/effects/transport/transport';
 
-const mostNameCharacters = 1_024;
-const mostMembers = 256;
-const mostDuties = 1 << 20;
+const maxNameCharacters = 1_024;
+const maxMembers = 256;
+const maxDuties = 1 << 20;
 
-export const Name = Type.String({ maxLength: mostNameCharacters });
+export const Name = Type.String({ maxLength: maxNameCharacters });
 export const Text = Type.String({ maxLength: TransportLimits.messageBytes });
 export const Count = Type.Integer({ minimum: 0, maximum: Number.MAX_SAFE_INTEGER });
 export const Key = Type.Union([Type.Literal('blueprint'), Type.Literal('engines'), Type.Literal('core-members')]);
 export const Keys = Type.Array(Key, { maxItems: 3 });
-export const Names = Type.Array(Name, { maxItems: mostMembers });
+export const Names = Type.Array(Name, { maxItems: maxMembers });
 
-const mapOf = <Value extends TSchema>(value: Value, most: number): ReturnType<typeof Type.Record<typeof Name, Value>> =>
-  Type.Record(Name, value, { maxProperties: most });
+const mapSchema = <Value extends TSchema>(
+  value: Value,
+  maxEntries: number,
+): ReturnType<typeof Type.Record<typeof Name, Value>> => Type.Record(Name, value, { maxProperties: maxEntries });
 
 export const Member = Type.Object({ address: Name, operatorsAddress: Name, zone: Name });
-export const Members = mapOf(Member, mostMembers);
+export const Members = mapSchema(Member, maxMembers);
 export const Epoch = Type.Object({ number: Count, keeper: Name });
-export const Incarnations = mapOf(Count, mostMembers);
+export const Incarnations = mapSchema(Count, maxMembers);
 export const Stamp = Type.Object({ fleet: Name, keeper: Name, incarnation: Count, known: Incarnations });
 export const View = Type.Object({ revision: Count, sets: Type.Array(Names, { maxItems: 2 }), members: Members });
 
@@ -36,10 +41,10 @@
 };
 export const Entry = Type.Object({ ...entryFields, outcomes: Outcomes });
 
-/** Builds before the bounded history kept whole digests of the last changes. */
-const EarlierChange = Type.Object({ id: Text, orderDigest: Name, revision: Count });
-const EarlierEntry = Type.Object({ ...entryFields, changes: Type.Array(EarlierChange) });
-export const StoredEntry = Type.Union([Entry, EarlierEntry]);
+/** Older builds, without the bounded history of outcomes, stored a full digest for each of the last changes. */
+const LegacyChange = Type.Object({ id: Text, orderDigest: Name, revision: Count });
+const LegacyEntry = Type.Object({ ...entryFields, changes: Type.Array(LegacyChange) });
+export const StoredEntry = Type.Union([Entry, LegacyEntry]);
 
 export const Accepted = Type.Object({ epoch: Epoch, entry: Entry });
 export const MaybeAccepted = Type.Union([Accepted, Type.Null()]);
@@ -51,9 +56,9 @@
   'core-members': Type.Optional(Cell),
 });
 const DutyTerm = Type.Object({ term: Count, holder: Name });
-const Duties = mapOf(DutyTerm, mostDuties);
+const Duties = mapSchema(DutyTerm, maxDuties);
 
-/** A snapshot as one replica hands it to another; builds before forgot no duties and learned no lists. */
+/** A snapshot as one replica sends it to another. Snapshots of older builds have no `dutyFloor` and no `learnedMembers`. */
 export const Snapshot = Type.Object({
   firstMembers: Members,
   cells: Cells,
@@ -76,7 +81,7 @@
   decidedRevision: Count,
   decidedDigest: Name,
   owner: Name,
-  weights: Type.Optional(mapOf(WeightsAge, mostDuties)),
+  weights: Type.Optional(mapSchema(WeightsAge, maxDuties)),
 });
 export const LeaderStatement = Type.Object({ key: Key, epoch: Epoch, revision: Count, digest: Name });
 
--- a/source/core-keeper/operators/agentContacts.ts
+++ b/source/core-keeper/operators/agentContacts.ts
@@ -3,21 +3,21 @@
 import { FactLimits, Facts, type Fact } from '../../shared/news/facts';
 import { FactKeys, type MemberFact } from '../../shared/news/factTypes';
 
-/** Starting value, ours: an agent that has not asked for so long is no longer named. */
-const keptMicroseconds = 20_000_000;
+/** An agent that has sent no request for this long is no longer listed. */
+const retentionMicroseconds = 20_000_000;
 
 type Contact = Readonly<{ fact: Fact; atMicroseconds: number }>;
 
 /**
- * Agents that asked this control node lately, as each said of itself. It names them to newcomers and to operators; a first
- * contact only, bounded like all news.
+ * Agents that have recently sent a request to this control node, each with its own gossip fact. They are listed to new agents, as
+ * first contacts only, and to operators. The number is bounded like that of all gossip.
  */
 export class AgentContacts {
   private readonly contacts = new Map<string, Contact>();
 
   public constructor(private readonly clock: Clock) {}
 
-  /** What an agent said of itself with a call; anything else is not taken. */
+  /** Stores the membership fact that an agent sends about itself; ignores anything else. */
   public hear(own: unknown): void {
     const facts = [own];
     if (!Facts.isList(facts)) return;
@@ -26,26 +26,26 @@
         this.contacts.set(fact.key, { fact, atMicroseconds: this.clock.nowMicroseconds() });
   }
 
-  /** What those that asked not long ago said of themselves. */
+  /** The membership facts of recent contacts. */
   public recent(): readonly unknown[] {
     const now = this.clock.nowMicroseconds();
     return [...this.contacts.values()]
-      .filter(({ atMicroseconds }) => now - atMicroseconds <= keptMicroseconds)
+      .filter(({ atMicroseconds }) => now - atMicroseconds <= retentionMicroseconds)
       .map(({ fact }) => fact.value);
   }
 
-  /** Where an agent listens; undefined: it is not known here. */
+  /** The address of an agent; undefined: not known to this node. */
   public address(name: string): string | undefined {
     return (this.contacts.get(FactKeys.member(name))?.fact.value as MemberFact | undefined)?.address;
   }
 
-  /** The answer to one that asks this node as a seed. */
+  /** The response to an agent that uses this node as a gossip seed. */
   public seedNews(own: unknown): Message {
     this.hear(own);
     const now = this.clock.nowMicroseconds();
-    // Why only recent ones: a control node does not watch agents, and must not bring the dead back.
+    // Only recent contacts: a control node does not monitor agents and must not bring failed ones back into the gossip.
     for (const [key, { atMicroseconds }] of this.contacts)
-      if (now - atMicroseconds > keptMicroseconds) this.contacts.delete(key);
+      if (now - atMicroseconds > retentionMicroseconds) this.contacts.delete(key);
     const facts = [...this.contacts.values()].map(({ fact }) => fact);
     return { kind: 'newsBack', statements: [], sum: '', digest: null, marks: {}, revisions: {}, facts };
   }
--- a/source/core-keeper/operators/operatorsDoor.ts
+++ b/source/core-keeper/operators/operatorsDoor.ts
@@ -7,92 +7,103 @@
 import type { CoreKeeper } from '../coreKeeper';
 import type { ChangePlace, DoorAnswer, OperatorsWords } from './operatorsWords';
 
+/** Settings of the operators' HTTP API. */
 export type DoorSettings = Readonly<{
   address: string;
-  /** After so long an operator hears that nothing is known yet; 0: it waits until something is. */
+  /** Time limit after which a call is answered as pending; 0: no limit, the answer waits for the outcome. */
   answerMicroseconds: number;
-  /** And so much longer for each byte of a body, which others must read and write too. */
+  /** Added to the limit for each byte of the body, since the other control nodes must read and write it, too. */
   answerMicrosecondsPerByte: number;
 }>;
 
+/** Default time limits of the operators' HTTP API. */
 export const DoorDefaults = { answerMicroseconds: 0, answerMicrosecondsPerByte: 0 } as const;
 
-const give = (response: ServerResponse, { status, body, contentType, headers }: DoorAnswer): void =>
+const sendResponse = (response: ServerResponse, { status, body, contentType, headers }: DoorAnswer): void =>
   Replies.text(response, status, body, { 'content-type': contentType, ...headers });
 
-const statusPages = (service: HttpService, keeper: CoreKeeper, metrics: Metrics): void => {
-  service.get('/status', (_order, response) => {
-    const { standing, fleet, incarnation } = keeper.core.state;
+const addStatusRoutes = (service: HttpService, controlNode: CoreKeeper, metrics: Metrics): void => {
+  service.get('/status', (_request, response) => {
+    const { standing, fleet, incarnation } = controlNode.core.state;
     Replies.json(response as unknown as ServerResponse, 200, {
-      keeper: keeper.core.name,
+      keeper: controlNode.core.name,
       standing,
       fleet,
       incarnation,
-      members: keeper.core.members().members,
-      membersRevision: keeper.core.members().revision,
-      owners: keeper.owners(),
-      replica: keeper.replicaStatus(),
-      duties: keeper.duties.holders(),
-      agents: keeper.agents(),
+      members: controlNode.core.members().members,
+      membersRevision: controlNode.core.members().revision,
+      owners: controlNode.owners(),
+      replica: controlNode.replicaStatus(),
+      duties: controlNode.duties.holders(),
+      agents: controlNode.agents(),
     });
   });
-  service.get('/agents/:name', async (order, response) => {
-    const status = await keeper.agentStatus(order.params['name'] ?? '');
+  service.get('/agents/:name', async (request, response) => {
+    const status = await controlNode.agentStatus(request.params['name'] ?? '');
     Replies.json(
       response as unknown as ServerResponse,
       status === undefined ? 404 : 200,
       status ?? { error: 'this keeper does not know it, or it does not answer' },
     );
   });
-  service.get('/health', (_order, response) =>
-    Replies.json(response as unknown as ServerResponse, keeper.core.votes() ? 200 : 503, {
-      standing: keeper.core.state.standing,
+  service.get('/health', (_request, response) =>
+    Replies.json(response as unknown as ServerResponse, controlNode.core.votes() ? 200 : 503, {
+      standing: controlNode.core.state.standing,
     }),
   );
-  service.get('/metrics', (_order, response) =>
+  service.get('/metrics', (_request, response) =>
     Replies.text(response as unknown as ServerResponse, 200, metrics.page()),
   );
 };
 
-/** The operators' HTTP: whole setups and pieces, read back as sent; each change plainly taken or plainly refused. */
+/**
+ * HTTP API for operators. It accepts whole documents and partial changes, returns documents exactly as they were sent, and reports
+ * for each change whether it was accepted or refused, or that the outcome is not known yet.
+ */
 export const OperatorsDoor = {
   open: (
-    keeper: CoreKeeper,
-    words: OperatorsWords,
+    controlNode: CoreKeeper,
+    apiFormat: OperatorsWords,
     settings: DoorSettings,
     clock: Clock,
     metrics: Metrics,
   ): Promise<HttpDoor> => {
-    const within = async <Result>(bytes: number, work: Promise<Result>): Promise<Result | undefined> =>
+    const withinAnswerLimit = async <Result>(bytes: number, work: Promise<Result>): Promise<Result | undefined> =>
       settings.answerMicroseconds === 0
         ? work
         : Clocks.within(clock, settings.answerMicroseconds + bytes * settings.answerMicrosecondsPerByte, work);
 
-    const readOne = async (key: DocumentKey, response: ServerResponse): Promise<void> =>
-      // A caller that has moved on must not leave its read behind.
-      give(response, words.document(await keeper.read(key, settings.answerMicroseconds || undefined)));
+    const handleRead = async (key: DocumentKey, response: ServerResponse): Promise<void> =>
+      // The limit ends the read itself, so that no read continues after its caller has given up.
+      sendResponse(response, apiFormat.document(await controlNode.read(key, settings.answerMicroseconds || undefined)));
 
-    const changeOne = async (place: ChangePlace, order: IncomingMessage, response: ServerResponse): Promise<void> => {
-      const refused = words.head(place, order.headers);
-      if (refused !== undefined) return give(response, refused);
-      const body = await HttpDoors.body(order, BlueprintLimits.textBytes);
-      if (body.kind !== 'read') return give(response, words.unreadable(body.kind));
-      const read = words.order({ place, headers: order.headers, text: body.text });
-      if (read.kind === 'refused') return give(response, read.answer);
-      // Why not wait for ever: an operator that hears nothing moves on; the change itself goes on and keeps its outcome.
-      const outcome = (await within(body.text.length, keeper.change(read.order))) ?? { kind: 'pending' };
-      metrics.count('postdrum_changes_total', { key: place.key, outcome: outcome.kind });
-      give(response, words.outcome(outcome));
+    const handleChange = async (
+      route: ChangePlace,
+      request: IncomingMessage,
+      response: ServerResponse,
+    ): Promise<void> => {
+      const refused = apiFormat.head(route, request.headers);
+      if (refused !== undefined) return sendResponse(response, refused);
+      const body = await HttpDoors.body(request, BlueprintLimits.textBytes);
+      if (body.kind !== 'read') return sendResponse(response, apiFormat.unreadable(body.kind));
+      const parsed = apiFormat.order({ place: route, headers: request.headers, text: body.text });
+      if (parsed.kind === 'refused') return sendResponse(response, parsed.answer);
+      // The wait is limited because an operator that gets no answer gives up. The change continues and keeps its outcome.
+      const outcome = (await withinAnswerLimit(body.text.length, controlNode.change(parsed.order))) ?? {
+        kind: 'pending',
+      };
+      metrics.count('postdrum_changes_total', { key: route.key, outcome: outcome.kind });
+      sendResponse(response, apiFormat.outcome(outcome));
     };
 
     return HttpDoors.open(settings.address, HttpLimits.usual, (service) => {
-      for (const { path, key } of words.reads)
-        service.get(path, (_order, response) => readOne(key, response as unknown as ServerResponse));
-      for (const place of words.changes)
-        service[place.method](place.path, (order: unknown, response: unknown) =>
-          changeOne(place, order as IncomingMessage, response as ServerResponse),
+      for (const { path, key } of apiFormat.reads)
+        service.get(path, (_request, response) => handleRead(key, response as unknown as ServerResponse));
+      for (const route of apiFormat.changes)
+        service[route.method](route.path, (request: unknown, response: unknown) =>
+          handleChange(route, request as IncomingMessage, response as ServerResponse),
         );
-      statusPages(service, keeper, metrics);
+      addStatusRoutes(service, controlNode, metrics);
     });
   },
 } as const;
--- a/source/core-keeper/operators/ownWords.ts
+++ b/source/core-keeper/operators/ownWords.ts
@@ -5,21 +5,21 @@
 import type { ChangeOutcome } from '../register/messages';
 import type { ChangeCall, ChangePlace, DoorAnswer, DoorOutcome, OperatorsWords, OrderRead } from './operatorsWords';
 
-const pathKeys: readonly (readonly [string, DocumentKey])[] = [
+const keysByPath: readonly (readonly [string, DocumentKey])[] = [
   ['/blueprint', 'blueprint'],
   ['/engines', 'engines'],
   ['/core-members', 'core-members'],
 ];
 
-const json = (status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): DoorAnswer => ({
+const jsonResponse = (status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): DoorAnswer => ({
   status,
   body: `${JSON.stringify(value)}\n`,
   contentType: 'application/json',
   headers,
 });
 
-const refusal = (status: number, fault: string): DoorAnswer =>
-  json(status, { outcome: 'refused', reason: 'order', faults: [{ path: '', fault }] });
+const refusalResponse = (status: number, fault: string): DoorAnswer =>
+  jsonResponse(status, { outcome: 'refused', reason: 'order', faults: [{ path: '', fault }] });
 
 const statusOf = (outcome: ChangeOutcome): number => {
   if (outcome.kind === 'taken') return 200;
@@ -37,8 +37,8 @@
   }
 };
 
-const answerOf = (outcome: DoorOutcome): DoorAnswer => {
-  if (outcome.kind === 'pending') return answerOf({ kind: 'unknown' });
+const outcomeResponse = (outcome: DoorOutcome): DoorAnswer => {
+  if (outcome.kind === 'pending') return outcomeResponse({ kind: 'unknown' });
   const status = statusOf(outcome);
   const headers: Record<string, string> =
     outcome.kind === 'taken' ? { etag: `"${outcome.revision}"` } : status === 503 ? { 'retry-after': '2' } : {};
@@ -48,55 +48,58 @@
       : outcome.kind === 'unknown'
         ? { outcome: 'unknown', text: 'Ask again with the same change id.' }
         : { outcome: 'refused', reason: outcome.reason, faults: outcome.faults, revision: outcome.revision };
-  return json(status, body, headers);
+  return jsonResponse(status, body, headers);
 };
 
-const revisionIn = (header: string | undefined): number | undefined => {
+const parseRevision = (header: string | undefined): number | undefined => {
   const found = /^"?(\d{1,15})"?$/.exec(header ?? '');
   return found === null ? undefined : Number(found[1]);
 };
 
-const idIn = (headers: IncomingHttpHeaders): string | undefined => {
+const parseChangeId = (headers: IncomingHttpHeaders): string | undefined => {
   const id = headers['idempotency-key'];
   return typeof id === 'string' && /^[!-~]{1,128}$/.test(id) ? id : undefined;
 };
 
-const headFault = (_place: ChangePlace, headers: IncomingHttpHeaders): DoorAnswer | undefined => {
-  if (revisionIn(headers['if-match']) === undefined)
-    return refusal(428, 'If-Match with the revision you read is needed; "0" where nothing was taken yet');
-  if (idIn(headers) === undefined) return refusal(400, 'Idempotency-Key is needed, 1 to 128 printable characters');
+const checkHeaders = (_route: ChangePlace, headers: IncomingHttpHeaders): DoorAnswer | undefined => {
+  if (parseRevision(headers['if-match']) === undefined)
+    return refusalResponse(428, 'If-Match with the revision you read is needed; "0" where nothing was taken yet');
+  if (parseChangeId(headers) === undefined)
+    return refusalResponse(400, 'Idempotency-Key is needed, 1 to 128 printable characters');
   return undefined;
 };
 
-const orderOf = ({ place: { key, form }, headers, text }: ChangeCall): OrderRead => ({
+const parseChange = ({ place: { key, form }, headers, text }: ChangeCall): OrderRead => ({
   kind: 'order',
-  order: { key, form, text, ifMatch: revisionIn(headers['if-match']) ?? 0, id: idIn(headers) ?? '' },
+  order: { key, form, text, ifMatch: parseRevision(headers['if-match']) ?? 0, id: parseChangeId(headers) ?? '' },
 });
 
-const documentOf = (read: ReadOutcome): DoorAnswer => {
-  if (read.kind === 'noMajority') return json(503, { error: 'no majority of keepers answers' }, { 'retry-after': '2' });
-  if (read.revision === 0) return json(404, { error: 'nothing was taken yet', revision: 0 }, { etag: '"0"' });
+const documentResponse = (outcome: ReadOutcome): DoorAnswer => {
+  if (outcome.kind === 'noMajority')
+    return jsonResponse(503, { error: 'no majority of keepers answers' }, { 'retry-after': '2' });
+  if (outcome.revision === 0)
+    return jsonResponse(404, { error: 'nothing was taken yet', revision: 0 }, { etag: '"0"' });
   return {
     status: 200,
-    body: read.text,
+    body: outcome.text,
     contentType: 'application/json',
-    headers: { etag: `"${read.revision}"` },
+    headers: { etag: `"${outcome.revision}"` },
   };
 };
 
-/** The product's own words: one path a key, revisions in ETag and If-Match, an id with each change. */
+/** The native format: one path per key, revisions in ETag and If-Match, and a change id in Idempotency-Key. */
 export const ownOperatorsWords: OperatorsWords = {
-  reads: pathKeys.map(([path, key]) => ({ path, key })),
-  changes: pathKeys.flatMap(([path, key]): readonly ChangePlace[] => [
+  reads: keysByPath.map(([path, key]) => ({ path, key })),
+  changes: keysByPath.flatMap(([path, key]): readonly ChangePlace[] => [
     { method: 'put', path, key, form: 'whole' },
     { method: 'patch', path, key, form: 'pieces' },
   ]),
-  head: headFault,
-  order: orderOf,
-  unreadable: (why) =>
-    why === 'tooLarge'
-      ? refusal(413, `longer than ${BlueprintLimits.textBytes} bytes`)
-      : refusal(400, 'the body broke off'),
-  outcome: answerOf,
-  document: documentOf,
+  head: checkHeaders,
+  order: parseChange,
+  unreadable: (reason) =>
+    reason === 'tooLarge'
+      ? refusalResponse(413, `longer than ${BlueprintLimits.textBytes} bytes`)
+      : refusalResponse(400, 'the body broke off'),
+  outcome: outcomeResponse,
+  document: documentResponse,
 };
--- a/source/core-keeper/program/keeperProgram.ts
+++ b/source/core-keeper/program/keeperProgram.ts
@@ -7,7 +7,7 @@
 import { OperatorsDoor, type DoorSettings } from '../operators/operatorsDoor';
 import type { OperatorsWords } from '../operators/operatorsWords';
 
-/** What differs between the manners in which a keeper is run. */
+/** What the variants of the control node's program provide. */
 export type KeeperParts = Readonly<{
   effects: Effects;
   disk: Disk;
@@ -15,10 +15,11 @@
   dialect: Dialect;
   words: OperatorsWords;
   door: DoorSettings;
-  /** Called when the disk can no longer be trusted; the process must end. */
+  /** Called when the disk can no longer be trusted; the process must then exit. */
   broken: (sentence: string) => void;
 }>;
 
+/** A running control node with its operator API. */
 export type KeeperProgram = Readonly<{
   keeper: CoreKeeper;
   door: HttpDoor;
@@ -26,31 +27,31 @@
   stop: () => Promise<void>;
 }>;
 
-/** A whole core keeper: its register, its listener and its operators' door. Composed here and nowhere else. */
-export const startKeeper = async (parts: KeeperParts): Promise<KeeperProgram> => {
-  const { effects, settings } = parts;
-  const keeper = new CoreKeeper(effects, parts.disk, settings, parts.dialect);
-  const { metrics } = keeper;
+/** Starts a complete control node: the replica, the listener for other processes and the operator API. */
+export const startKeeper = async (options: KeeperParts): Promise<KeeperProgram> => {
+  const { effects, settings } = options;
+  const controlNode = new CoreKeeper(effects, options.disk, settings, options.dialect);
+  const { metrics } = controlNode;
   metrics.watch(() => [
-    ['postdrum_keeper_votes', {}, keeper.core.votes() ? 1 : 0],
-    ...Object.entries(keeper.owners()).map(
+    ['postdrum_keeper_votes', {}, controlNode.core.votes() ? 1 : 0],
+    ...Object.entries(controlNode.owners()).map(
       ([key, { revision, owner }]) => ['postdrum_key_revision', { key, owner }, revision] as const,
     ),
   ]);
   metrics.watch(() => {
-    const { bytes, snapshotBytes, snapshots } = keeper.core.ledger.size;
+    const { bytes, snapshotBytes, snapshots } = controlNode.core.ledger.size;
     return [
       ['postdrum_log_bytes', {}, bytes],
       ['postdrum_log_snapshot_bytes', {}, snapshotBytes],
       ['postdrum_log_snapshots_total', {}, snapshots],
-      ...Object.entries(keeper.replicaStatus().keys).flatMap(([key, { leadsForMicroseconds, takeovers }]) => [
+      ...Object.entries(controlNode.replicaStatus().keys).flatMap(([key, { leadsForMicroseconds, takeovers }]) => [
         ['postdrum_key_leads', { key }, leadsForMicroseconds === null ? 0 : 1] as const,
         ['postdrum_key_takeovers_total', { key }, takeovers] as const,
       ]),
     ];
   });
-  keeper.news.on('broken', parts.broken);
-  const started = await keeper.start();
+  controlNode.news.on('broken', options.broken);
+  const started = await controlNode.start();
   if (started.kind === 'corrupt')
     throw new Error(
       `the file in the data folder is damaged at byte ${started.at}; this keeper must not vote. Empty the folder, and it catches up from the others.`,
@@ -59,15 +60,15 @@
     throw new Error(
       `record ${started.record} of the file in the data folder is not of a form that this build knows; it was written by a later one. Start that build, or empty the folder, and this keeper catches up from the others.`,
     );
-  const door = await OperatorsDoor.open(keeper, parts.words, parts.door, effects.clock, metrics);
+  const operatorApi = await OperatorsDoor.open(controlNode, options.words, options.door, effects.clock, metrics);
   return {
-    keeper,
-    door,
+    keeper: controlNode,
+    door: operatorApi,
     address: started.address,
     stop: async () => {
-      // Why the door first: an operator's call that was read gets its outcome from a keeper that still hears the others.
-      await door.drain();
-      await keeper.leave();
+      // The operator API is drained first, so that calls already read get their outcome while this node still reaches the others.
+      await operatorApi.drain();
+      await controlNode.leave();
       await effects.transport.close();
     },
   };
--- a/tests/control-body-spread.test.ts
+++ b/tests/control-body-spread.test.ts
@@ -1,22 +1,22 @@
-/** Which control nodes send a new configuration to the agents. */
+/** Guards against all agents fetching a new configuration from one control node, whose link would then be the bottleneck. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { blueprintOf, startedFleet } from './support/largeConfiguration';
 
-/** 7 Mbit/s: what a machine's link carries. */
+/** 7 Mbit/s: the capacity of a machine's link. */
 const linkBytesPerSecond = 875_000;
 const agents = 15;
 const routes = 350;
-const settledMicroseconds = 4_000_000;
+const warmUpMicroseconds = 4_000_000;
 
 describe('agents that fetch a new configuration from the control nodes', () => {
-  test('they do not all fetch it from the same one', async () => {
+  test('are spread over the control nodes', async () => {
     const fed = await startedFleet(3, { edges: agents, agents }, linkBytesPerSecond);
     const { fleet, world } = fed;
-    await world.runFor(settledMicroseconds);
+    await world.runFor(warmUpMicroseconds);
     const sent = (): readonly number[] => fleet.keepers.map(({ machine }) => fleet.network.bytesFrom(machine));
     assert.ok((await fleet.take('blueprint', blueprintOf(routes, 'w2'))) !== undefined);
-    // From here on: what the leader sent to the other control nodes does not count.
+    // Counted from here on, so that the leader's traffic to the other control nodes is left out.
     const before = sent();
     await world.runFor(1_000_000);
     const bytes = sent().map((count, index) => count - (before[index] ?? 0));
--- a/tests/control-fuzz.test.ts
+++ b/tests/control-fuzz.test.ts
@@ -1,4 +1,7 @@
-/** What other processes and the disk may say to a control node: valid messages, damaged ones, and files that were written otherwise. */
+/**
+ * Fuzz tests of a control node's inputs: valid and damaged messages of other processes, and log files that are damaged or written
+ * by another build. None of them may change the state wrongly or end the process.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
@@ -19,19 +22,19 @@
 
 const runs = Number(process.env['POSTDRUM_TEST_RUNS'] ?? 60);
 const settings = { numRuns: runs, seed: 20261202 };
-const askMicroseconds = 4_000_000;
+const requestTimeoutMicroseconds = 4_000_000;
 
-const askedOf = async (fleet: ControlFleet, machine: ControlMachine, message: Message): Promise<string> => {
-  const asker = new SimProcess(fleet.world, 'fuzz', '10.9.9.9');
+const responseKindOf = async (fleet: ControlFleet, machine: ControlMachine, message: Message): Promise<string> => {
+  const requester = new SimProcess(fleet.world, 'fuzz', '10.9.9.9');
   let kind = '';
-  asker.enter(
+  requester.enter(
     () =>
       void fleet.network
-        .transportOf(asker)
-        .ask(machine.member.address, message, askMicroseconds)
+        .transportOf(requester)
+        .ask(machine.member.address, message, requestTimeoutMicroseconds)
         .then((answer) => (kind = answer.kind === 'answered' ? answer.message.kind : answer.reason)),
   );
-  await fleet.world.runUntil(() => kind !== '', askMicroseconds + 1_000_000);
+  await fleet.world.runUntil(() => kind !== '', requestTimeoutMicroseconds + 1_000_000);
   return kind;
 };
 
@@ -40,40 +43,40 @@
 
 const asMessage = (value: unknown): Message => value as Message;
 
-const begun = async (): Promise<ControlFleet> => {
+const startedCluster = async (): Promise<ControlFleet> => {
   const fleet = new ControlFleet(31, platformDialect);
   assert.ok(await fleet.begin(3));
   const text = platformDocument(1);
-  const order = { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'first' } as const;
-  assert.equal((await fleet.change(fleet.machine(1), order))?.kind, 'taken');
+  const change = { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'first' } as const;
+  assert.equal((await fleet.change(fleet.machine(1), change))?.kind, 'taken');
   await fleet.world.runFor(2_000_000);
   return fleet;
 };
 
 describe('messages to a control node', () => {
   for (const kind of Asks.kinds)
-    test(`${kind}: what is refused changes nothing, is answered, and the node goes on`, async () => {
-      const fleet = await begun();
+    test(`${kind}: a refused message is answered and changes no state, and the node keeps running`, async () => {
+      const fleet = await startedCluster();
       const machine = fleet.machine(2);
       const own = machine.keeper?.core.state.fleet;
-      // Why all others are away: only the message itself may change the state.
+      // All other nodes are down, so that nothing but the message itself can change the state.
       for (const other of fleet.machines) if (other !== machine) other.kill();
       await fleet.world.runFor(3_000_000);
       const arbitrary = arbitraryOf(Asks.schemaOf(kind)).chain(damaged);
       let refused = 0;
       await fc.assert(
         fc.asyncProperty(arbitrary, async (value) => {
-          // As on a real connection; what cannot be packed never arrives.
+          // Encoded and decoded as on a real connection; a value that cannot be encoded is never received.
           const arrived = asMessage(unpack(pack(value)));
-          // Why of its own fleet: one of another is refused before it is looked at.
+          // The node's own fleet, because messages of other fleets are refused before their contents are checked.
           const message = typeof arrived['fleet'] === 'string' ? { ...arrived, fleet: own } : arrived;
           const read = Asks.read(message);
           if (read.kind === 'good') return;
           refused += 1;
           const state = stateOf(machine);
-          assert.equal(await askedOf(fleet, machine, message), 'refused');
+          assert.equal(await responseKindOf(fleet, machine, message), 'refused');
           assert.equal(stateOf(machine), state);
-          assert.equal(await askedOf(fleet, machine, { kind: 'ping' }), 'pong');
+          assert.equal(await responseKindOf(fleet, machine, { kind: 'ping' }), 'pong');
         }),
         settings,
       );
@@ -83,8 +86,8 @@
         assert.match(page, new RegExp(`postdrum_messages_refused_total\\{message="${kind}"\\} ${refused}`));
     });
 
-  test('valid messages of any kind in any order, also of another fleet and epoch, end no process and are all answered', async () => {
-    const fleet = await begun();
+  test('answers valid messages of all kinds in any order, also of another fleet and epoch, without a crash', async () => {
+    const fleet = await startedCluster();
     const machine = fleet.machine(2);
     const { fleet: own } = machine.keeper?.core.state ?? { fleet: '' };
     const any = fc.oneof(
@@ -98,24 +101,24 @@
       fc.asyncProperty(fc.array(any, { minLength: 1, maxLength: 6 }), async (messages) => {
         for (const message of messages) {
           assert.equal(Asks.read(message).kind, 'good');
-          await askedOf(fleet, machine, message);
+          await responseKindOf(fleet, machine, message);
         }
-        assert.equal(await askedOf(fleet, machine, { kind: 'ping' }), 'pong');
+        assert.equal(await responseKindOf(fleet, machine, { kind: 'ping' }), 'pong');
       }),
       settings,
     );
     assert.equal(machine.exits, 0);
   });
 
-  test('an unknown kind is refused and counted as unknown', async () => {
-    const fleet = await begun();
+  test('refuses a message of unknown kind and counts it as unknown', async () => {
+    const fleet = await startedCluster();
     const machine = fleet.machine(1);
     for (const kind of ['constructor', 'toString', '__proto__', 'of a later build'])
-      assert.equal(await askedOf(fleet, machine, { kind }), 'refused');
+      assert.equal(await responseKindOf(fleet, machine, { kind }), 'refused');
     assert.match(machine.keeper?.metrics.page() ?? '', /postdrum_messages_refused_total\{message="unknown"\} 4/);
   });
 
-  test('an answer that does not fit counts as none', () => {
+  test('ignores a response that does not match its schema', () => {
     for (const kind of Answers.kinds)
       fc.assert(
         fc.property(arbitraryOf(Answers.schemaOf(kind)), (value) => {
@@ -129,14 +132,14 @@
   });
 });
 
-const promises: readonly KeeperEvent[] = [
+const events: readonly KeeperEvent[] = [
   { kind: 'forming', fleet: 'one', members: {} },
   { kind: 'formed' },
   { kind: 'promised', key: 'blueprint', epoch: { number: 1, keeper: 'core-1' } },
   { kind: 'promised', key: 'blueprint', epoch: { number: 2, keeper: 'core-2' } },
 ];
 
-const openedWith = async (bytes: Buffer): Promise<Readonly<{ kind: string; state: unknown }>> => {
+const openLog = async (bytes: Buffer): Promise<Readonly<{ kind: string; state: unknown }>> => {
   const world = new World(1);
   const process = new SimProcess(world, 'core-1', '10.1.0.1');
   const disk = new SimDisk(world).of(process);
@@ -153,12 +156,10 @@
 };
 
 describe('the log of a control node', () => {
-  const whole = promises.map((event) => Records.make([event]));
-  const states = promises.map((_, index) =>
-    promises.slice(0, index + 1).reduce(KeeperStates.reduce, KeeperStates.start),
-  );
+  const whole = events.map((event) => Records.make([event]));
+  const states = events.map((_, index) => events.slice(0, index + 1).reduce(KeeperStates.reduce, KeeperStates.start));
 
-  test('any byte changed, any tail cut: refused, or a prefix of what was written', async () => {
+  test('with any byte changed and any tail cut off, opens as a prefix of the written records or is refused', async () => {
     const bytes = Buffer.concat(whole);
     const prefixes = [KeeperStates.start, ...states].map((state) => JSON.stringify(state));
     await fc.assert(
@@ -169,7 +170,7 @@
         async (at, flip, cut) => {
           const damagedBytes = Buffer.from(bytes.subarray(0, bytes.length - cut));
           if (at < damagedBytes.length) damagedBytes[at] = (damagedBytes[at] ?? 0) ^ flip;
-          const { kind, state } = await openedWith(damagedBytes);
+          const { kind, state } = await openLog(damagedBytes);
           if (kind === 'opened') assert.ok(prefixes.includes(JSON.stringify(state)));
           else assert.ok(kind === 'corrupt' || kind === 'unreadable');
         },
@@ -178,16 +179,16 @@
     );
   });
 
-  test('a record doubled changes nothing', async () => {
+  test('a duplicated record changes nothing', async () => {
     for (const [index, record] of whole.entries()) {
       const bytes = Buffer.concat([...whole.slice(0, index + 1), record]);
-      const { kind, state } = await openedWith(bytes);
+      const { kind, state } = await openLog(bytes);
       assert.equal(kind, 'opened');
       assert.deepEqual(state, states[index]);
     }
   });
 
-  test('a record of a kind or form that this build does not know is refused plainly, wherever it stands', async () => {
+  test('refuses a record of unknown kind or form at any position', async () => {
     const unknown = [
       [{ kind: 'of a later build' }],
       [{ kind: 'promised', key: 'blueprint', epoch: 7 }],
@@ -199,7 +200,7 @@
     for (const body of unknown)
       for (const at of [0, 2, whole.length]) {
         const bytes = Buffer.concat([...whole.slice(0, at), Records.make(body), ...whole.slice(at)]);
-        assert.equal((await openedWith(bytes)).kind, 'unreadable', JSON.stringify(body));
+        assert.equal((await openLog(bytes)).kind, 'unreadable', JSON.stringify(body));
       }
   });
 });
--- a/tests/control-random.test.ts
+++ b/tests/control-random.test.ts
@@ -9,30 +9,30 @@
 
 const rounds = Number(process.env['POSTDRUM_CONTROL_RUNS'] ?? 12);
 
-type Sent = {
+type SentChange = {
   readonly version: number;
   readonly ifMatch: number;
   readonly operator: number;
   outcome: ChangeOutcome | undefined;
 };
 
-/** Two operators that build on what they last read, each repeating one call until it is clear. */
+/** Two operators. Each bases its change on the version that it read last, and repeats one call until its outcome is known. */
 class Operators {
-  public readonly sent: Sent[] = [];
+  public readonly sent: SentChange[] = [];
   private nextVersion = 10;
   private stopped = false;
 
   public constructor(private readonly fleet: ControlFleet) {}
 
   public start(): void {
-    for (const operator of [1, 2]) void this.work(operator);
+    for (const operator of [1, 2]) void this.operateUntilStopped(operator);
   }
 
   public stop(): void {
     this.stopped = true;
   }
 
-  public readonly taken = (): readonly Sent[] => this.sent.filter(({ outcome }) => outcome?.kind === 'taken');
+  public readonly taken = (): readonly SentChange[] => this.sent.filter(({ outcome }) => outcome?.kind === 'taken');
 
   private pause(microseconds: number): Promise<void> {
     return new Promise((resolve) => {
@@ -40,24 +40,24 @@
     });
   }
 
-  private async work(operator: number): Promise<void> {
+  private async operateUntilStopped(operator: number): Promise<void> {
     while (!this.stopped) {
-      const version = await this.current();
+      const version = await this.currentVersion();
       if (version !== undefined) await this.send(operator, version);
       await this.pause(100_000 + Randoms.below(this.fleet.world.random, 500_000));
     }
   }
 
-  private alive(): ControlMachine | undefined {
+  private pickRunningMachine(): ControlMachine | undefined {
     return Randoms.pick(
       this.fleet.world.random,
       this.fleet.machines.filter(({ process }) => process.alive),
     );
   }
 
-  /** As the platform's callers do: a second of silence, then another machine. */
+  /** One call to a random running machine. As in the platform's clients, it fails after a second without an answer. */
   private call<Result>(work: (machine: ControlMachine) => Promise<Result> | undefined): Promise<Result | undefined> {
-    const machine = this.alive();
+    const machine = this.pickRunningMachine();
     return new Promise((resolve) => {
       this.fleet.world.plan(1_000_000, () => resolve(undefined));
       machine?.process.enter(() => {
@@ -69,7 +69,7 @@
     });
   }
 
-  private async current(): Promise<number | undefined> {
+  private async currentVersion(): Promise<number | undefined> {
     const read = await this.call((machine) => machine.keeper?.read('blueprint'));
     if (read?.kind !== 'read') return undefined;
     const { document } = Envelopes.open(read.text);
@@ -78,130 +78,138 @@
 
   private async send(operator: number, ifMatch: number): Promise<void> {
     this.nextVersion += 1 + Randoms.below(this.fleet.world.random, 3);
-    const sent: Sent = { version: this.nextVersion, ifMatch, operator, outcome: undefined };
+    const sent: SentChange = { version: this.nextVersion, ifMatch, operator, outcome: undefined };
     this.sent.push(sent);
     const text = platformDocument(sent.version, { by: operator });
-    const order: ChangeOrder = { key: 'blueprint', form: 'whole', text, ifMatch, id: `${ifMatch} ${text}` };
+    const change: ChangeOrder = { key: 'blueprint', form: 'whole', text, ifMatch, id: `${ifMatch} ${text}` };
     while (!this.stopped && sent.outcome === undefined) {
-      const outcome = await this.call((machine) => machine.keeper?.change(order));
-      const isClear =
+      const outcome = await this.call((machine) => machine.keeper?.change(change));
+      const isKnown =
         outcome?.kind === 'taken' ||
         (outcome?.kind === 'refused' && outcome.reason !== 'noMajority' && outcome.reason !== 'full');
-      if (isClear) sent.outcome = outcome;
+      if (isKnown) sent.outcome = outcome;
       else await this.pause(100_000);
     }
   }
 }
 
-/** One trouble after the other, now and then two at once, never more lost disks than are borne. */
-const troubles = async (fleet: ControlFleet, borne: number, microseconds: number): Promise<void> => {
+/** Faults in sequence, on up to `toleratedFailures` machines at a time, so that no more disks are lost than is tolerated. */
+const injectFaults = async (fleet: ControlFleet, toleratedFailures: number, microseconds: number): Promise<void> => {
   const { world, network } = fleet;
   const until = world.nowMicroseconds + microseconds;
   while (world.nowMicroseconds < until) {
-    const struck = Randoms.shuffled(world.random, fleet.machines).slice(0, 1 + Randoms.below(world.random, borne));
-    const mend: (() => void)[] = [];
-    for (const machine of struck) {
+    const affected = Randoms.shuffled(world.random, fleet.machines).slice(
+      0,
+      1 + Randoms.below(world.random, toleratedFailures),
+    );
+    const repairs: (() => void)[] = [];
+    for (const machine of affected) {
       const kind = Randoms.below(world.random, 8);
       if (kind === 0) {
         machine.kill(false);
-        mend.push(() => machine.start());
+        repairs.push(() => machine.start());
       } else if (kind === 1) {
         machine.kill(true);
-        mend.push(() => machine.start());
+        repairs.push(() => machine.start());
       } else if (kind === 2) {
         machine.kill(true);
         machine.disk.wipe();
-        mend.push(() => machine.start());
+        repairs.push(() => machine.start());
       } else if (kind === 3) {
         machine.process.freeze();
-        mend.push(() => machine.process.thaw());
+        repairs.push(() => machine.process.thaw());
       } else if (kind === 4) {
         machine.disk.faults.stalled = true;
-        mend.push(() => machine.disk.release());
+        repairs.push(() => machine.disk.release());
       } else if (kind === 5) {
         machine.disk.faults.full = true;
-        mend.push(() => void (machine.disk.faults.full = false));
+        repairs.push(() => void (machine.disk.faults.full = false));
       } else if (kind === 6) {
         for (const other of fleet.machines)
           if (other !== machine)
-            mend.push(network.cut(machine.machine, other.machine), network.cut(other.machine, machine.machine));
+            repairs.push(network.cut(machine.machine, other.machine), network.cut(other.machine, machine.machine));
       } else
         for (const other of fleet.machines)
-          if (other !== machine) mend.push(network.cut(other.machine, machine.machine));
+          if (other !== machine) repairs.push(network.cut(other.machine, machine.machine));
     }
     await world.runFor(200_000 + Randoms.below(world.random, 4_000_000));
-    for (const act of mend) act();
-    // Why a pause: a machine counts as lost until it has caught up.
+    for (const repair of repairs) repair();
+    // A pause between faults, because a machine counts as failed until it has caught up.
     await world.runFor(3_000_000 + Randoms.below(world.random, 2_000_000));
   }
 };
 
-const closing = async (fleet: ControlFleet, borne: number): Promise<void> => {
+/** Kills all machines and restarts them; depending on the seed with a power loss, and with wiped disks. */
+const restartAll = async (fleet: ControlFleet, toleratedFailures: number): Promise<void> => {
   const kind = Randoms.below(fleet.world.random, 3);
-  const lost = Randoms.shuffled(fleet.world.random, fleet.machines).slice(0, borne);
+  const wiped = Randoms.shuffled(fleet.world.random, fleet.machines).slice(0, toleratedFailures);
   for (const machine of fleet.machines) machine.kill(kind !== 0);
-  if (kind === 2) for (const machine of lost) machine.disk.wipe();
+  if (kind === 2) for (const machine of wiped) machine.disk.wipe();
   await fleet.world.runFor(200_000 + Randoms.below(fleet.world.random, 1_000_000));
   for (const machine of fleet.machines) machine.start();
 };
 
-const judge = (operators: Operators, text: string): void => {
+const checkHistory = (operators: Operators, text: string): void => {
   const taken = operators.taken();
-  const built = taken.map(({ ifMatch }) => ifMatch);
-  assert.equal(new Set(built).size, built.length, 'two changes on one version were both taken');
+  const basesOfTaken = taken.map(({ ifMatch }) => ifMatch);
+  assert.equal(new Set(basesOfTaken).size, basesOfTaken.length, 'two changes based on one version were both accepted');
   const { document } = Envelopes.open(text);
-  const stands = JSON.parse(document) as { version: number; by: number };
+  const current = JSON.parse(document) as { version: number; by: number };
   const newest = Math.max(0, ...taken.map(({ version }) => version));
-  assert.ok(stands.version >= newest, `version ${stands.version} stands, ${newest} was taken`);
-  assert.equal(document, platformDocument(stands.version, { by: stands.by }), 'not what was sent under its number');
+  assert.ok(current.version >= newest, `version ${current.version} is current although ${newest} was accepted`);
+  assert.equal(
+    document,
+    platformDocument(current.version, { by: current.by }),
+    'the document differs from the one that was sent with its version',
+  );
   const refused = new Set(
     operators.sent.filter(({ outcome }) => outcome?.kind === 'refused').map(({ version }) => version),
   );
-  const seen = [stands.version, ...operators.sent.map(({ ifMatch }) => ifMatch)];
+  const observed = [current.version, ...operators.sent.map(({ ifMatch }) => ifMatch)];
   assert.deepEqual(
-    seen.filter((version) => refused.has(version)),
+    observed.filter((version) => refused.has(version)),
     [],
-    'what was refused was in force',
+    'a refused change was in effect',
   );
 };
 
-for (const [count, borne, spares] of [
+for (const [count, toleratedFailures, standbys] of [
   [3, 1, 0],
   [5, 2, 0],
   [3, 1, 1],
 ] as const)
-  describe(`${count} core machines, ${spares} that stand by, ${borne} lost at once`, () => {
+  describe(`${count} control nodes and ${standbys} standbys with up to ${toleratedFailures} failed at once`, () => {
     for (let seed = 1; seed <= rounds; seed += 1)
       test(`seed ${seed}`, async () => {
         const fleet = new ControlFleet(seed * 7919 + count, platformDialect, { membersWanted: count });
         assert.ok(await fleet.begin(count));
-        for (let number = 0; number < spares; number += 1) fleet.add().start();
+        for (let number = 0; number < standbys; number += 1) fleet.add().start();
         await fleet.world.runFor(1_000_000);
         const operators = new Operators(fleet);
         operators.start();
-        await troubles(fleet, borne, 25_000_000);
+        await injectFaults(fleet, toleratedFailures, 25_000_000);
         const before = operators.taken().length;
-        assert.ok(before >= 3, `only ${before} changes were taken`);
-        // In calm times every order is clear within the limit.
+        assert.ok(before >= 3, `only ${before} changes were accepted`);
+        // Without faults, a change gets its outcome within the limit.
         await fleet.world.runFor(4_000_000);
-        const began = fleet.world.nowMicroseconds;
-        const calm = operators.taken().length;
+        const startMicroseconds = fleet.world.nowMicroseconds;
+        const takenBefore = operators.taken().length;
         assert.ok(
-          await fleet.world.runUntil(() => operators.taken().length > calm, 4_000_000),
-          'no change in calm times',
+          await fleet.world.runUntil(() => operators.taken().length > takenBefore, 4_000_000),
+          'no change was accepted without faults',
         );
-        assert.ok(fleet.world.nowMicroseconds - began < 4_000_000);
-        await closing(fleet, borne);
+        assert.ok(fleet.world.nowMicroseconds - startMicroseconds < 4_000_000);
+        await restartAll(fleet, toleratedFailures);
         operators.stop();
-        const back = fleet.world.nowMicroseconds;
+        const restartMicroseconds = fleet.world.nowMicroseconds;
         let text = '';
-        while (text === '' && fleet.world.nowMicroseconds - back < 8_000_000) {
+        while (text === '' && fleet.world.nowMicroseconds - restartMicroseconds < 8_000_000) {
           const read = await fleet.read(fleet.machine(1 + Randoms.below(fleet.world.random, count)), 1_000_000);
           if (read?.kind === 'read') text = read.text;
           else await fleet.world.runFor(100_000);
         }
-        assert.notEqual(text, '', 'nothing could be read back');
-        judge(operators, text);
+        assert.notEqual(text, '', 'no node answered a read after the restart');
+        checkHistory(operators, text);
         assert.ok(fleet.machines.every(({ exits }) => exits === 0));
       });
   });
--- a/tests/operators-door.test.ts
+++ b/tests/operators-door.test.ts
@@ -18,7 +18,7 @@
 import { TcpTransport } from '../source/shared/effects/transport/tcpTransport';
 import { platformDocument } from './support/platformDocument';
 
-type Answered = Readonly<{ status: number; body: string; headers: http.IncomingHttpHeaders }>;
+type HttpResponse = Readonly<{ status: number; body: string; headers: http.IncomingHttpHeaders }>;
 
 const call = (
   address: string,
@@ -26,10 +26,10 @@
   target: string,
   headers: Readonly<Record<string, string>> = {},
   body = '',
-): Promise<Answered> =>
+): Promise<HttpResponse> =>
   new Promise((resolve, reject) => {
     const [host, port] = address.split(':');
-    const order = http.request(
+    const request = http.request(
       { host, port: Number(port), method, path: target, headers, agent: false },
       (response) => {
         const chunks: Buffer[] = [];
@@ -43,12 +43,12 @@
         );
       },
     );
-    order.on('error', reject);
-    order.end(body);
+    request.on('error', reject);
+    request.end(body);
   });
 
-/** One keeper alone on a real disk and real conns; seeds that are not there leave it without a majority for ever. */
-const withKeeper = async (
+/** Starts a single control node on a real disk and real connections. With unreachable seeds it never gets a majority. */
+const withControlNode = async (
   words: OperatorsWords,
   dialect: Dialect,
   work: (program: KeeperProgram) => Promise<void>,
@@ -81,18 +81,18 @@
   }
 };
 
-/** The same call until it is clear, as operators do. */
-const persist = async (ask: () => Promise<Answered>): Promise<Answered> => {
-  let answered = await ask();
-  for (let turn = 0; answered.status === 503 && turn < 20; turn += 1) answered = await ask();
-  return answered;
+/** Repeats the same call until its outcome is known, as operators do. */
+const retryWhileUnavailable = async (send: () => Promise<HttpResponse>): Promise<HttpResponse> => {
+  let response = await send();
+  for (let attempt = 0; response.status === 503 && attempt < 20; attempt += 1) response = await send();
+  return response;
 };
 
-describe('what every manner of operators gets from the door', () => {
+describe('operator API in each format', () => {
   const own = JSON.stringify(SimBlueprints.first(), undefined, 1);
-  const manners = [
+  const formats = [
     {
-      what: 'own',
+      name: 'own',
       words: ownOperatorsWords,
       dialect: ownDialect,
       path: '/blueprint',
@@ -102,7 +102,7 @@
       after: 1,
     },
     {
-      what: 'platform',
+      name: 'platform',
       words: platformOperatorsWords,
       dialect: platformDialect,
       path: '/-/config',
@@ -112,53 +112,58 @@
       after: 5,
     },
   ];
-  for (const { what, words, dialect, path: target, document, next, headers, after } of manners) {
-    test(`${what}: taken, repeated, read back as sent, a lost race, a broken document, no If-Match`, () =>
-      withKeeper(words, dialect, async ({ door: { address } }) => {
-        const put = (text: string, ifMatch: number, id: string): Promise<Answered> =>
+  for (const { name, words, dialect, path: target, document, next, headers, after } of formats) {
+    test(`${name}: accepts, repeats and returns documents as sent; refuses a stale base, a broken document, a missing If-Match`, () =>
+      withControlNode(words, dialect, async ({ door: { address } }) => {
+        const put = (text: string, ifMatch: number, id: string): Promise<HttpResponse> =>
           call(address, 'PUT', target, headers(ifMatch, id), text);
-        assert.equal((await persist(() => call(address, 'GET', target))).status, 404);
-        assert.equal((await persist(() => put(document, 0, 'a'))).status, 200);
+        assert.equal((await retryWhileUnavailable(() => call(address, 'GET', target))).status, 404);
+        assert.equal((await retryWhileUnavailable(() => put(document, 0, 'a'))).status, 200);
         assert.equal((await put(document, 0, 'a')).status, 200);
         const read = await call(address, 'GET', target);
         assert.deepEqual([read.status, read.body, read.headers['content-type']], [200, document, 'application/json']);
         assert.equal((await put(next, after + 1, 'b')).status, 412);
         const broken = await put(next.slice(0, -3), after, 'c');
         assert.ok([400, 422].includes(broken.status), `${broken.status}`);
-        const bare = await call(address, 'PUT', target, { 'idempotency-key': 'd' }, next);
-        assert.ok([400, 428].includes(bare.status), `${bare.status}`);
+        const withoutIfMatch = await call(address, 'PUT', target, { 'idempotency-key': 'd' }, next);
+        assert.ok([400, 428].includes(withoutIfMatch.status), `${withoutIfMatch.status}`);
         assert.equal((await put(next, after, 'e')).status, 200);
         assert.equal((await call(address, 'GET', target)).body, next);
-        assert.equal((await put(document, 0, 'a')).status, 200, 'the first outcome, though others were taken since');
+        assert.equal(
+          (await put(document, 0, 'a')).status,
+          200,
+          'the first outcome is kept, although other changes were accepted since',
+        );
         assert.equal((await call(address, 'GET', target)).body, next);
       }));
 
-    test(`${what}: without a majority an operator hears soon that nothing is clear, never a refusal`, () =>
-      withKeeper(
+    test(`${name}: without a majority, soon reports an unknown outcome instead of a refusal`, () =>
+      withControlNode(
         words,
         dialect,
         async ({ door: { address } }) => {
-          const began = realClock.nowMicroseconds();
-          const answered = await Promise.all([
+          const startMicroseconds = realClock.nowMicroseconds();
+          const responses = await Promise.all([
             call(address, 'PUT', target, headers(0, 'a'), document),
             call(address, 'GET', target),
           ]);
           assert.deepEqual(
-            answered.map(({ status }) => status),
+            responses.map(({ status }) => status),
             [503, 503],
           );
-          assert.ok(realClock.nowMicroseconds() - began < 3_000_000);
+          assert.ok(realClock.nowMicroseconds() - startMicroseconds < 3_000_000);
         },
         ['127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:3'],
       ));
   }
 });
 
-test('platform: named items and weights, at their own paths', () =>
-  withKeeper(platformOperatorsWords, platformDialect, async ({ keeper, door: { address } }) => {
+test('platform: changes named items and weights at their own paths', () =>
+  withControlNode(platformOperatorsWords, platformDialect, async ({ keeper, door: { address } }) => {
     const target = '/-/config';
     assert.equal(
-      (await persist(() => call(address, 'PUT', target, { 'if-match': '0' }, platformDocument(5)))).status,
+      (await retryWhileUnavailable(() => call(address, 'PUT', target, { 'if-match': '0' }, platformDocument(5))))
+        .status,
       200,
     );
     const patch = JSON.stringify({ version: 6, remove: { routes: ['r-long'] } });
@@ -171,7 +176,7 @@
     );
     assert.equal(read['version'] as unknown, 6);
     assert.equal((await call(address, 'PATCH', target, { 'if-match': '5' }, patch)).status, 200);
-    const weights = (version: number, model = 'model-a'): Promise<Answered> =>
+    const weights = (version: number, model = 'model-a'): Promise<HttpResponse> =>
       call(address, 'POST', '/-/version-put', {}, JSON.stringify({ model, version }));
     assert.equal((await weights(2)).status, 200);
     assert.equal((await weights(2)).status, 200);
--- a/tests/support/controlFleet.ts
+++ b/tests/support/controlFleet.ts
@@ -9,7 +9,7 @@
 import type { Dialect } from '../../source/shared/blueprint/dialect';
 import type { CoreMember } from '../../source/shared/blueprint/types';
 
-/** One core machine: its disk and address outlive its processes. */
+/** A machine that runs a control node. Its disk and address persist across restarts of the process. */
 export class ControlMachine {
   public readonly disk: SimDisk;
   public readonly member: CoreMember;
@@ -61,7 +61,7 @@
   }
 }
 
-const platformLike: Omit<KeeperSettings, 'name' | 'member' | 'seeds'> = {
+const platformSettings: Omit<KeeperSettings, 'name' | 'member' | 'seeds'> = {
   ...KeeperDefaults,
   replaces: '',
   joins: 'asks',
@@ -74,7 +74,7 @@
   isOnlyFleet: true,
 };
 
-/** Core machines alone, on virtual time, with seeds that are told as the platform tells them. */
+/** A cluster of control nodes without agents and proxies, in virtual time, with the platform's settings. */
 export class ControlFleet {
   public readonly world: World;
   public readonly network: SimNetwork;
@@ -89,7 +89,7 @@
   ) {
     this.world = new World(seed);
     this.network = new SimNetwork(this.world);
-    this.settings = { ...platformLike, ...settings };
+    this.settings = { ...platformSettings, ...settings };
   }
 
   public get seeds(): readonly string[] {
@@ -97,9 +97,9 @@
   }
 
   public add(): ControlMachine {
-    const made = new ControlMachine(this, this.machines.length + 1);
-    this.machines.push(made);
-    return made;
+    const machine = new ControlMachine(this, this.machines.length + 1);
+    this.machines.push(machine);
+    return machine;
   }
 
   public machine(number: number): ControlMachine {
@@ -108,12 +108,13 @@
     return found;
   }
 
-  /** So many machines at a first start; true once all of them have a voice and know all others. */
+  /** Starts this many machines for the first time; true once all of them vote and know all others. */
   public async begin(count: number): Promise<boolean> {
     for (let number = 1; number <= count; number += 1) this.add().start(true);
     return this.settled(count, 10_000_000);
   }
 
+  /** Waits until this many machines vote and agree on a settled member list. */
   public settled(count: number, limitMicroseconds: number): Promise<boolean> {
     return this.world.runUntil(() => {
       const voting = this.machines.filter(({ votes }) => votes);
@@ -127,7 +128,7 @@
     }, limitMicroseconds);
   }
 
-  /** What an operator hears of a change sent to one machine; undefined: nothing within the limit. */
+  /** Sends a change to one machine; undefined: no outcome within the limit. */
   public async change(
     machine: ControlMachine,
     order: ChangeOrder,
@@ -158,12 +159,12 @@
     return outcome;
   }
 
-  /** A call whose answer is lost. */
+  /** Sends a change and drops the response. */
   public send(machine: ControlMachine, order: ChangeOrder): void {
     machine.process.enter(() => void machine.keeper?.change(order));
   }
 
-  /** A planned stop: the process ends once it has handed its place over. */
+  /** A planned stop. The process ends after its handover, or at the limit. */
   public async leave(machine: ControlMachine, limitMicroseconds: number): Promise<void> {
     let isOver = false;
     machine.process.enter(() => void machine.keeper?.leave().then(() => (isOver = true)));
@@ -171,21 +172,21 @@
     machine.kill();
   }
 
-  /** As operators do: any machine, a growing pause, the very same call. */
+  /** Repeats the same call on one running machine after the other until its outcome is known, as operators do. */
   public persist(order: ChangeOrder, limitMicroseconds: number): Promise<ChangeOutcome | undefined> {
     return this.persistAt(this.machines, order, limitMicroseconds);
   }
 
-  /** The same, where only some machines are asked. */
+  /** Like `changeWithRetries`, but only on the given machines. */
   public async persistAt(
     machines: readonly ControlMachine[],
     order: ChangeOrder,
     limitMicroseconds: number,
   ): Promise<ChangeOutcome | undefined> {
     const until = this.world.nowMicroseconds + limitMicroseconds;
-    for (let turn = 0; this.world.nowMicroseconds < until; turn += 1) {
+    for (let attempt = 0; this.world.nowMicroseconds < until; attempt += 1) {
       const alive = machines.filter(({ process }) => process.alive);
-      const machine = alive[turn % Math.max(1, alive.length)];
+      const machine = alive[attempt % Math.max(1, alive.length)];
       const outcome = machine === undefined ? undefined : await this.change(machine, order, 1_000_000);
       if (outcome?.kind === 'taken') return outcome;
       if (outcome?.kind === 'refused' && outcome.reason !== 'noMajority' && outcome.reason !== 'full') return outcome;
--- a/tests/support/httpControlNodes.ts
+++ b/tests/support/httpControlNodes.ts
@@ -1,4 +1,3 @@
-/** Three control nodes in this process, with real sockets and disks, whose links to each other a test can cut. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import http from 'node:http';
 import { tmpdir } from 'node:os';
@@ -18,12 +17,14 @@
 const callLimitMilliseconds = 1_000;
 const answerMicroseconds = 850_000;
 
+/** Status 0: no response within the limit. */
 export type HttpAnswer = Readonly<{ status: number; body: string }>;
 
+/** Three control nodes in this process, on real sockets and disks. A test can isolate one of them from the others. */
 export class HttpControlNodes {
   private readonly folder = mkdtempSync(path.join(tmpdir(), 'postdrum-http-nodes-'));
-  private readonly running = new Map<string, KeeperProgram>();
-  private readonly cut = new Set<string>();
+  private readonly runningNodes = new Map<string, KeeperProgram>();
+  private readonly isolatedNodes = new Set<string>();
   private members: readonly Readonly<{ name: string; address: string; operatorsAddress: string }>[] = [];
 
   public get names(): readonly string[] {
@@ -63,28 +64,28 @@
         throw new Error(sentence);
       },
     });
-    this.running.set(name, program);
+    this.runningNodes.set(name, program);
   }
 
   public async stop(name: string): Promise<void> {
-    const program = this.running.get(name);
-    this.running.delete(name);
+    const program = this.runningNodes.get(name);
+    this.runningNodes.delete(name);
     await program?.stop();
   }
 
-  /** Cuts a node off from the others; what is returned heals it. */
+  /** Isolates a node from the others; the returned function reconnects it. */
   public cutOff(name: string): () => void {
-    this.cut.add(name);
-    return () => void this.cut.delete(name);
+    this.isolatedNodes.add(name);
+    return () => void this.isolatedNodes.delete(name);
   }
 
   public async end(): Promise<void> {
-    this.cut.clear();
-    await Promise.all([...this.running.keys()].map((name) => this.stop(name)));
+    this.isolatedNodes.clear();
+    await Promise.all([...this.runningNodes.keys()].map((name) => this.stop(name)));
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  /** Status 0: no answer within a second, as operators count it. */
+  /** One HTTP call with a time limit of a second, after which operators count a call as failed. */
   public call(name: string, method: string, headers: Readonly<Record<string, string>>, body = ''): Promise<HttpAnswer> {
     const [host, port] = this.member(name).operatorsAddress.split(':');
     return new Promise((resolve) => {
@@ -111,7 +112,8 @@
   private transportOf(name: string): Transport {
     const inner = new TcpTransport(realClock);
     const isCut = (address: string): boolean =>
-      this.cut.has(name) || this.members.some((other) => other.address === address && this.cut.has(other.name));
+      this.isolatedNodes.has(name) ||
+      this.members.some((other) => other.address === address && this.isolatedNodes.has(other.name));
     return {
       ask: async (address, message, limit) => {
         if (isCut(address)) return { kind: 'silent', reason: 'cut' };
--- a/tests/support/operatorHistory.ts
+++ b/tests/support/operatorHistory.ts
@@ -1,10 +1,12 @@
 /**
- * What operators asked of a configuration and heard, and whether one register that takes one change after the other could have
- * answered so (linearizability). Versions rise along the chain of accepted changes, so they tell the order of that register.
+ * A history of operators' calls on one configuration, and a check that it is linearizable. Versions increase along the chain of
+ * accepted changes, so they give the order of the changes.
  */
+
+/** One change and the outcome that the operator saw. */
 export type ChangeRecord = Readonly<{
   kind: 'change';
-  /** Tells this change from any other; the document carries it. */
+  /** Identifies the change; the document contains it. */
   mark: string;
   base: number;
   version: number;
@@ -13,15 +15,17 @@
   outcome: 'accepted' | 'refused' | 'unclear';
 }>;
 
+/** One read and the version that it returned. */
 export type ReadRecord = Readonly<{
   kind: 'read';
   version: number;
-  /** The mark of the newest change in the document that was read. */
+  /** The identifier of the newest change in the document that was read. */
   mark: string;
   startedAt: number;
   endedAt: number;
 }>;
 
+/** One call of an operator. */
 export type OperatorRecord = ChangeRecord | ReadRecord;
 
 const changesOf = (history: readonly OperatorRecord[]): readonly ChangeRecord[] =>
@@ -29,7 +33,7 @@
 const readsOf = (history: readonly OperatorRecord[]): readonly ReadRecord[] =>
   history.filter((record) => record.kind === 'read');
 
-const acceptedTwice = (accepted: readonly ChangeRecord[]): readonly string[] =>
+const conflictingAcceptances = (accepted: readonly ChangeRecord[]): readonly string[] =>
   accepted.flatMap((change, index) =>
     accepted
       .slice(0, index)
@@ -37,48 +41,48 @@
       .map((other) => `${other.mark} and ${change.mark} were both accepted on ${change.base} or as ${change.version}`),
   );
 
-const wentBack = (accepted: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] => {
-  const known = [
+const staleReads = (accepted: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] => {
+  const observed = [
     ...accepted.map(({ version, endedAt, mark }) => ({ version, endedAt, what: `accepted ${mark}` })),
     ...reads.map(({ version, endedAt }) => ({ version, endedAt, what: 'a read' })),
   ];
   return reads.flatMap((read) =>
-    known
+    observed
       .filter(({ version, endedAt }) => endedAt < read.startedAt && version > read.version)
-      .map(({ version, what }) => `a read gave ${read.version} after ${what} gave ${version}`),
+      .map(({ version, what }) => `a read returned ${read.version} after ${what} returned ${version}`),
   );
 };
 
-const outOfOrder = (accepted: readonly ChangeRecord[]): readonly string[] =>
+const acceptancesOutOfOrder = (accepted: readonly ChangeRecord[]): readonly string[] =>
   accepted.flatMap((later) =>
     accepted
       .filter((earlier) => earlier.endedAt < later.startedAt && earlier.version > later.version)
       .map((earlier) => `${later.mark} (${later.version}) was accepted after ${earlier.mark} (${earlier.version})`),
   );
 
-const refusedButInForce = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
+const readsOfRefusedChanges = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
   changes
     .filter(({ outcome, mark }) => outcome === 'refused' && reads.some((read) => read.mark === mark))
-    .map(({ mark }) => `${mark} was refused, and was read`);
+    .map(({ mark }) => `${mark} was refused but was read`);
 
-const fromNowhere = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
+const readsOfUnknownChanges = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
   reads
     .filter(
       (read) =>
         read.version > 0 && !changes.some(({ mark, version }) => mark === read.mark && version === read.version),
     )
-    .map(({ version, mark }) => `a read gave ${version} by ${mark}, which nobody sent`);
+    .map(({ version, mark }) => `a read returned ${version} by ${mark}, which was never sent`);
 
-/** Each way in which the history could not be that of one register; empty: it could. */
+/** All violations of linearizability in the history; empty: none found. */
 export const faultsOfHistory = (history: readonly OperatorRecord[]): readonly string[] => {
   const changes = changesOf(history);
   const reads = readsOf(history);
   const accepted = changes.filter(({ outcome }) => outcome === 'accepted');
   return [
-    ...acceptedTwice(accepted),
-    ...wentBack(accepted, reads),
-    ...outOfOrder(accepted),
-    ...refusedButInForce(changes, reads),
-    ...fromNowhere(changes, reads),
+    ...conflictingAcceptances(accepted),
+    ...staleReads(accepted, reads),
+    ...acceptancesOutOfOrder(accepted),
+    ...readsOfRefusedChanges(changes, reads),
+    ...readsOfUnknownChanges(changes, reads),
   ];
 };
--- a/tests/support/schemaArbitrary.ts
+++ b/tests/support/schemaArbitrary.ts
@@ -1,9 +1,12 @@
-/** Values that fit a schema, for fast-check, and damage to them: what another process may send by mistake or by malice. */
+/**
+ * fast-check arbitraries for values that match a schema, and for damaged values such as another process may send by mistake or
+ * on purpose.
+ */
 import { Kind, OptionalKind, type TObject, type TSchema } from '@sinclair/typebox';
 import fc from 'fast-check';
 
 const shortText = fc.string({ maxLength: 12 });
-/** Names that the receiver knows are the more dangerous ones. */
+/** Often names that the receiver knows, since those reach more of its code. */
 const name = fc.oneof(fc.constantFrom('core-1', 'core-2', 'core-3', 'edge-1', '__proto__', ''), shortText);
 
 type AnySchema = TSchema &
@@ -17,7 +20,7 @@
     minimum?: number;
   }>;
 
-const mostItems = 4;
+const maxItems = 4;
 
 const objectOf = (schema: TObject): fc.Arbitrary<unknown> => {
   const fields = Object.entries(schema.properties);
@@ -28,36 +31,37 @@
   });
 };
 
+/** An arbitrary for values that match the schema. */
 export const arbitraryOf = (schema: TSchema): fc.Arbitrary<unknown> => {
-  const given = schema as AnySchema;
-  if (given[Kind] === 'Union') return fc.oneof(...(given.anyOf ?? []).map(arbitraryOf));
-  if (given[Kind] === 'Literal') return fc.constant(given.const);
-  if (given[Kind] === 'Object') return objectOf(schema as TObject);
-  if (given[Kind] === 'Array')
-    return fc.array(arbitraryOf(given.items as TSchema), {
-      maxLength: Math.min(mostItems, given.maxItems ?? mostItems),
+  const typedSchema = schema as AnySchema;
+  if (typedSchema[Kind] === 'Union') return fc.oneof(...(typedSchema.anyOf ?? []).map(arbitraryOf));
+  if (typedSchema[Kind] === 'Literal') return fc.constant(typedSchema.const);
+  if (typedSchema[Kind] === 'Object') return objectOf(schema as TObject);
+  if (typedSchema[Kind] === 'Array')
+    return fc.array(arbitraryOf(typedSchema.items as TSchema), {
+      maxLength: Math.min(maxItems, typedSchema.maxItems ?? maxItems),
     });
-  if (given[Kind] === 'Record')
-    return fc.dictionary(name, arbitraryOf(Object.values(given.patternProperties ?? {})[0] as TSchema), {
-      maxKeys: mostItems,
+  if (typedSchema[Kind] === 'Record')
+    return fc.dictionary(name, arbitraryOf(Object.values(typedSchema.patternProperties ?? {})[0] as TSchema), {
+      maxKeys: maxItems,
       noNullPrototype: true,
     });
-  if (given[Kind] === 'Integer') return fc.integer({ min: given.minimum ?? -5, max: 9 });
-  if (given[Kind] === 'Number') return fc.double({ noNaN: true });
-  if (given[Kind] === 'Boolean') return fc.boolean();
-  if (given[Kind] === 'Null') return fc.constant(null);
-  if (given[Kind] === 'Uint8Array') return fc.uint8Array({ maxLength: 48 });
-  if (given[Kind] === 'String') return name;
+  if (typedSchema[Kind] === 'Integer') return fc.integer({ min: typedSchema.minimum ?? -5, max: 9 });
+  if (typedSchema[Kind] === 'Number') return fc.double({ noNaN: true });
+  if (typedSchema[Kind] === 'Boolean') return fc.boolean();
+  if (typedSchema[Kind] === 'Null') return fc.constant(null);
+  if (typedSchema[Kind] === 'Uint8Array') return fc.uint8Array({ maxLength: 48 });
+  if (typedSchema[Kind] === 'String') return name;
   return fc.anything({ maxDepth: 2 });
 };
 
-const deep = (depth: number): unknown => {
+const nestedObject = (depth: number): unknown => {
   let value: unknown = {};
   for (let level = 0; level < depth; level += 1) value = { deeper: value };
   return value;
 };
 
-const odd: readonly unknown[] = [
+const invalidValues: readonly unknown[] = [
   undefined,
   null,
   -1,
@@ -70,49 +74,53 @@
   'x'.repeat(100_000),
   [],
   {},
-  deep(100),
+  nestedObject(100),
   Array.from({ length: 10_000 }, () => null),
   true,
   new Uint8Array(3),
 ];
 
-/** All places inside a value, the whole excluded. */
-const placesIn = (value: unknown, path: readonly string[] = []): readonly (readonly string[])[] => {
+/** The paths of all fields and items inside a value, without the value itself. */
+const pathsIn = (value: unknown, path: readonly string[] = []): readonly (readonly string[])[] => {
   if (typeof value !== 'object' || value === null || value instanceof Uint8Array)
     return path.length === 0 ? [] : [path];
-  const inner = Object.entries(value).flatMap(([field, item]) => placesIn(item, [...path, field]));
+  const inner = Object.entries(value).flatMap(([field, item]) => pathsIn(item, [...path, field]));
   return path.length === 0 ? inner : [path, ...inner];
 };
 
-const changedAt = (
+const withChangeAt = (
   value: unknown,
   [field, ...rest]: readonly string[],
   change: (item: unknown) => unknown,
 ): unknown => {
   if (field === undefined) return change(value);
-  // A place inside one that was damaged before is gone.
+  // Earlier damage may have replaced the object that this path leads through.
   if (typeof value !== 'object' || value === null) return value;
   if (Array.isArray(value)) {
     const items: unknown[] = [...(value as readonly unknown[])];
-    items[Number(field)] = changedAt(items[Number(field)], rest, change);
+    items[Number(field)] = withChangeAt(items[Number(field)], rest, change);
     return items;
   }
   const copy: Record<string, unknown> = { ...(value as Record<string, unknown>) };
-  copy[field] = changedAt(copy[field], rest, change);
+  copy[field] = withChangeAt(copy[field], rest, change);
   if (copy[field] === undefined) delete copy[field];
   return copy;
 };
 
-/** A value with one to three places dropped, of another type, huge, negative, deep or doubled; `kind` stays. */
+/**
+ * The value with one to three of its fields or items removed or replaced: by another type, or by a huge, negative, deeply nested or
+ * duplicated value. `kind` stays.
+ */
 export const damaged = (value: unknown): fc.Arbitrary<unknown> => {
-  const places = placesIn(value).filter((path) => path.join('.') !== 'kind');
-  if (places.length === 0) return fc.constant(value);
-  const one = fc.tuple(fc.constantFrom(...places), fc.constantFrom(...odd, 'doubled'));
+  const paths = pathsIn(value).filter((path) => path.join('.') !== 'kind');
+  if (paths.length === 0) return fc.constant(value);
+  const damage = fc.tuple(fc.constantFrom(...paths), fc.constantFrom(...invalidValues, 'doubled'));
   return fc
-    .array(one, { minLength: 1, maxLength: 3 })
+    .array(damage, { minLength: 1, maxLength: 3 })
     .map((damages) =>
       damages.reduce<unknown>(
-        (present, [path, what]) => changedAt(present, path, (item) => (what === 'doubled' ? [item, item] : what)),
+        (current, [path, replacement]) =>
+          withChangeAt(current, path, (item) => (replacement === 'doubled' ? [item, item] : replacement)),
         value,
       ),
     );
