--- a/source/core-keeper/coreKeeper.ts
+++ b/source/core-keeper/coreKeeper.ts
@@ -64,7 +64,7 @@
   private readonly members: MemberChanges;
   private readonly tickers: readonly Ticker[];
   private readonly log: Log;
-  private readonly noticeLog: Log;
+  private readonly notice: Log;
   private listener: Listener | undefined;
   private readonly startedMicroseconds: number;
   private readonly agentContacts: AgentContacts;
@@ -88,8 +88,8 @@
     const transport = new FleetTransport(given.transport, () => this.standing.fleet());
     this.effects = { ...given, transport };
     this.log = Logs.part(`keeper:${settings.name}`);
-    this.noticeLog = Logs.part(`keeper:${settings.name}:notice`);
-    this.ledger = new Ledger(disk, clock, this.noticeLog, settings.rewriteBytes);
+    this.notice = Logs.part(`keeper:${settings.name}:notice`);
+    this.ledger = new Ledger(disk, clock, this.notice, settings.rewriteBytes);
     this.core = new KeeperCore(settings.name, this.ledger, clock);
     this.acceptor = new Acceptor(this.core);
     this.entryTransfer = new EntryTransfer(this.core, this.acceptor, transport, settings.askMicroseconds);
@@ -101,7 +101,7 @@
       this.core,
       clock,
       settings.ownerSilentMicroseconds * quorumTimeoutMultiplier,
-      LimitedLogs.of(this.noticeLog, clock),
+      LimitedLogs.of(this.notice, clock),
     );
     this.members = new MemberChanges(
       this.core,
@@ -131,7 +131,7 @@
         isOnlyFleet: settings.isOnlyFleet,
         foundingPatienceMicroseconds: settings.foundingPatienceMicroseconds,
       },
-      this.noticeLog,
+      this.notice,
       () => this.duties.waitOneLease(settings.leaseMicroseconds),
     );
     this.agentContacts = new AgentContacts(clock);
@@ -177,7 +177,7 @@
           clock,
           random,
           ownershipSettings,
-          LimitedLogs.of(this.noticeLog, clock),
+          LimitedLogs.of(this.notice, clock),
         ),
       ]),
     );
@@ -242,7 +242,7 @@
       },
       this.startedMicroseconds,
       this.metrics,
-      LimitedLogs.of(this.noticeLog, clock),
+      LimitedLogs.of(this.notice, clock),
     );
     const failed = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
     this.tickers = [
--- a/source/core-keeper/messages/messageHandler.ts
+++ b/source/core-keeper/messages/messageHandler.ts
@@ -61,13 +61,13 @@
    */
   public handle(message: Message): Promise<Message> | Message {
     const parsed = Asks.read(message);
-    if (parsed.kind === 'good') return this.respond(parsed.ask);
+    if (parsed.kind === 'good') return this.answer(parsed.ask);
     this.metrics.count('postdrum_messages_refused_total', { message: parsed.of });
     this.refusalLog(`Message refused: kind ${parsed.of}, ${parsed.fault}.`);
     return { kind: 'refused' };
   }
 
-  private respond(request: Ask): Promise<Message> | Message {
+  private answer(request: Ask): Promise<Message> | Message {
     switch (request.kind) {
       case 'hello':
         return this.parts.standing.hello(request.asker);
@@ -91,20 +91,18 @@
       case 'words':
         return this.replicaStatements(request);
       case 'body':
-        return this.bodyResponse(request);
+        return this.body(request);
       case 'ballots':
         return this.vote(request);
       case 'withdraw':
         this.parts.duties.withdraw(request.ballots);
         return { kind: 'heard' };
       case 'change':
-        return this.changeResponse(this.parts.changeRouter.changeAsLeader(request.order));
+        return this.changed(this.parts.changeRouter.changeAsLeader(request.order));
       case 'relayChange':
-        return this.changeResponse(this.parts.changeRouter.changeFromMember(request.order));
+        return this.changed(this.parts.changeRouter.changeFromMember(request.order));
       case 'passChange':
-        return this.parts.core.votes()
-          ? this.changeResponse(this.parts.changeRouter.change(request.order))
-          : noVoteResponse;
+        return this.parts.core.votes() ? this.changed(this.parts.changeRouter.change(request.order)) : noVoteResponse;
       case 'entry':
         return this.parts.entryTransfer.give(request.key);
       case 'replace':
@@ -114,7 +112,7 @@
       case 'memberLeaves':
         return this.isOwnFleet(request.fleet) ? this.parts.members.hearLeaving(request.keeper) : noVoteResponse;
       case 'mayLead':
-        return this.preVote(request);
+        return this.mayLead(request);
       case 'silentMembers':
         return this.parts.core.votes()
           ? { kind: 'silentMembers', silent: this.parts.memberWatch.silent(), fleet: this.parts.core.state.fleet }
@@ -133,7 +131,7 @@
     return fleet === this.parts.core.state.fleet;
   }
 
-  private async changeResponse(change: Promise<ChangeOutcome | undefined>): Promise<Message> {
+  private async changed(change: Promise<ChangeOutcome | undefined>): Promise<Message> {
     return { kind: 'changed', outcome: (await change) ?? null };
   }
 
@@ -150,16 +148,14 @@
   }
 
   private async vote({ ballots, membersRevision = 0 }: Ask<'ballots'>): Promise<Message> {
-    const results = await this.parts.duties.vote(ballots, membersRevision);
+    const answers = await this.parts.duties.vote(ballots, membersRevision);
     const view = this.parts.core.members();
     // The newer member list is included, so that the candidate need not wait for its next read to learn it.
-    return membersRevision < view.revision
-      ? { kind: 'ballots', answers: results, view }
-      : { kind: 'ballots', answers: results };
+    return membersRevision < view.revision ? { kind: 'ballots', answers, view } : { kind: 'ballots', answers };
   }
 
   /** Pre-vote: whether this node votes in the candidate's fleet, and whether it hears a leader other than the candidate. */
-  private preVote({ key, fleet, candidate }: Ask<'mayLead'>): Message {
+  private mayLead({ key, fleet, candidate }: Ask<'mayLead'>): Message {
     if (!this.parts.core.votes() || !this.isOwnFleet(fleet)) return noVoteResponse;
     const wouldDepose = this.parts.leaderWatch.wouldDepose(key, candidate);
     return {
@@ -169,7 +165,7 @@
     };
   }
 
-  private replicaStatements({ own, fleet = '', known: knownDigest }: Ask<'words'>): Message {
+  private replicaStatements({ own, fleet = '', known: readerDigest }: Ask<'words'>): Message {
     // Agents send this request several times a second, so recording them here keeps the operators' list of agents complete.
     this.parts.agentContacts.hear(own);
     // Without a vote this node gives no statements: while it is catching up, they could hide accepted changes.
@@ -179,15 +175,15 @@
     const response = this.parts.replicaReport.wordsAnswer();
     // The digest leaves out the ages, which grow with time; the reader advances them itself. It includes the start time, so that
     // the reader notices a restart, after which this node has forgotten its agent contacts.
-    const digest = Digests.of(
+    const known = Digests.of(
       JSON.stringify([this.startedMicroseconds, response], (field, value: unknown) =>
         field === 'ageMicroseconds' ? value === null : value,
       ),
     );
-    return knownDigest === digest ? { kind: 'wordsSame', known: digest } : { ...response, known: digest };
+    return readerDigest === known ? { kind: 'wordsSame', known } : { ...response, known };
   }
 
-  private bodyResponse({ key, digest }: Ask<'body'>): Message {
+  private body({ key, digest }: Ask<'body'>): Message {
     const { core, recentEntries } = this.parts;
     const acceptedEntry = KeeperStates.cell(core.state, key).accepted?.entry;
     const entry = acceptedEntry?.digest === digest ? acceptedEntry : recentEntries.find(key, digest);
--- a/source/core-keeper/operators/operatorsDoor.ts
+++ b/source/core-keeper/operators/operatorsDoor.ts
@@ -78,30 +78,30 @@
       sendResponse(response, apiFormat.document(await controlNode.read(key, settings.answerMicroseconds || undefined)));
 
     const handleChange = async (
-      route: ChangePlace,
+      place: ChangePlace,
       request: IncomingMessage,
       response: ServerResponse,
     ): Promise<void> => {
-      const refused = apiFormat.head(route, request.headers);
+      const refused = apiFormat.head(place, request.headers);
       if (refused !== undefined) return sendResponse(response, refused);
       const body = await HttpDoors.body(request, BlueprintLimits.textBytes);
       if (body.kind !== 'read') return sendResponse(response, apiFormat.unreadable(body.kind));
-      const parsed = apiFormat.order({ place: route, headers: request.headers, text: body.text });
+      const parsed = apiFormat.order({ place, headers: request.headers, text: body.text });
       if (parsed.kind === 'refused') return sendResponse(response, parsed.answer);
       // The wait is limited because an operator that gets no answer gives up. The change continues and keeps its outcome.
       const outcome = (await withinAnswerLimit(body.text.length, controlNode.change(parsed.order))) ?? {
         kind: 'pending',
       };
-      metrics.count('postdrum_changes_total', { key: route.key, outcome: outcome.kind });
+      metrics.count('postdrum_changes_total', { key: place.key, outcome: outcome.kind });
       sendResponse(response, apiFormat.outcome(outcome));
     };
 
     return HttpDoors.open(settings.address, HttpLimits.usual, (service) => {
       for (const { path, key } of apiFormat.reads)
         service.get(path, (_request, response) => handleRead(key, response as unknown as ServerResponse));
-      for (const route of apiFormat.changes)
-        service[route.method](route.path, (request: unknown, response: unknown) =>
-          handleChange(route, request as IncomingMessage, response as ServerResponse),
+      for (const place of apiFormat.changes)
+        service[place.method](place.path, (request: unknown, response: unknown) =>
+          handleChange(place, request as IncomingMessage, response as ServerResponse),
         );
       addStatusRoutes(service, controlNode, metrics);
     });
