--- a/source/core-keeper/coreKeeper.ts
+++ b/source/core-keeper/coreKeeper.ts
@@ -77,16 +77,16 @@
   private readonly messageHandler: MessageHandler;
 
   public constructor(
-    given: Effects,
+    baseEffects: Effects,
     disk: Disk,
     private readonly settings: KeeperSettings,
-    givenDialect: Dialect = ownDialect,
+    uncachedDialect: Dialect = ownDialect,
   ) {
-    const dialect = rememberingDialect(givenDialect);
-    const { clock, random } = given;
+    const dialect = rememberingDialect(uncachedDialect);
+    const { clock, random } = baseEffects;
     this.startedMicroseconds = clock.nowMicroseconds();
-    const transport = new FleetTransport(given.transport, () => this.standing.fleet());
-    this.effects = { ...given, transport };
+    const transport = new FleetTransport(baseEffects.transport, () => this.standing.fleet());
+    this.effects = { ...baseEffects, transport };
     this.log = Logs.part(`keeper:${settings.name}`);
     this.notice = Logs.part(`keeper:${settings.name}:notice`);
     this.ledger = new Ledger(disk, clock, this.notice, settings.rewriteBytes);
@@ -158,7 +158,7 @@
       clock,
       settings,
     );
-    const ownershipSettings = {
+    const leadershipSettings = {
       askMicroseconds: settings.askMicroseconds,
       changeMicroseconds: settings.changeMicroseconds,
       firstMembersText: () => this.firstMembersText(),
@@ -176,7 +176,7 @@
           transport,
           clock,
           random,
-          ownershipSettings,
+          leadershipSettings,
           LimitedLogs.of(this.notice, clock),
         ),
       ]),
@@ -244,31 +244,31 @@
       this.metrics,
       LimitedLogs.of(this.notice, clock),
     );
-    const failed = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
+    const logFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
     this.tickers = [
       new Ticker(
         clock,
         () => (this.core.votes() ? 1_000_000 : this.standing.ledMembers().length > 0 ? 400_000 : 150_000),
         () => this.advanceMembership(),
-        failed,
+        logFailure,
       ),
       new Ticker(
         clock,
         () => settings.heartbeatMicroseconds,
         () => this.sendHeartbeats(),
-        failed,
+        logFailure,
       ),
       new Ticker(
         clock,
         () => memberChangePeriodMicroseconds,
         () => this.members.step(),
-        failed,
+        logFailure,
       ),
       new Ticker(
         clock,
         () => 100_000 + Math.floor(random.fraction() * 100_000),
         () => this.vacancies.fill(),
-        failed,
+        logFailure,
       ),
     ];
   }
--- a/source/core-keeper/operators/ownWords.ts
+++ b/source/core-keeper/operators/ownWords.ts
@@ -37,8 +37,8 @@
   }
 };
 
-const outcomeResponse = (outcome: DoorOutcome): DoorAnswer => {
-  if (outcome.kind === 'pending') return outcomeResponse({ kind: 'unknown' });
+const formatOutcome = (outcome: DoorOutcome): DoorAnswer => {
+  if (outcome.kind === 'pending') return formatOutcome({ kind: 'unknown' });
   const status = statusOf(outcome);
   const headers: Record<string, string> =
     outcome.kind === 'taken' ? { etag: `"${outcome.revision}"` } : status === 503 ? { 'retry-after': '2' } : {};
@@ -61,7 +61,7 @@
   return typeof id === 'string' && /^[!-~]{1,128}$/.test(id) ? id : undefined;
 };
 
-const checkHeaders = (_route: ChangePlace, headers: IncomingHttpHeaders): DoorAnswer | undefined => {
+const findHeaderFault = (_route: ChangePlace, headers: IncomingHttpHeaders): DoorAnswer | undefined => {
   if (parseRevision(headers['if-match']) === undefined)
     return refusalResponse(428, 'If-Match with the revision you read is needed; "0" where nothing was taken yet');
   if (parseChangeId(headers) === undefined)
@@ -69,12 +69,12 @@
   return undefined;
 };
 
-const parseChange = ({ place: { key, form }, headers, text }: ChangeCall): OrderRead => ({
+const parseNativeChange = ({ place: { key, form }, headers, text }: ChangeCall): OrderRead => ({
   kind: 'order',
   order: { key, form, text, ifMatch: parseRevision(headers['if-match']) ?? 0, id: parseChangeId(headers) ?? '' },
 });
 
-const documentResponse = (outcome: ReadOutcome): DoorAnswer => {
+const formatDocument = (outcome: ReadOutcome): DoorAnswer => {
   if (outcome.kind === 'noMajority')
     return jsonResponse(503, { error: 'no majority of keepers answers' }, { 'retry-after': '2' });
   if (outcome.revision === 0)
@@ -94,12 +94,12 @@
     { method: 'put', path, key, form: 'whole' },
     { method: 'patch', path, key, form: 'pieces' },
   ]),
-  head: checkHeaders,
-  order: parseChange,
+  head: findHeaderFault,
+  order: parseNativeChange,
   unreadable: (reason) =>
     reason === 'tooLarge'
       ? refusalResponse(413, `longer than ${BlueprintLimits.textBytes} bytes`)
       : refusalResponse(400, 'the body broke off'),
-  outcome: outcomeResponse,
-  document: documentResponse,
+  outcome: formatOutcome,
+  document: formatDocument,
 };
--- a/tests/control-random.test.ts
+++ b/tests/control-random.test.ts
@@ -1,3 +1,4 @@
+/** Guards against lost, undone or conflicting changes while random faults hit the control nodes, their disks and their links. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
--- a/tests/operators-linearizable.test.ts
+++ b/tests/operators-linearizable.test.ts
@@ -46,13 +46,13 @@
     const { status, body } = await this.nodes.call(pick(this.random, this.nodes.names), 'GET', {});
     if (status !== 200 && status !== 404) return undefined;
     const stored = status === 404 ? { version: 0, by: '' } : (JSON.parse(body) as StoredDocument);
-    const record = {
+    const record: ReadRecord = {
       kind: 'read',
       version: stored.version,
       mark: stored.by,
       startedAt,
       endedAt: performance.now(),
-    } as const;
+    };
     this.history.push(record);
     return record;
   }
