--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -19,7 +19,7 @@
 import { Pulses } from '../shared/news/pulses';
 import { FleetPace } from '../shared/pace/fleetPace';
 import { SettingsChanges } from '../shared/settings/settingsChange';
-import { CoreLink } from './core-link/coreLink';
+import { ControlLink } from './control-link/controlLink';
 import { EngineListDefaults, EngineListKeeper, type EngineListSettings } from './engine-list/engineListKeeper';
 import type { EngineLister } from './engine-list/engineLister';
 import { Membership } from './membership/membership';
@@ -27,10 +27,10 @@
 import { AgentPages } from './pages/agentPages';
 import { FedProxies } from './proxies/fedProxies';
 import { LoadTotals } from './proxies/loadTotals';
-import { DutyHolder } from './stewards/dutyHolder';
-import { EventReaderDefaults } from './stewards/eventReader';
-import { HeldStewardDefaults } from './stewards/heldSteward';
-import { Stewardship } from './stewards/stewardship';
+import { LeaseHolder } from './leases/leaseHolder';
+import { EventReaderDefaults } from './engine-control/eventReader';
+import { LongPollControllerDefaults } from './engine-control/longPollEngineController';
+import { LeaseManager } from './leases/leaseManager';
 
 /** Settings of one agent. */
 export type AgentSettings = Readonly<{
@@ -122,10 +122,10 @@
   listMicroseconds: 500_000,
   listAskMicroseconds: EngineListDefaults.askMicroseconds,
   listLagMicroseconds: EngineListDefaults.lagMicroseconds,
-  directiveWaitMicroseconds: HeldStewardDefaults.directiveWaitMicroseconds,
-  weightsWithinMicroseconds: HeldStewardDefaults.weightsWithinMicroseconds,
-  statusMicroseconds: HeldStewardDefaults.statusMicroseconds,
-  leastPart: HeldStewardDefaults.leastPart,
+  directiveWaitMicroseconds: LongPollControllerDefaults.directiveWaitMicroseconds,
+  weightsWithinMicroseconds: LongPollControllerDefaults.weightsWithinMicroseconds,
+  statusMicroseconds: LongPollControllerDefaults.statusMicroseconds,
+  leastPart: LongPollControllerDefaults.leastPart,
 } as const;
 
 /**
@@ -161,11 +161,11 @@
   public readonly shards = new ShardBook();
   public readonly freshness: Freshness;
   public readonly pulses: Pulses;
-  public readonly link: CoreLink;
+  public readonly link: ControlLink;
   public readonly membership: Membership;
-  public readonly stewardship: Stewardship;
+  public readonly stewardship: LeaseManager;
   private readonly exchange: NewsExchange;
-  private readonly duties: DutyHolder;
+  private readonly duties: LeaseHolder;
   private readonly requestScheduler: WorkDesk;
   private readonly proxies: FedProxies;
   private readonly loadTotals: LoadTotals;
@@ -196,7 +196,7 @@
     this.standstills = new StandstillWatch(clock, this.notice);
     this.freshness = new Freshness(clock, dialect, settings.engineList);
     this.pulses = new Pulses(clock);
-    this.link = new CoreLink(
+    this.link = new ControlLink(
       effects,
       this.fleet,
       this.freshness,
@@ -221,7 +221,7 @@
     this.requestScheduler = new WorkDesk(clock);
     this.membership = new Membership(self, this.facts, clock, settings, this.log);
     this.loadTotals = new LoadTotals(this.facts, clock, random);
-    this.proxies = new FedProxies(this.facts, clock, settings, (agent) => this.membership.alive(agent));
+    this.proxies = new FedProxies(this.facts, clock, settings, (agent) => this.membership.isPresent(agent));
     this.exchange = new NewsExchange(
       {
         fleet: this.fleet,
@@ -232,14 +232,14 @@
       },
       effects,
     );
-    this.duties = new DutyHolder(
+    this.duties = new LeaseHolder(
       settings.name,
       this.link,
       effects,
       { leaseMicroseconds: settings.leaseMicroseconds, askMicroseconds: settings.readAskMicroseconds },
       this.notice,
     );
-    this.stewardship = new Stewardship(
+    this.stewardship = new LeaseManager(
       settings.name,
       this.duties,
       this.membership,
@@ -253,15 +253,15 @@
         ...settings,
         askMicroseconds: settings.tendAskMicroseconds,
         readsList: settings.engineList === 'listed',
-        held: {
-          ...HeldStewardDefaults,
+        longPoll: {
+          ...LongPollControllerDefaults,
           askMicroseconds: settings.tendAskMicroseconds,
           events: EventReaderDefaults,
           directiveWaitMicroseconds: settings.directiveWaitMicroseconds,
           weightsWithinMicroseconds: settings.weightsWithinMicroseconds,
           statusMicroseconds: settings.statusMicroseconds,
           leastPart: settings.leastPart,
-          markMicroseconds: () => HeldStewardDefaults.markMicroseconds() * this.proxyIntervalFactor(maxGossipFactor),
+          publishAheadMicroseconds: () => LongPollControllerDefaults.publishAheadMicroseconds() * this.proxyIntervalFactor(maxGossipFactor),
         },
       },
       this.log,
@@ -285,8 +285,8 @@
       [() => this.standstills.planned(settings.readMicroseconds), () => this.read()],
       [() => this.gossipIntervalMicroseconds(), () => this.news()],
       [() => settings.watchMicroseconds * this.intervalFactor(maxProbeFactor), () => this.probeMembers()],
-      [() => settings.ballotMicroseconds * this.intervalFactor(maxLeaseRequestFactor), () => this.stewardship.ballot()],
-      [() => settings.tendMicroseconds, () => this.stewardship.tend()],
+      [() => settings.ballotMicroseconds * this.intervalFactor(maxLeaseRequestFactor), () => this.stewardship.renewLeases()],
+      [() => settings.tendMicroseconds, () => this.stewardship.reconcile()],
     ];
     // The interval is short while no list is known because requests wait for it; later only the age of the list is checked.
     const listInterval = (): number =>
@@ -313,8 +313,8 @@
   public settingsAre(given: AgentSettings): void {
     const change = SettingsChanges.of(this.settings, given, changeableSettings);
     this.settings = change.settings;
-    this.link.seedsAre(this.settings.seeds);
-    this.stewardship.weightsWithinIs(this.settings.weightsWithinMicroseconds);
+    this.link.setSeeds(this.settings.seeds);
+    this.stewardship.setWeightsLimit(this.settings.weightsWithinMicroseconds);
     this.engineList?.settingsAre(this.engineListSettings());
     const sentence = SettingsChanges.sentence(change);
     if (sentence !== undefined) this.notice(sentence);
@@ -341,7 +341,7 @@
     await this.stewardship.resign();
     this.membership.leave();
     await Promise.all(
-      this.membership.colleagues().map(({ address }) => this.exchange.ask(address, this.settings.newsAskMicroseconds)),
+      this.membership.gossipPeers().map(({ address }) => this.exchange.ask(address, this.settings.newsAskMicroseconds)),
     );
     await this.stop();
   }
@@ -368,17 +368,17 @@
   }
 
   private async news(): Promise<void> {
-    this.membership.defend();
+    this.membership.refuteSuspicion();
     this.membership.tick();
     this.requestScheduler.keepOnly(Object.keys(this.freshness.engines?.engines ?? {}));
-    const colleagues = this.membership.colleagues();
+    const colleagues = this.membership.gossipPeers();
     // A seed is asked until another agent is known, and once in 25 exchanges after that, so that two partitions find each
     // other again.
     const asksSeed = colleagues.length === 0 || this.exchangeCount % 25 === 24;
     const otherSeeds = this.settings.seeds.filter((seed) => seed !== this.settings.address);
     const farEvery = this.farEvery();
     const isAnyZone = this.exchangeCount % farEvery === 0;
-    const zonePeers = isAnyZone ? [] : this.membership.neighbours();
+    const zonePeers = isAnyZone ? [] : this.membership.zonePeers();
     const peers = zonePeers.length > 0 ? zonePeers : colleagues;
     const address = asksSeed
       ? otherSeeds[Math.floor(this.exchangeCount / 25 + this.exchangeCount) % Math.max(1, otherSeeds.length)]
@@ -434,12 +434,12 @@
   private async probeMembers(): Promise<void> {
     this.proxies.review();
     await Promise.all(
-      this.membership.watched().map(async ({ name, address }) => {
+      this.membership.probeTargets().map(async ({ name, address }) => {
         const answer = await this.effects.transport.ask(address, { kind: 'ping' }, this.settings.newsAskMicroseconds);
-        if (answer.kind === 'answered') return this.membership.heard(name);
-        if (!this.membership.unheard(name)) return;
+        if (answer.kind === 'answered') return this.membership.recordAnswer(name);
+        if (!this.membership.recordFailedProbe(name)) return;
         const proberAgents = this.membership
-          .colleagues()
+          .gossipPeers()
           .filter((helper) => helper.name !== name)
           .slice(0, 2);
         const probes = await Promise.all(
@@ -452,7 +452,7 @@
           ),
         );
         if (probes.some((item) => item.kind === 'answered' && item.message['reached'] === true))
-          this.membership.heard(name);
+          this.membership.recordAnswer(name);
         else this.membership.suspect(name);
       }),
     );
@@ -520,7 +520,7 @@
 
   private async grant(message: Message): Promise<GrantAnswer> {
     const engine = String(message['engine']);
-    const controller = this.stewardship.steward(engine);
+    const controller = this.stewardship.controller(engine);
     if (controller !== undefined)
       return controller.grant(
         String(message['fill']),
@@ -548,9 +548,9 @@
     const remote = new Map<string, number[]>();
     const missed: number[] = [];
     for (const [index, note] of notes.entries()) {
-      const controller = this.stewardship.steward(note.holder);
+      const controller = this.stewardship.controller(note.holder);
       if (controller !== undefined) {
-        controller.note(note);
+        controller.recordNote(note);
         continue;
       }
       const address = this.membership.member(this.stewardship.holderOf(note.holder)?.holder ?? '')?.address;
