--- a/source/core-keeper/write-ahead-log/replicaState.ts
+++ b/source/core-keeper/write-ahead-log/replicaState.ts
@@ -144,7 +144,7 @@
     firstSeeds: [],
   } as ReplicaState,
   acceptorState: (state: ReplicaState, key: DocumentKey): AcceptorState => state.cells[key] ?? emptyAcceptorState,
-  isNewer: isNewer,
+  isNewer,
 
   /** The newest member list that this replica accepted or learned; null while the founding members are current. */
   newestMembers: (state: ReplicaState): Accepted | null =>
