--- a/source/core-keeper/write-ahead-log/recordCodec.ts
+++ b/source/core-keeper/write-ahead-log/recordCodec.ts
@@ -6,7 +6,7 @@
  * Each sync covers one record, so a power failure can leave at most the last record incomplete.
  */
 const headerBytes = 12;
-const maxBodyBytes = 64 * 1024 * 1024;
+const maxRecordBodyBytes = 64 * 1024 * 1024;
 
 /** `corrupt`: a synced record at offset `at` is damaged. An incomplete record at the end is left out of `length`, which counts bytes. */
 export type DecodedRecords =
@@ -16,7 +16,7 @@
 const recordAt = (bytes: Buffer, at: number): Readonly<{ body: Buffer; end: number }> | undefined => {
   if (at + headerBytes > bytes.length) return undefined;
   const length = bytes.readUInt32BE(at);
-  if (length === 0 || length > maxBodyBytes || crc32(bytes.subarray(at, at + 4)) !== bytes.readUInt32BE(at + 4))
+  if (length === 0 || length > maxRecordBodyBytes || crc32(bytes.subarray(at, at + 4)) !== bytes.readUInt32BE(at + 4))
     return undefined;
   const end = at + headerBytes + length;
   if (end > bytes.length) return undefined;
@@ -28,7 +28,7 @@
 const hasHeaderAt = (bytes: Buffer, at: number): boolean => {
   if (at + 8 > bytes.length) return false;
   const length = bytes.readUInt32BE(at);
-  return length > 0 && length <= maxBodyBytes && crc32(bytes.subarray(at, at + 4)) === bytes.readUInt32BE(at + 4);
+  return length > 0 && length <= maxRecordBodyBytes && crc32(bytes.subarray(at, at + 4)) === bytes.readUInt32BE(at + 4);
 };
 
 export const RecordCodec = {
--- a/tests/clocks.test.ts
+++ b/tests/clocks.test.ts
@@ -122,8 +122,8 @@
   });
   const member = { address: '10.1.0.1:1', operatorsAddress: '10.1.0.1:2', zone: '' };
   const link = {
-    keepers: () => ({ k: member }),
-    sets: () => [['k']],
+    controlNodes: () => ({ k: member }),
+    memberSets: () => [['k']],
     membersRevision: () => 0,
   } as unknown as ControlLink;
   const holderOf = (name: string, drift: number): LeaseHolder => {
--- a/tests/held-past-timeout.test.ts
+++ b/tests/held-past-timeout.test.ts
@@ -32,7 +32,7 @@
   );
   const policy = TakePolicies.take(
     desk,
-    { stillStands: () => ({ kind: 'stands' }) } as unknown as RequestIdentifier,
+    { revalidate: () => ({ kind: 'stands' }) } as unknown as RequestIdentifier,
     () => ({}) as RetryBudget,
   );
   const began = world.nowMicroseconds;
@@ -44,7 +44,7 @@
         arrivedMicroseconds: began,
         ...(callerMicroseconds === undefined ? {} : { limitMicroseconds: callerMicroseconds }),
       },
-      answer: { whenGone: () => undefined },
+      answer: { onClientGone: () => undefined },
       resolved: {
         tenant: 't',
         mapping: {
@@ -53,8 +53,8 @@
           ...(routeMicroseconds === undefined ? {} : { limitMicroseconds: routeMicroseconds }),
         },
       },
-      turnKept: false,
-      owesSend: false,
+      keepsQueuePosition: false,
+      owesRetryBudget: false,
     } as unknown as RequestContext)
     .then((found) => {
       step = found;
--- a/tests/parts-planner.test.ts
+++ b/tests/parts-planner.test.ts
@@ -21,7 +21,7 @@
   service: pool,
   trustDomain: 'shared',
   mapping: { service: 'pool' },
-  under,
+  resolvedWith: under,
 } as unknown as ResolvedRequest;
 const order = {
   id: 'o',
--- a/tests/support/model/leaseModel.ts
+++ b/tests/support/model/leaseModel.ts
@@ -195,9 +195,9 @@
     };
     const link = {
       membersRevision: () => 0,
-      sets: () => view.sets,
-      keepers: () => view.members,
-      learnView: () => undefined,
+      memberSets: () => view.sets,
+      controlNodes: () => view.members,
+      updateMembersView: () => undefined,
     } as unknown as ControlLink;
     const effects = {
       clock: this.clock(1000 - driftPerMille),
--- a/tests/support/sendStage.ts
+++ b/tests/support/sendStage.ts
@@ -117,7 +117,7 @@
       fetch: noFetch,
       sends: 0,
       rounds: 0,
-      avoided: [],
+      avoidedEngines: [],
       mayHaveRun: false,
     } as unknown as RequestContext;
     void policy.apply(context).then((step) => {
--- a/tests/unused-duties-pruned.test.ts
+++ b/tests/unused-duties-pruned.test.ts
@@ -184,8 +184,8 @@
     });
     const member = { address: '10.1.0.1:1', operatorsAddress: '10.1.0.1:2', zone: '' };
     const link = {
-      keepers: () => ({ k: member }),
-      sets: () => [['k']],
+      controlNodes: () => ({ k: member }),
+      memberSets: () => [['k']],
       membersRevision: () => 0,
     } as unknown as ControlLink;
     const agent = new SimProcess(world, 'a', '10.2.0.1');
