--- a/source/core-keeper/main.ts
+++ b/source/core-keeper/main.ts
@@ -68,6 +68,8 @@
       process.exit(4);
     },
   });
-  noticeLog(`Control node ${text('name')} listens on ${program.address}; operator API on ${program.operatorApi.address}.`);
+  noticeLog(
+    `Control node ${text('name')} listens on ${program.address}; operator API on ${program.operatorApi.address}.`,
+  );
   Programs.onTerm(Number(settings['stopLimitMicroseconds']), program.stop);
 });
--- a/source/core-keeper/membership/fleetMembership.ts
+++ b/source/core-keeper/membership/fleetMembership.ts
@@ -131,7 +131,12 @@
   }
 
   /** Sends the state to a joining replica, once its new incarnation is on this disk, so that answers of its earlier one no longer count. */
-  public async transferState({ keeper, incarnation, fleet, membersRevision }: ControlRequest<'frame'>): Promise<Message> {
+  public async transferState({
+    keeper,
+    incarnation,
+    fleet,
+    membersRevision,
+  }: ControlRequest<'frame'>): Promise<Message> {
     if (!this.core.votes() || fleet !== this.core.state.fleet) return { kind: 'noVote' };
     // Refused: under an older member list this replica could still accept a value that the transferred state would lack.
     if (this.core.members().revision < membersRevision) return { kind: 'noVote' };
--- a/source/core-keeper/membership/memberChanges.ts
+++ b/source/core-keeper/membership/memberChanges.ts
@@ -230,7 +230,9 @@
   private async checkMember(
     name: string,
     address: string,
-  ): Promise<Readonly<{ name: string; hello: ControlResponse<'hello'> | undefined; silent: readonly string[] | undefined }>> {
+  ): Promise<
+    Readonly<{ name: string; hello: ControlResponse<'hello'> | undefined; silent: readonly string[] | undefined }>
+  > {
     const ask = (message: Message): ReturnType<Transport['ask']> =>
       this.transport.ask(address, message, this.settings.askMicroseconds);
     const [hello, silent] = await Promise.all([
--- a/source/core-keeper/operators/operatorApi.ts
+++ b/source/core-keeper/operators/operatorApi.ts
@@ -75,7 +75,10 @@
 
     const handleRead = async (key: DocumentKey, response: ServerResponse): Promise<void> =>
       // The limit ends the read itself, so that no read continues after its caller has given up.
-      sendResponse(response, apiFormat.documentResponse(await controlNode.read(key, settings.answerMicroseconds || undefined)));
+      sendResponse(
+        response,
+        apiFormat.documentResponse(await controlNode.read(key, settings.answerMicroseconds || undefined)),
+      );
 
     const handleChange = async (
       changeRoute: ChangeRoute,
--- a/source/core-keeper/register/changeRouter.ts
+++ b/source/core-keeper/register/changeRouter.ts
@@ -42,7 +42,10 @@
 /** Routes an operator's change to the leader of its key; a repeated request joins the attempt in progress. */
 export class ChangeRouter {
   /** Changes requested at this node that have no outcome yet, by all fields that identify a change except its text. */
-  private readonly changesInProgress = new Map<string, Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>>();
+  private readonly changesInProgress = new Map<
+    string,
+    Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>
+  >();
 
   public constructor(
     private readonly node: ChangeNode,
@@ -106,7 +109,10 @@
     const address = addresses[Math.floor(this.random.fraction() * addresses.length)];
     if (address === undefined) return undefined;
     const message = { kind: 'relayChange', order };
-    const changed = ControlResponses.read(await this.transport.ask(address, message, this.limits.passMicroseconds), 'changed');
+    const changed = ControlResponses.read(
+      await this.transport.ask(address, message, this.limits.passMicroseconds),
+      'changed',
+    );
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
--- a/source/core-keeper/write-ahead-log/replicaState.ts
+++ b/source/core-keeper/write-ahead-log/replicaState.ts
@@ -144,14 +144,15 @@
     firstSeeds: [],
   } as ReplicaState,
   acceptorState: (state: ReplicaState, key: DocumentKey): AcceptorState => state.cells[key] ?? emptyAcceptorState,
-  isNewer: isNewer,
+  isNewer,
 
   /** The newest member list that this replica accepted or learned; null while the founding members are current. */
   newestMembers: (state: ReplicaState): Accepted | null =>
     newest(ReplicaStates.acceptorState(state, 'core-members').accepted, state.learnedMembers),
 
   /** The highest term of a duty, which a new grant must exceed, and its holder; the holder is empty if it was never granted or was removed. */
-  dutyTerm: ({ duties, dutyFloor }: ReplicaState, duty: string): DutyTerm => duties[duty] ?? { term: dutyFloor, holder: '' },
+  dutyTerm: ({ duties, dutyFloor }: ReplicaState, duty: string): DutyTerm =>
+    duties[duty] ?? { term: dutyFloor, holder: '' },
 
   /** Applies an event to the durable state; every change goes through this function. */
   apply: (state: ReplicaState, event: ReplicaEvent): ReplicaState => {
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -261,7 +261,8 @@
           weightsWithinMicroseconds: settings.weightsWithinMicroseconds,
           statusMicroseconds: settings.statusMicroseconds,
           leastPart: settings.leastPart,
-          publishAheadMicroseconds: () => LongPollControllerDefaults.publishAheadMicroseconds() * this.proxyIntervalFactor(maxGossipFactor),
+          publishAheadMicroseconds: () =>
+            LongPollControllerDefaults.publishAheadMicroseconds() * this.proxyIntervalFactor(maxGossipFactor),
         },
       },
       this.log,
@@ -285,7 +286,10 @@
       [() => this.standstills.planned(settings.readMicroseconds), () => this.read()],
       [() => this.gossipIntervalMicroseconds(), () => this.news()],
       [() => settings.watchMicroseconds * this.intervalFactor(maxProbeFactor), () => this.probeMembers()],
-      [() => settings.ballotMicroseconds * this.intervalFactor(maxLeaseRequestFactor), () => this.stewardship.renewLeases()],
+      [
+        () => settings.ballotMicroseconds * this.intervalFactor(maxLeaseRequestFactor),
+        () => this.stewardship.renewLeases(),
+      ],
       [() => settings.tendMicroseconds, () => this.stewardship.reconcile()],
     ];
     // The interval is short while no list is known because requests wait for it; later only the age of the list is checked.
--- a/source/edge-proxy/fetch/partsPlanner.ts
+++ b/source/edge-proxy/fetch/partsPlanner.ts
@@ -28,7 +28,12 @@
     private readonly demand: DemandView,
   ) {}
 
-  public plan(placed: PlacedRequest, { service, resolvedWith: under }: ResolvedRequest, keys: PromptKeys, lookUp: LookUp): FetchPlan {
+  public plan(
+    placed: PlacedRequest,
+    { service, resolvedWith: under }: ResolvedRequest,
+    keys: PromptKeys,
+    lookUp: LookUp,
+  ): FetchPlan {
     const salt = keys.salt(placed.weights);
     const parts = keys.parts(placed.weights);
     if (parts.length === 0 || service.kind !== 'pool') return { ...noFetch, salt };
--- a/source/edge-proxy/pipeline/pipeline.ts
+++ b/source/edge-proxy/pipeline/pipeline.ts
@@ -30,7 +30,10 @@
   }
 
   /** On return, `last` holds the context of the last step. */
-  private async runPolicies(last: { context: RequestContext }, trace: RequestTrace | undefined): Promise<Refusal | undefined> {
+  private async runPolicies(
+    last: { context: RequestContext },
+    trace: RequestTrace | undefined,
+  ): Promise<Refusal | undefined> {
     let { context } = last;
     let index = 0;
     try {
--- a/source/edge-proxy/placement/placementCosts.ts
+++ b/source/edge-proxy/placement/placementCosts.ts
@@ -111,7 +111,11 @@
  * request ends before other proxies hear of it, so in a large fleet the engine with the least known load would get the requests of all
  * proxies until its next load update. Reserved engines and the others are sampled separately, so that both groups are compared.
  */
-const comparedOffers = (offers: readonly PlacementOffer[], proxies: number, random: Random): readonly PlacementOffer[] => {
+const comparedOffers = (
+  offers: readonly PlacementOffer[],
+  proxies: number,
+  random: Random,
+): readonly PlacementOffer[] => {
   if (!PlacementCosts.hasStaleLoads(proxies)) return offers;
   const sampledFraction = (maxProxiesWithFreshLoads / proxies) ** 2;
   return [true, false].flatMap((lane) => {
@@ -130,7 +134,12 @@
   hasStaleLoads: (proxies: number): boolean => proxies > maxProxiesWithFreshLoads,
 
   /** The total cost of an offer. */
-  cost: (offer: PlacementOffer, needs: RequestNeeds, home: string | undefined, settings: PlacementCostSettings): number => {
+  cost: (
+    offer: PlacementOffer,
+    needs: RequestNeeds,
+    home: string | undefined,
+    settings: PlacementCostSettings,
+  ): number => {
     const { work, tokensToPrefill: toRead, tokensPerMillisecond } = offer;
     const prefillMicroseconds = ((work.pendingPrefillTokens + toRead) * 1000) / tokensPerMillisecond;
     return (
@@ -197,7 +206,9 @@
     /** Number of proxies that choose by the same load figures. */
     proxies = 1,
   ): PlacementOffer | undefined => {
-    const isCached = offers.some(({ matched, importDelayMicroseconds: moveMicroseconds }) => matched > 0 || moveMicroseconds > 0);
+    const isCached = offers.some(
+      ({ matched, importDelayMicroseconds: moveMicroseconds }) => matched > 0 || moveMicroseconds > 0,
+    );
     const home = isCached ? undefined : (needs.places?.[0] ?? PlacementCosts.defaultEngineOf(needs.parts, offers));
     // Jitter keeps proxies that see the same figures from all choosing the same engine. It grows with the number of proxies because all
     // of them use load figures that are half a second old, and the engine with the least load then would get all requests.
--- a/source/edge-proxy/placement/placements.ts
+++ b/source/edge-proxy/placement/placements.ts
@@ -7,7 +7,11 @@
 /** Strategy that chooses one of the candidates; selected by a setting. */
 export interface Placement {
   readonly name: string;
-  readonly choose: (candidates: readonly ScoredCandidate[], blocks: number, random: Random) => ScoredCandidate | undefined;
+  readonly choose: (
+    candidates: readonly ScoredCandidate[],
+    blocks: number,
+    random: Random,
+  ) => ScoredCandidate | undefined;
 }
 
 const loadOf = ({ likelyInFlight, capacity }: ScoredCandidate): number => likelyInFlight / Math.max(1, capacity);
--- a/tests/operator-api.test.ts
+++ b/tests/operator-api.test.ts
@@ -159,31 +159,35 @@
 });
 
 test('platform: changes named items and weights at their own paths', () =>
-  withControlNode(platformOperatorsWords, platformDialect, async ({ controlNode: keeper, operatorApi: { address } }) => {
-    const target = '/-/config';
-    assert.equal(
-      (await retryWhileUnavailable(() => call(address, 'PUT', target, { 'if-match': '0' }, platformDocument(5))))
-        .status,
-      200,
-    );
-    const patch = JSON.stringify({ version: 6, remove: { routes: ['r-long'] } });
-    const patched = await call(address, 'PATCH', target, { 'if-match': '5' }, patch);
-    assert.equal(patched.status, 200);
-    const read = JSON.parse((await call(address, 'GET', target)).body) as Record<string, { name: string }[]>;
-    assert.deepEqual(
-      read['routes']?.map(({ name }) => name),
-      ['r-split'],
-    );
-    assert.equal(read['version'] as unknown, 6);
-    assert.equal((await call(address, 'PATCH', target, { 'if-match': '5' }, patch)).status, 200);
-    const weights = (version: number, model = 'model-a'): Promise<HttpResponse> =>
-      call(address, 'POST', '/-/version-put', {}, JSON.stringify({ model, version }));
-    assert.equal((await weights(2)).status, 200);
-    assert.equal((await weights(2)).status, 200);
-    assert.equal((await weights(1)).status, 200);
-    assert.equal((await weights(2, 'nobody')).status, 400);
-    assert.deepEqual(JSON.parse((await call(address, 'GET', target)).body), read);
-    const stored = await keeper.read('blueprint');
-    assert.ok(stored.kind === 'read' && stored.text.startsWith('{"model-a":2}\n'));
-    assert.equal((await call(address, 'GET', '/-/nothing')).status, 404);
-  }));
+  withControlNode(
+    platformOperatorsWords,
+    platformDialect,
+    async ({ controlNode: keeper, operatorApi: { address } }) => {
+      const target = '/-/config';
+      assert.equal(
+        (await retryWhileUnavailable(() => call(address, 'PUT', target, { 'if-match': '0' }, platformDocument(5))))
+          .status,
+        200,
+      );
+      const patch = JSON.stringify({ version: 6, remove: { routes: ['r-long'] } });
+      const patched = await call(address, 'PATCH', target, { 'if-match': '5' }, patch);
+      assert.equal(patched.status, 200);
+      const read = JSON.parse((await call(address, 'GET', target)).body) as Record<string, { name: string }[]>;
+      assert.deepEqual(
+        read['routes']?.map(({ name }) => name),
+        ['r-split'],
+      );
+      assert.equal(read['version'] as unknown, 6);
+      assert.equal((await call(address, 'PATCH', target, { 'if-match': '5' }, patch)).status, 200);
+      const weights = (version: number, model = 'model-a'): Promise<HttpResponse> =>
+        call(address, 'POST', '/-/version-put', {}, JSON.stringify({ model, version }));
+      assert.equal((await weights(2)).status, 200);
+      assert.equal((await weights(2)).status, 200);
+      assert.equal((await weights(1)).status, 200);
+      assert.equal((await weights(2, 'nobody')).status, 400);
+      assert.deepEqual(JSON.parse((await call(address, 'GET', target)).body), read);
+      const stored = await keeper.read('blueprint');
+      assert.ok(stored.kind === 'read' && stored.text.startsWith('{"model-a":2}\n'));
+      assert.equal((await call(address, 'GET', '/-/nothing')).status, 404);
+    },
+  ));
--- a/tests/operators-linearizable.test.ts
+++ b/tests/operators-linearizable.test.ts
@@ -6,7 +6,12 @@
 import { describe, test } from 'node:test';
 import { seededRandom, type Random } from '../source/shared/effects/random/random';
 import { HttpControlNodes } from './support/httpControlNodes';
-import { linearizabilityViolations, type ChangeRecord, type OperatorRecord, type ReadRecord } from './support/operatorHistory';
+import {
+  linearizabilityViolations,
+  type ChangeRecord,
+  type OperatorRecord,
+  type ReadRecord,
+} from './support/operatorHistory';
 import { platformDocument } from './support/platformDocument';
 
 const operatorCount = 8;
--- a/tests/owner-links.test.ts
+++ b/tests/owner-links.test.ts
@@ -4,7 +4,8 @@
 import { ownDialect } from '../source/shared/blueprint/dialect';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 
-const isOwner = ({ controlNode: keeper, name }: ControlMachine): boolean => keeper?.keyLeaders()['blueprint']?.owner === name;
+const isOwner = ({ controlNode: keeper, name }: ControlMachine): boolean =>
+  keeper?.keyLeaders()['blueprint']?.owner === name;
 
 /** From now on the first so many accepts to a machine are lost with their conn, as when a link was just mended. */
 const breakAccepts = (
--- a/tests/policies.test.ts
+++ b/tests/policies.test.ts
@@ -510,7 +510,10 @@
 });
 
 test('a majority read names a revision only when it is known to stand', () => {
-  const judge = (answers: readonly StatementsAnswer[], applied?: { revision: number; digest: string }): readonly number[] =>
+  const judge = (
+    answers: readonly StatementsAnswer[],
+    applied?: { revision: number; digest: string },
+  ): readonly number[] =>
     MajorityReads.evaluate(answers, 'f', () => applied).statements.map(({ revision }) => revision);
   assert.deepEqual(judge([answer('a', 0, {}, 1, 2)]), [], 'one keeper is no majority');
   assert.deepEqual(judge([answer('a', 0, {}, 1, 2), answer('b', 0, {}, 1, 2)]), [2]);
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -233,7 +233,11 @@
         'if (!this.isMajority(view, sound)) return;',
         'if (sound.length < 1) return;',
       ],
-      ['core-keeper/membership/fleetMembership.ts', 'if (!this.isMajority(view, frames)) return;', 'frames.length = 0;'],
+      [
+        'core-keeper/membership/fleetMembership.ts',
+        'if (!this.isMajority(view, frames)) return;',
+        'frames.length = 0;',
+      ],
     ],
   },
   {
