--- a/source/edge-proxy/door/callerWords.ts
+++ b/source/edge-proxy/door/callerWords.ts
@@ -2,37 +2,39 @@
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { Order } from '../path/order';
 
-/** One order's head as it came, header names in lower case. */
+/** Method, target and headers of a client's request as received, with header names in lower case. */
 export type CallerHead = Readonly<{
   method: string;
   target: string;
   headers: Readonly<Record<string, string>>;
 }>;
 
-/** An order as its head tells it; the body and the time are the door's to add. */
+/** A request as parsed from its head; the server adds the body and the arrival time. */
 export type HeadOrder = Omit<Order, 'body' | 'arrivedMicroseconds'>;
 
+/** What a request head asks for: a request to proxy, a built-in page, or nothing that can be served. */
 export type CallerRead =
   | Readonly<{ kind: 'order'; order: HeadOrder }>
-  /** A page of the daemon's own. */
+  /** A page that the proxy itself serves. */
   | Readonly<{ kind: 'page'; page: 'health' | 'metrics' }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>;
 
+/** The HTTP response for a refusal. */
 export type CallerRefusal = Readonly<{ status: number; headers: Readonly<Record<string, string>>; body: string }>;
 
-/** How callers say an order, and how they are told that there is no answer. Pure: names and formats, no decisions. */
+/** Format of the HTTP API for clients: how requests are parsed and refusals are written. Pure functions. */
 export interface CallerWords {
   readonly read: (head: CallerHead, random: Random) => CallerRead;
   readonly refusal: (refusal: Refusal) => CallerRefusal;
-  /** Bodies stay the bytes they are; otherwise they are text. */
+  /** Whether bodies are kept as bytes; otherwise they are decoded as UTF-8 text. */
   readonly rawBodies: boolean;
-  /** Whether a key is looked at before the body is read. */
+  /** Whether the API key is checked before the body is read. */
   readonly keyFirst: boolean;
 }
 
-const bearer = (header: string): string => (header.startsWith('Bearer ') ? header.slice(7).trim() : '');
+const bearerToken = (header: string): string => (header.startsWith('Bearer ') ? header.slice(7).trim() : '');
 
-/** The product's own interface. */
+/** The native HTTP API of the proxy. */
 export const ChatCallerWords: CallerWords = {
   read: ({ method, target, headers }, random) => {
     const path = target.split('?', 1)[0] ?? '/';
@@ -44,7 +46,7 @@
         id: random.name(),
         method,
         path,
-        key: bearer(headers['authorization'] ?? ''),
+        key: bearerToken(headers['authorization'] ?? ''),
         contentType: headers['content-type'] ?? '',
       },
     };
@@ -53,7 +55,7 @@
     status: refusal.status,
     headers: {
       ...Refusals.headers(refusal),
-      // Why rounded up: this interface speaks of whole seconds.
+      // Rounded up because this API gives `retry-after` in whole seconds.
       ...(refusal.retryAfterSeconds === undefined
         ? {}
         : { 'retry-after': String(Math.ceil(refusal.retryAfterSeconds)) }),
--- a/source/edge-proxy/door/callersDoor.ts
+++ b/source/edge-proxy/door/callersDoor.ts
@@ -12,6 +12,7 @@
 import { ChatCallerWords, type CallerWords } from './callerWords';
 import { DoorLimits } from './doorLimits';
 
+/** The listening HTTP server for clients. */
 export type CallersDoor = Readonly<{
   address: string;
   drain: (plan?: DrainPlan) => Promise<void>;
@@ -20,49 +21,49 @@
 
 export type DoorOptions = Readonly<{
   words: CallerWords;
-  /** What operators say of callers; it may change while the door is open. */
+  /** The operators' limits on clients; they may change while the server runs. */
   limits: () => CallerLimits | undefined;
 }>;
 
-/** The caller's side of one order over HTTP. */
-class HttpAnswer implements AnswerSink {
-  private left = false;
-  private written = false;
-  private readonly onGone: (() => void)[] = [];
+/** Writes the response to one HTTP request of a client. */
+class HttpResponseSink implements AnswerSink {
+  private clientGone = false;
+  private bodyStarted = false;
+  private readonly goneListeners: (() => void)[] = [];
 
   public constructor(
     private readonly response: ServerResponse,
     private readonly words: CallerWords,
-    private readonly connHeaders: () => Readonly<Record<string, string>>,
+    private readonly connectionHeaders: () => Readonly<Record<string, string>>,
   ) {
     response.on('close', () => {
       if (response.writableFinished) return;
-      this.left = true;
-      for (const act of this.onGone.splice(0)) act();
+      this.clientGone = true;
+      for (const listener of this.goneListeners.splice(0)) listener();
     });
   }
 
   public readonly begun = (): boolean => this.response.headersSent;
-  public readonly gone = (): boolean => this.left;
+  public readonly gone = (): boolean => this.clientGone;
 
-  public readonly whenGone = (act: () => void): void => {
-    if (this.left) act();
-    else this.onGone.push(act);
+  public readonly whenGone = (listener: () => void): void => {
+    if (this.clientGone) listener();
+    else this.goneListeners.push(listener);
   };
 
   public readonly head: AnswerSink['head'] = ({ status, headers }) => {
-    if (this.left) return;
-    this.response.writeHead(status, { ...headers, ...this.connHeaders() });
-    // Why not at once: the first part mostly comes right behind it, and both go out together.
+    if (this.clientGone) return;
+    this.response.writeHead(status, { ...headers, ...this.connectionHeaders() });
+    // The head is not flushed at once because the first part usually follows in the same tick and both go out together.
     process.nextTick(() => {
-      if (!this.written && !this.response.destroyed) this.response.flushHeaders();
+      if (!this.bodyStarted && !this.response.destroyed) this.response.flushHeaders();
     });
   };
 
   public readonly part = (bytes: Uint8Array): Promise<void> | undefined => {
-    this.written = true;
-    if (this.left || this.response.write(bytes)) return undefined;
-    // Why wait: a slow reader holds the engine back, it does not fill this process.
+    this.bodyStarted = true;
+    if (this.clientGone || this.response.write(bytes)) return undefined;
+    // Backpressure: a slow client slows the engine down instead of filling the memory of this process.
     return new Promise((resolve) => {
       this.response.once('drain', resolve);
       this.whenGone(resolve);
@@ -70,36 +71,36 @@
   };
 
   public readonly end = (): void => {
-    this.written = true;
+    this.bodyStarted = true;
     this.response.end();
   };
 
   public readonly cut = (): void => {
-    // Why destroy: without the last chunk the caller sees that the answer broke off.
+    // Without the last chunk the client sees that the response was cut off.
     this.response.destroy();
   };
 
   public readonly refuse = (refusal: Refusal): void => {
-    this.written = true;
+    this.bodyStarted = true;
     const { status, headers, body } = this.words.refusal(refusal);
-    Replies.text(this.response, status, body, { ...headers, ...this.connHeaders() });
+    Replies.text(this.response, status, body, { ...headers, ...this.connectionHeaders() });
   };
 }
 
-const headersIn = (order: IncomingMessage): Readonly<Record<string, string>> => {
+const headersOf = (request: IncomingMessage): Readonly<Record<string, string>> => {
   const headers: Record<string, string> = {};
-  for (const [name, value] of Object.entries(order.headers))
+  for (const [name, value] of Object.entries(request.headers))
     if (value !== undefined) headers[name] = typeof value === 'string' ? value : value.join(', ');
   return headers;
 };
 
-/** When an order that a stopping proxy refuses may be sent again: at once, to another one. */
-const stoppingSeconds = 0.05;
+/** `retry-after` of a request that a stopping proxy refuses: the client may retry at once at another proxy. */
+const stoppingRetryAfterSeconds = 0.05;
 
-/** Reads orders from one listener and hands them to the proxy. */
-class Door {
+/** Reads requests from one listener and passes them to the proxy. */
+class RequestListener {
   public readonly server: HttpServer;
-  private stop: Readonly<{ beganMicroseconds: number; plan: DrainPlan }> | undefined;
+  private shutdown: Readonly<{ startedMicroseconds: number; plan: DrainPlan }> | undefined;
 
   public constructor(
     private readonly proxy: EdgeProxy,
@@ -109,101 +110,110 @@
     private readonly random: Random,
   ) {
     this.server = new HttpServer(() => limits.http());
-    this.server.server.on('request', (order: IncomingMessage, response: ServerResponse) => {
-      // Why never rejected: what fails inside ends as a refusal or a cut answer.
-      this.take(order, response).catch(() => response.destroy());
+    this.server.server.on('request', (request: IncomingMessage, response: ServerResponse) => {
+      // Failures while handling a request already end as a refusal or a cut response; this only closes the connection.
+      this.handle(request, response).catch(() => response.destroy());
     });
   }
 
   public drain(plan: DrainPlan | undefined): Promise<void> {
-    if (plan !== undefined) this.stop = { beganMicroseconds: this.clock.nowMicroseconds(), plan };
+    if (plan !== undefined) this.shutdown = { startedMicroseconds: this.clock.nowMicroseconds(), plan };
     return this.server.drain(plan, this.clock);
   }
 
-  /** Whether an order that comes now may still run when a stop ends. */
-  private mayOutlastStop(limitMicroseconds: number | undefined): boolean {
-    const lastOrders = this.stop?.plan.lastOrders;
-    if (this.stop === undefined || lastOrders === undefined || limitMicroseconds === undefined) return false;
-    const passed = this.clock.nowMicroseconds() - this.stop.beganMicroseconds;
-    return passed > lastOrders.afterMicroseconds && passed + limitMicroseconds > lastOrders.endMicroseconds;
+  /** Whether a request with this time limit that arrives now may still be running when the shutdown ends. */
+  private mayOutlastShutdown(limitMicroseconds: number | undefined): boolean {
+    const lastOrders = this.shutdown?.plan.lastOrders;
+    if (this.shutdown === undefined || lastOrders === undefined || limitMicroseconds === undefined) return false;
+    const elapsedMicroseconds = this.clock.nowMicroseconds() - this.shutdown.startedMicroseconds;
+    return (
+      elapsedMicroseconds > lastOrders.afterMicroseconds &&
+      elapsedMicroseconds + limitMicroseconds > lastOrders.endMicroseconds
+    );
   }
 
-  private async take(order: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { proxy, words, clock } = this;
     const arrivedMicroseconds = clock.nowMicroseconds();
-    const answer = new HttpAnswer(response, words, () => this.connHeaders(response));
-    const refuse = (refusal: Refusal, readOn = true): void => {
+    const sink = new HttpResponseSink(response, words, () => this.connectionHeaders(response));
+    const refuse = (refusal: Refusal, drainsBody = true): void => {
       proxy.metrics.count('postdrum_refusals_total', { code: refusal.code, verdict: refusal.verdict });
-      // Why not close the conn: a caller still writing its body would see a reset instead of this answer. What is
-      // left of the body is thrown away as it comes, bounded by the time that a body may take.
-      if (readOn && !order.complete) response.shouldKeepAlive = true;
-      answer.refuse(refusal);
+      // The connection stays open because a client that is still writing its body would see a reset instead of this
+      // response. The rest of the body is discarded as it arrives, bounded by the time limit of a body.
+      if (drainsBody && !request.complete) response.shouldKeepAlive = true;
+      sink.refuse(refusal);
     };
-    if (this.server.crowded(order))
+    if (this.server.crowded(request))
       return refuse(Refusals.make(429, 'notRun', 'holdingFull', 'Too many orders wait on this conn.', 1));
-    const read = words.read(
-      { method: order.method ?? 'POST', target: order.url ?? '/', headers: headersIn(order) },
+    const parsed = words.read(
+      { method: request.method ?? 'POST', target: request.url ?? '/', headers: headersOf(request) },
       this.random,
     );
-    if (read.kind === 'page') return this.page(read.page, response);
-    if (read.kind === 'refuse') return refuse(read.refusal);
+    if (parsed.kind === 'page') return this.servePage(parsed.page, response);
+    if (parsed.kind === 'refuse') return refuse(parsed.refusal);
     if (words.keyFirst) {
-      const tenant = proxy.identifier.tenantOf(read.order.key);
+      const tenant = proxy.identifier.tenantOf(parsed.order.key);
       if (tenant.kind === 'refuse') return refuse(tenant.refusal);
     }
-    const most = this.limits.bodyBytes();
-    const body = await Bodies.bytes(order, most);
+    const maxBytes = this.limits.bodyBytes();
+    const body = await Bodies.bytes(request, maxBytes);
     if (body.kind === 'tooLarge')
-      return refuse(Refusals.make(413, 'notRun', 'tooLarge', `A body has at most ${most} bytes.`));
+      return refuse(Refusals.make(413, 'notRun', 'tooLarge', `A body has at most ${maxBytes} bytes.`));
     if (body.kind === 'broken') {
-      if (body.status === undefined) return answer.cut();
+      if (body.status === undefined) return sink.cut();
       return refuse(Refusals.make(body.status, 'notRun', 'badBody', 'The body cannot be read.'), false);
     }
-    // Why after the body: its conn ends with this answer, and a caller that still writes would see a reset instead.
-    if (this.mayOutlastStop(read.order.limitMicroseconds))
-      return refuse(Refusals.make(503, 'notRun', 'stopping', 'This proxy stops.', stoppingSeconds));
+    // Checked after the body because this response closes the connection, and a client that is still writing would see
+    // a reset instead.
+    if (this.mayOutlastShutdown(parsed.order.limitMicroseconds))
+      return refuse(Refusals.make(503, 'notRun', 'stopping', 'This proxy stops.', stoppingRetryAfterSeconds));
     await proxy.handle(
       {
-        ...read.order,
+        ...parsed.order,
         body: words.rawBodies ? body.bytes : body.bytes.toString('utf8'),
-        // Why the head's time where the caller names its own limit: that runs while it writes its body.
-        arrivedMicroseconds: read.order.limitMicroseconds === undefined ? clock.nowMicroseconds() : arrivedMicroseconds,
+        // A client's own deadline runs while it writes its body, so it counts from the arrival of the head.
+        arrivedMicroseconds:
+          parsed.order.limitMicroseconds === undefined ? clock.nowMicroseconds() : arrivedMicroseconds,
       },
-      answer,
+      sink,
     );
   }
 
-  /** An idle conn is closed a second after the time that is named, so that no order meets a conn that just closes. */
-  private connHeaders(response: ServerResponse): Readonly<Record<string, string>> {
+  /**
+   * Response headers about the connection. An idle connection is closed a second after the announced timeout, so that no
+   * request is sent on a connection that is just closing.
+   */
+  private connectionHeaders(response: ServerResponse): Readonly<Record<string, string>> {
     if (!response.shouldKeepAlive) return { connection: 'close' };
     const seconds = this.limits.idleSeconds();
     return seconds === undefined ? {} : { connection: 'keep-alive', 'keep-alive': `timeout=${seconds}` };
   }
 
-  private page(page: 'health' | 'metrics', response: ServerResponse): void {
+  private servePage(page: 'health' | 'metrics', response: ServerResponse): void {
     const { proxy } = this;
     if (page === 'health') Replies.json(response, proxy.fresh() ? 200 : 503, { fresh: proxy.fresh() });
     else Replies.text(response, 200, proxy.metrics.page());
   }
 }
 
+/** The HTTP server that accepts requests of clients. */
 export const CallersDoor = {
   open: async (
     proxy: EdgeProxy,
     address: string,
     limits: HttpLimits,
-    mostBodyBytes: number,
+    maxBodySize: number,
     clock: Clock,
     random: Random,
     options: Partial<DoorOptions> = {},
   ): Promise<CallersDoor> => {
-    const bounds = new DoorLimits(limits, mostBodyBytes, options.limits ?? (() => undefined));
-    const door = new Door(proxy, bounds, options.words ?? ChatCallerWords, clock, random);
-    const { server } = door;
+    const serverLimits = new DoorLimits(limits, maxBodySize, options.limits ?? (() => undefined));
+    const listener = new RequestListener(proxy, serverLimits, options.words ?? ChatCallerWords, clock, random);
+    const { server } = listener;
     await server.listen(address);
     return {
       address: server.address,
-      drain: (plan) => door.drain(plan),
+      drain: (plan) => listener.drain(plan),
       close: () => server.close(),
     };
   },
--- a/source/edge-proxy/door/doorLimits.ts
+++ b/source/edge-proxy/door/doorLimits.ts
@@ -1,45 +1,47 @@
 import type { CallerLimits } from '../../shared/blueprint/types';
 import type { HttpLimits } from '../../shared/http/httpLimits';
 
-/** Longer than the time that callers are told, so that both never end at the same moment. */
+/** Added to the announced idle timeout, so that client and server never close a connection at the same moment. */
 const idleMarginMicroseconds = 1_000_000;
 
-/** The operators' limits on callers where there are some, else the program's own. */
+/** Limits on clients: the operators' where they set them, else the defaults of the program. */
 export class DoorLimits {
-  private seen: CallerLimits | undefined;
-  private present: HttpLimits;
+  private appliedLimits: CallerLimits | undefined;
+  private effective: HttpLimits;
 
   public constructor(
-    private readonly own: HttpLimits,
-    private readonly ownBodyBytes: number,
-    private readonly said: () => CallerLimits | undefined,
+    private readonly defaults: HttpLimits,
+    private readonly defaultBodyBytes: number,
+    private readonly operatorLimits: () => CallerLimits | undefined,
   ) {
-    this.present = own;
+    this.effective = defaults;
   }
 
-  /** The same object as long as nothing changed. */
+  /** Returns the same object until the operators' limits change. */
   public http(): HttpLimits {
-    const said = this.said();
-    if (said !== this.seen) {
-      this.seen = said;
-      const { own } = this;
-      this.present = {
-        ...own,
-        headBytes: said?.headBytes || own.headBytes,
-        headMicroseconds: said?.headMicroseconds || own.headMicroseconds,
-        ...(said?.idleMicroseconds ? { idleMicroseconds: said.idleMicroseconds + idleMarginMicroseconds } : {}),
+    const limits = this.operatorLimits();
+    if (limits !== this.appliedLimits) {
+      this.appliedLimits = limits;
+      const { defaults } = this;
+      this.effective = {
+        ...defaults,
+        headBytes: limits?.headBytes || defaults.headBytes,
+        headMicroseconds: limits?.headMicroseconds || defaults.headMicroseconds,
+        ...(limits?.idleMicroseconds ? { idleMicroseconds: limits.idleMicroseconds + idleMarginMicroseconds } : {}),
       };
     }
-    return this.present;
+    return this.effective;
   }
 
   public bodyBytes(): number {
-    return this.said()?.bodyBytes || this.ownBodyBytes;
+    return this.operatorLimits()?.bodyBytes || this.defaultBodyBytes;
   }
 
-  /** What callers are told of how long an idle conn stands; undefined: nothing. */
+  /** Idle timeout announced to clients in whole seconds; undefined if none is announced. */
   public idleSeconds(): number | undefined {
-    const micros = this.said()?.idleMicroseconds;
-    return micros === undefined || micros < 1_000_000 ? undefined : Math.floor(micros / 1_000_000);
+    const idleMicroseconds = this.operatorLimits()?.idleMicroseconds;
+    return idleMicroseconds === undefined || idleMicroseconds < 1_000_000
+      ? undefined
+      : Math.floor(idleMicroseconds / 1_000_000);
   }
 }
--- a/source/edge-proxy/door/readinessDoor.ts
+++ b/source/edge-proxy/door/readinessDoor.ts
@@ -3,9 +3,10 @@
 import { HttpServer } from '../../shared/http/httpServer';
 import { Replies } from '../../shared/http/replies';
 
+/** The listening readiness server. */
 export type ReadinessDoor = Readonly<{ address: string; close: () => Promise<void> }>;
 
-/** Starting values, ours: few ask, and often. */
+/** Small limits: only a few load balancers poll this server, each of them often. */
 const limits: HttpLimits = {
   headBytes: 8192,
   headMicroseconds: 2_000_000,
@@ -14,13 +15,13 @@
   idleMicroseconds: 5_000_000,
 };
 
-/** Tells whoever sends callers here whether to go on. */
+/** HTTP server that tells load balancers by status code alone whether to route clients to this proxy. */
 export const ReadinessDoor = {
   open: async (address: string, path: string, ready: () => boolean): Promise<ReadinessDoor> => {
     const server = new HttpServer(() => limits);
-    server.server.on('request', (order: IncomingMessage, response: ServerResponse) => {
-      const asked = order.method === 'GET' && order.url?.split('?', 1)[0] === path;
-      if (!asked) Replies.text(response, 404, '');
+    server.server.on('request', (request: IncomingMessage, response: ServerResponse) => {
+      const isReadinessCheck = request.method === 'GET' && request.url?.split('?', 1)[0] === path;
+      if (!isReadinessCheck) Replies.text(response, 404, '');
       else Replies.text(response, ready() ? 200 : 503, '');
     });
     await server.listen(address);
--- a/source/edge-proxy/holding/shares.ts
+++ b/source/edge-proxy/holding/shares.ts
@@ -1,3 +1,4 @@
+/** Running and queued requests of one class in a service, over all proxies, with its share of the capacity. */
 export type ClassLoad = Readonly<{
   name: string;
   rank: number;
@@ -7,8 +8,9 @@
   held: number;
 }>;
 
+/** Divides the capacity of a service among its classes. */
 export const Shares = {
-  /** Classes that may start one more order now, best rank first. Pure: all numbers are given. */
+  /** Classes that may start one more request now, best rank first. A pure function of the given numbers. */
   eligible: (capacity: number, classes: readonly ClassLoad[]): readonly string[] => {
     const total = classes.reduce((sum, item) => sum + item.running, 0);
     if (total >= capacity) return [];
@@ -17,11 +19,11 @@
     return byRank
       .filter((item) => {
         if (item.running < item.entitled) return true;
-        // Why: what another class has not lent, or is asking back, is not there to be borrowed.
-        const kept = classes
+        // Unused capacity of a class that doesn't lend, or that has requests waiting itself, can't be borrowed.
+        const reservedPlaces = classes
           .filter((other) => other.name !== item.name && (!other.lends || other.held > 0))
           .reduce((sum, other) => sum + Math.max(0, other.entitled - other.running), 0);
-        return free > kept;
+        return free > reservedPlaces;
       })
       .map(({ name }) => name);
   },
--- a/source/edge-proxy/holding/takeDesk.ts
+++ b/source/edge-proxy/holding/takeDesk.ts
@@ -5,34 +5,36 @@
 import type { StillStands } from '../fence/identify';
 import { Shares, type ClassLoad } from './shares';
 
+/** The outcome of a request for admission. */
 export type Taken =
   | Readonly<{ kind: 'taken'; release: () => void }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>
-  /** What it was resolved to has changed while it waited. */
+  /** The mapping that the request was resolved to has changed while it waited. */
   | Readonly<{ kind: 'moved'; refusal: Refusal }>;
 
+/** A request that asks for admission to a service. */
 export type TakeOrder = Readonly<{
   service: string;
   className: string;
   tenant: string;
   arrivedMicroseconds: number;
-  /** How long it may take in all, by its route and its caller; missing: as long as its class may be held. */
+  /** Total time limit from arrival, by its route and its client; missing: the queue time limit of its class. */
   limitMicroseconds?: number;
-  /** It was held before and lost its place to no fault of its own: it goes to the front. */
+  /** Whether it goes to the front of the queue: it was queued and admitted before, and its engine had no room. */
   turnKept: boolean;
   whenGone: (act: () => void) => void;
   stillStands: () => StillStands;
-  /** Asked when its turn has come; a no lets others go before it. */
+  /** Called when its turn has come; if false, later requests go first. */
   mayStart: () => boolean;
-  /** Asked with news: a refusal where it can foreseeably not start within the time that it has left. */
+  /** Called when the state changes: a refusal if the request can't be expected to start within the time that is left. */
   hopeless: (leftMicroseconds: number) => Refusal | undefined;
 }>;
 
-/** What the desk must know of the back ends and of the other proxies. All of it is hints; the engine's word is the truth. */
+/** What admission needs to know of the engines and of other proxies. Only estimates: the engine itself may still refuse. */
 export interface Room {
-  /** Places in all engines that new work may go to. */
+  /** Concurrent requests that all usable engines of a service take together. */
   readonly capacity: (service: string) => number;
-  /** Places that seem to be free at this moment. */
+  /** Places in engines that appear to be free now. */
   readonly free: (service: string) => number;
   readonly otherLoads: () => readonly Readonly<{
     classes: Readonly<Record<string, number>>;
@@ -41,31 +43,39 @@
   readonly proxies: () => number;
 }
 
-type Held = Readonly<{ order: TakeOrder; settle: (taken: Taken) => void; cancel: Cancel }>;
-type ClassDesk = { running: number; held: number; readonly tenants: Map<string, Held[]>; readonly starts: number[] };
-type ServiceDesk = Readonly<{ classes: Map<string, ClassDesk> }>;
+type QueuedRequest = Readonly<{ order: TakeOrder; settle: (taken: Taken) => void; cancel: Cancel }>;
+type ClassQueue = {
+  running: number;
+  held: number;
+  readonly tenants: Map<string, QueuedRequest[]>;
+  readonly startTimes: number[];
+};
+type ServiceQueues = Readonly<{ classes: Map<string, ClassQueue> }>;
 type OtherLoads = ReturnType<Room['otherLoads']>;
-/** What all other proxies run and hold, by class. */
+/** Requests running and queued at all other proxies, by class. */
 type OtherSums = Readonly<{
-  of: OtherLoads;
+  source: OtherLoads;
   running: ReadonlyMap<string, number>;
   held: ReadonlyMap<string, number>;
 }>;
 
-const summed = (records: readonly Readonly<Record<string, number>>[]): ReadonlyMap<string, number> => {
+const sumByKey = (records: readonly Readonly<Record<string, number>>[]): ReadonlyMap<string, number> => {
   const sums = new Map<string, number>();
   for (const record of records)
     for (const [key, count] of Object.entries(record)) sums.set(key, (sums.get(key) ?? 0) + count);
   return sums;
 };
 
-/** So many starts, or so long, are looked back at to tell how fast a class goes on. */
-const keptStarts = 32;
-const lookBackMicroseconds = 4_000_000;
+/** The start rate of a class is measured over at most this many startTimes and this time. */
+const maxStartTimes = 32;
+const startRateWindowMicroseconds = 4_000_000;
 
-/** Where orders get their place in a service: by class share, rank and turns among tenants; what must wait is held, bounded. */
+/**
+ * Admits requests to a service by class share, then by rank, and round-robin among the tenants of a class. Requests that
+ * must wait are queued; queue length and waiting time are bounded.
+ */
 export class TakeDesk {
-  private readonly services = new Map<string, ServiceDesk>();
+  private readonly services = new Map<string, ServiceQueues>();
   private readonly tenantsRunning = new Map<string, number>();
   private otherSums: OtherSums | undefined;
 
@@ -84,8 +94,8 @@
   }> {
     const classes: Record<string, number> = {};
     const waiting: Record<string, number> = {};
-    for (const [service, desk] of this.services) {
-      for (const [name, { running, held }] of desk.classes) {
+    for (const [service, serviceQueues] of this.services) {
+      for (const [name, { running, held }] of serviceQueues.classes) {
         if (running > 0) classes[this.serviceKey(service, name)] = running;
         if (held > 0) waiting[this.serviceKey(service, name)] = held;
       }
@@ -96,55 +106,61 @@
   public take(order: TakeOrder): Promise<Taken> {
     const { service, className } = order;
     const settings = this.classesOf()[className];
-    if (settings === undefined) return Promise.resolve(movedAway);
-    const desk = this.classDesk(service, className);
-    const full = this.refusedOnArrival(order, desk, settings);
-    if (full !== undefined) return Promise.resolve({ kind: 'refuse', refusal: full });
+    if (settings === undefined) return Promise.resolve(mappingChanged);
+    const queue = this.classQueue(service, className);
+    const refusal = this.refusalOnArrival(order, queue, settings);
+    if (refusal !== undefined) return Promise.resolve({ kind: 'refuse', refusal });
     return new Promise((resolve) => {
-      // Why from its arrival: an order that was resolved anew or held again has used part of its time.
-      const left = this.holdingLeft(className, order);
-      const held: Held = {
+      // Counted from arrival: a request that was resolved anew or queued again has already used part of its time.
+      const remainingMicroseconds = this.holdingLeft(className, order);
+      const entry: QueuedRequest = {
         order,
         settle: resolve,
-        cancel: this.clock.after(Math.max(0, left), () =>
-          this.giveUp(desk, held, {
+        cancel: this.clock.after(Math.max(0, remainingMicroseconds), () =>
+          this.removeFromQueue(queue, entry, {
             kind: 'refuse',
-            refusal: Refusals.make(503, 'notRun', 'holdingLimit', 'No place came free in time.', this.comeBack(order)),
+            refusal: Refusals.make(
+              503,
+              'notRun',
+              'holdingLimit',
+              'No place came free in time.',
+              this.retryAfterEstimate(order),
+            ),
           }),
         ),
       };
-      this.putIn(desk, held);
+      this.enqueue(queue, entry);
       order.whenGone(() =>
-        this.giveUp(desk, held, {
+        this.removeFromQueue(queue, entry, {
           kind: 'refuse',
           refusal: Refusals.make(499, 'notRun', 'userAgentGone', 'The caller left.'),
         }),
       );
-      this.serve(service);
+      this.startWaiting(service);
     });
   }
 
-  /** Called whenever a place may have come free: an order ended, news came in. */
+  /** Called when a place may have become free: a request ended or the state of engines or proxies changed. */
   public serveAll(): void {
-    for (const service of this.services.keys()) this.serve(service);
+    for (const service of this.services.keys()) this.startWaiting(service);
   }
 
-  /** Called with news: what is held under a setup that is gone learns it now, not when its turn comes. */
+  /** Called when the state changes: ends queued requests that are no longer valid at once, not when their turn comes. */
   public recheck(): void {
     for (const { classes } of this.services.values())
-      for (const desk of classes.values())
-        for (const held of [...desk.tenants.values()].flat()) {
-          const stands = held.order.stillStands();
-          if (stands.kind === 'refuse') this.giveUp(desk, held, stands);
-          else if (stands.kind === 'moved') this.giveUp(desk, held, movedAway);
+      for (const queue of classes.values())
+        for (const entry of [...queue.tenants.values()].flat()) {
+          const validity = entry.order.stillStands();
+          if (validity.kind === 'refuse') this.removeFromQueue(queue, entry, validity);
+          else if (validity.kind === 'moved') this.removeFromQueue(queue, entry, mappingChanged);
           else {
-            const hopeless = held.order.hopeless(this.holdingLeft(held.order.className, held.order));
-            if (hopeless !== undefined) this.giveUp(desk, held, { kind: 'refuse', refusal: hopeless });
+            const refusal = entry.order.hopeless(this.holdingLeft(entry.order.className, entry.order));
+            if (refusal !== undefined) this.removeFromQueue(queue, entry, { kind: 'refuse', refusal });
           }
         }
   }
 
-  /** How long an order may still be held in that class. */
+  /** How long a request may still be queued in that class. */
   public holdingLeft(
     className: string,
     { arrivedMicroseconds, limitMicroseconds = Infinity }: Pick<TakeOrder, 'arrivedMicroseconds' | 'limitMicroseconds'>,
@@ -161,178 +177,182 @@
     return this.sum(({ running }) => running);
   }
 
-  private sum(count: (desk: ClassDesk) => number): number {
+  private sum(count: (queue: ClassQueue) => number): number {
     return [...this.services.values()].reduce(
-      (all, { classes }) => all + [...classes.values()].reduce((inner, desk) => inner + count(desk), 0),
+      (all, { classes }) => all + [...classes.values()].reduce((inner, queue) => inner + count(queue), 0),
       0,
     );
   }
 
-  private refusedOnArrival(order: TakeOrder, desk: ClassDesk, settings: ServiceClass): Refusal | undefined {
-    // Why not again: it was let in before, and its limit goes on.
+  private refusalOnArrival(order: TakeOrder, queue: ClassQueue, settings: ServiceClass): Refusal | undefined {
+    // A request that is queued again was accepted before, and its time limit keeps running.
     if (order.turnKept) return undefined;
-    if (desk.held >= settings.holdingMost)
-      return Refusals.make(503, 'notRun', 'holdingFull', 'Too many orders wait.', this.comeBack(order));
-    const wait = this.waitMicroseconds(desk, desk.held);
-    // Why now: to be held until the limit and refused then would only cost the caller its time.
+    if (queue.held >= settings.holdingMost)
+      return Refusals.make(503, 'notRun', 'holdingFull', 'Too many orders wait.', this.retryAfterEstimate(order));
+    const wait = this.expectedWaitMicroseconds(queue, queue.held);
+    // Refused on arrival because queueing it until its limit and refusing it then only costs the client time.
     return wait > settings.holdingLimitMicroseconds
       ? Refusals.make(
           503,
           'notRun',
           'holdingFull',
           'So many orders wait that its limit would pass.',
-          this.comeBack(order),
+          this.retryAfterEstimate(order),
         )
       : undefined;
   }
 
-  /** How long so many orders before it will take, by how fast this class has been going on; 0 where nobody can tell. */
-  private waitMicroseconds({ starts }: ClassDesk, before: number): number {
+  /** Expected wait behind that many requests, by the recent start rate of the class; 0 if the rate is unknown. */
+  private expectedWaitMicroseconds({ startTimes }: ClassQueue, requestsAhead: number): number {
     const now = this.clock.nowMicroseconds();
-    const recent = starts.filter((start) => now - start <= lookBackMicroseconds);
-    const first = recent[0];
-    if (before === 0 || first === undefined || recent.length < 4) return 0;
-    return Math.floor(((now - first) / recent.length) * (before + 1));
+    const recent = startTimes.filter((start) => now - start <= startRateWindowMicroseconds);
+    const oldest = recent[0];
+    if (requestsAhead === 0 || oldest === undefined || recent.length < 4) return 0;
+    return Math.floor(((now - oldest) / recent.length) * (requestsAhead + 1));
   }
 
-  private putIn(desk: ClassDesk, held: Held): void {
-    const { tenant, turnKept } = held.order;
-    const list = desk.tenants.get(tenant) ?? [];
-    desk.held += 1;
+  private enqueue(queue: ClassQueue, entry: QueuedRequest): void {
+    const { tenant, turnKept } = entry.order;
+    const list = queue.tenants.get(tenant) ?? [];
+    queue.held += 1;
     if (!turnKept) {
-      desk.tenants.set(tenant, [...list, held]);
+      queue.tenants.set(tenant, [...list, entry]);
       return;
     }
-    // Why to the front of all: it had its turn already, and only the engine's room failed it.
-    const others = [...desk.tenants].filter(([name]) => name !== tenant);
-    desk.tenants.clear();
-    desk.tenants.set(tenant, [held, ...list]);
-    for (const [name, rest] of others) desk.tenants.set(name, rest);
+    // The request goes to the front of all tenants: it had its turn already and failed only because its engine was full.
+    const others = [...queue.tenants].filter(([name]) => name !== tenant);
+    queue.tenants.clear();
+    queue.tenants.set(tenant, [entry, ...list]);
+    for (const [name, rest] of others) queue.tenants.set(name, rest);
   }
 
-  private serve(service: string): void {
-    const desk = this.services.get(service);
-    if (desk === undefined) return;
+  private startWaiting(service: string): void {
+    const serviceQueues = this.services.get(service);
+    if (serviceQueues === undefined) return;
     for (;;) {
       const capacity = this.room.capacity(service);
-      const loads = this.classLoads(service, desk, capacity);
-      if (this.room.free(service) <= 0 || this.ownRunning(desk) >= this.ownMost(desk, loads, capacity)) return;
-      const started = Shares.eligible(capacity, loads).some((name) => this.startOne(service, name));
+      const loads = this.classLoads(service, serviceQueues, capacity);
+      if (
+        this.room.free(service) <= 0 ||
+        this.ownRunning(serviceQueues) >= this.ownLimit(serviceQueues, loads, capacity)
+      )
+        return;
+      const started = Shares.eligible(capacity, loads).some((name) => this.startNext(service, name));
       if (!started) return;
     }
   }
 
-  private ownRunning({ classes }: ServiceDesk): number {
+  private ownRunning({ classes }: ServiceQueues): number {
     return [...classes.values()].reduce((sum, { running }) => sum + running, 0);
   }
 
   /**
-   * How many places this proxy may use. Why a part of its own when more is wanted than there is: counts of other
-   * proxies are old when they come, and all of them would rush for the same free place.
+   * How many places this proxy may use. When demand exceeds capacity, each proxy keeps to a part of its own: the counts
+   * of other proxies are stale when they arrive, and all proxies would compete for the same free place.
    */
-  private ownMost(desk: ServiceDesk, loads: readonly ClassLoad[], capacity: number): number {
-    const own = [...desk.classes.values()].reduce((sum, { running, held }) => sum + running + held, 0);
-    const all = loads.reduce((sum, { running, held }) => sum + running + held, 0);
-    return all <= capacity ? capacity : Math.max(1, Math.round((capacity * own) / all));
+  private ownLimit(serviceQueues: ServiceQueues, loads: readonly ClassLoad[], capacity: number): number {
+    const ownDemand = [...serviceQueues.classes.values()].reduce((sum, { running, held }) => sum + running + held, 0);
+    const totalDemand = loads.reduce((sum, { running, held }) => sum + running + held, 0);
+    return totalDemand <= capacity ? capacity : Math.max(1, Math.round((capacity * ownDemand) / totalDemand));
   }
 
-  private startOne(service: string, className: string): boolean {
-    const desk = this.classDesk(service, className);
-    for (const [tenant, list] of desk.tenants) {
-      const first = list.find(({ order }) => order.mayStart());
-      if (first === undefined) continue;
-      const rest = list.filter((held) => held !== first);
-      desk.tenants.delete(tenant);
-      // Why to the end: the next tenant has its turn before this one has another.
-      if (rest.length > 0) desk.tenants.set(tenant, rest);
-      this.start(service, desk, tenant, first);
+  private startNext(service: string, className: string): boolean {
+    const queue = this.classQueue(service, className);
+    for (const [tenant, list] of queue.tenants) {
+      const next = list.find(({ order }) => order.mayStart());
+      if (next === undefined) continue;
+      const rest = list.filter((entry) => entry !== next);
+      queue.tenants.delete(tenant);
+      // Re-inserted at the end of the map, so that the next tenant has its turn first.
+      if (rest.length > 0) queue.tenants.set(tenant, rest);
+      this.start(service, queue, tenant, next);
       return true;
     }
     return false;
   }
 
-  private start(service: string, desk: ClassDesk, tenant: string, first: Held): void {
-    desk.held -= 1;
-    desk.running += 1;
-    if (desk.starts.push(this.clock.nowMicroseconds()) > keptStarts) desk.starts.shift();
+  private start(service: string, queue: ClassQueue, tenant: string, next: QueuedRequest): void {
+    queue.held -= 1;
+    queue.running += 1;
+    if (queue.startTimes.push(this.clock.nowMicroseconds()) > maxStartTimes) queue.startTimes.shift();
     this.tenantsRunning.set(tenant, (this.tenantsRunning.get(tenant) ?? 0) + 1);
-    first.cancel();
+    next.cancel();
     let released = false;
-    first.settle({
+    next.settle({
       kind: 'taken',
       release: () => {
         if (released) return;
         released = true;
-        desk.running -= 1;
-        const left = (this.tenantsRunning.get(tenant) ?? 1) - 1;
-        if (left > 0) this.tenantsRunning.set(tenant, left);
+        queue.running -= 1;
+        const remaining = (this.tenantsRunning.get(tenant) ?? 1) - 1;
+        if (remaining > 0) this.tenantsRunning.set(tenant, remaining);
         else this.tenantsRunning.delete(tenant);
-        this.serve(service);
+        this.startWaiting(service);
       },
     });
   }
 
-  private giveUp(desk: ClassDesk, held: Held, taken: Taken): void {
-    const { tenant } = held.order;
-    const list = desk.tenants.get(tenant) ?? [];
-    if (!list.includes(held)) return;
-    const rest = list.filter((item) => item !== held);
-    if (rest.length > 0) desk.tenants.set(tenant, rest);
-    else desk.tenants.delete(tenant);
-    desk.held -= 1;
-    held.cancel();
-    if (taken.kind === 'refuse') this.metrics.count('postdrum_given_up_total', { code: taken.refusal.code });
-    held.settle(taken);
+  private removeFromQueue(queue: ClassQueue, entry: QueuedRequest, result: Taken): void {
+    const { tenant } = entry.order;
+    const list = queue.tenants.get(tenant) ?? [];
+    if (!list.includes(entry)) return;
+    const rest = list.filter((item) => item !== entry);
+    if (rest.length > 0) queue.tenants.set(tenant, rest);
+    else queue.tenants.delete(tenant);
+    queue.held -= 1;
+    entry.cancel();
+    if (result.kind === 'refuse') this.metrics.count('postdrum_given_up_total', { code: result.refusal.code });
+    entry.settle(result);
   }
 
-  private classLoads(service: string, desk: ServiceDesk, capacity: number): readonly ClassLoad[] {
-    const others = this.sumsOf(this.room.otherLoads());
+  private classLoads(service: string, serviceQueues: ServiceQueues, capacity: number): readonly ClassLoad[] {
+    const others = this.otherSumsOf(this.room.otherLoads());
     return Object.entries(this.classesOf()).map(([name, settings]) => {
       const key = this.serviceKey(service, name);
-      const own = desk.classes.get(name);
+      const local = serviceQueues.classes.get(name);
       return {
         name,
         rank: settings.rank,
         lends: settings.lends,
         entitled: (capacity * settings.sharePerMille) / 1000,
-        running: (own?.running ?? 0) + (others.running.get(key) ?? 0),
-        held: (own?.held ?? 0) + (others.held.get(key) ?? 0),
+        running: (local?.running ?? 0) + (others.running.get(key) ?? 0),
+        held: (local?.held ?? 0) + (others.held.get(key) ?? 0),
       };
     });
   }
 
-  /** Why by the list itself: it is made anew with news, and only then. */
-  private sumsOf(others: OtherLoads): OtherSums {
-    if (this.otherSums?.of === others) return this.otherSums;
-    const running = summed(others.map(({ classes }) => classes));
-    const held = summed(others.map(({ waiting }) => waiting));
-    this.otherSums = { of: others, running, held };
+  /** The sums are cached by the identity of the list, which is created anew exactly when the loads change. */
+  private otherSumsOf(others: OtherLoads): OtherSums {
+    if (this.otherSums?.source === others) return this.otherSums;
+    const running = sumByKey(others.map(({ classes }) => classes));
+    const held = sumByKey(others.map(({ waiting }) => waiting));
+    this.otherSums = { source: others, running, held };
     return this.otherSums;
   }
 
-  /** When asking again makes sense: once those that wait now have had their turns. */
-  private comeBack({ service, className }: TakeOrder): number {
-    const desk = this.classDesk(service, className);
-    const known = this.waitMicroseconds(desk, desk.held) / 1_000_000;
-    const guess = (desk.held * this.room.proxies()) / Math.max(1, this.room.capacity(service));
-    return Math.min(30, Math.max(1, Math.ceil(known > 0 ? known : guess)));
+  /** Suggested `retry-after` in seconds: the time in which the requests that are queued now will have started. */
+  private retryAfterEstimate({ service, className }: TakeOrder): number {
+    const queue = this.classQueue(service, className);
+    const measuredSeconds = this.expectedWaitMicroseconds(queue, queue.held) / 1_000_000;
+    const estimate = (queue.held * this.room.proxies()) / Math.max(1, this.room.capacity(service));
+    return Math.min(30, Math.max(1, Math.ceil(measuredSeconds > 0 ? measuredSeconds : estimate)));
   }
 
-  private classDesk(service: string, className: string): ClassDesk {
-    const desk = this.services.get(service) ?? { classes: new Map<string, ClassDesk>() };
-    this.services.set(service, desk);
-    const found = desk.classes.get(className) ?? {
+  private classQueue(service: string, className: string): ClassQueue {
+    const serviceQueues = this.services.get(service) ?? { classes: new Map<string, ClassQueue>() };
+    this.services.set(service, serviceQueues);
+    const queue = serviceQueues.classes.get(className) ?? {
       running: 0,
       held: 0,
-      tenants: new Map<string, Held[]>(),
-      starts: [],
+      tenants: new Map<string, QueuedRequest[]>(),
+      startTimes: [],
     };
-    desk.classes.set(className, found);
-    return found;
+    serviceQueues.classes.set(className, queue);
+    return queue;
   }
 }
 
-const movedAway: Taken = {
+const mappingChanged: Taken = {
   kind: 'moved',
   refusal: Refusals.make(503, 'notRun', 'mappingRemoved', 'The mapping changed again and again while it waited.', 1),
 };
--- a/source/edge-proxy/holding/takePolicy.ts
+++ b/source/edge-proxy/holding/takePolicy.ts
@@ -5,14 +5,16 @@
 import type { RetryBudget } from '../sends/retryBudget';
 import type { TakeDesk } from './takeDesk';
 
+/** The pipeline's admission policy. */
 export const TakePolicies = {
-  take: (desk: TakeDesk, identifier: Identifier, budgetOf: (service: string) => RetryBudget): Policy => ({
+  /** Admits the request to its service or queues it until a place is free. */
+  take: (queue: TakeDesk, identifier: Identifier, budgetOf: (service: string) => RetryBudget): Policy => ({
     name: 'take',
     apply: async (context) => {
       const { resolved, order, answer, turnKept, owesSend } = context;
       if (resolved === undefined) throw new Error('no mapping resolved');
       const budget = budgetOf(resolved.mapping.service);
-      const held = desk.take({
+      const admission = queue.take({
         service: resolved.mapping.service,
         className: resolved.mapping.class,
         tenant: resolved.tenant,
@@ -21,17 +23,17 @@
         turnKept,
         whenGone: answer.whenGone,
         stillStands: () => identifier.stillStands(order, resolved),
-        // Why here: a second send is paid for when it is made, and until then others may go before it.
+        // A retry spends from the budget when it starts; until then other requests may go first.
         mayStart: () => !owesSend || budget.spend(),
-        hopeless: (leftMicroseconds) =>
-          owesSend && !budget.stillHopes(leftMicroseconds)
+        hopeless: (remainingMicroseconds) =>
+          owesSend && !budget.stillHopes(remainingMicroseconds)
             ? Refusals.make(503, 'notRun', 'engineBusy', 'The engines are busy.', 1)
             : undefined,
       });
-      const taken = await (owesSend ? budget.waitingFor(held) : held);
-      if (taken.kind === 'refuse') return taken;
-      if (taken.kind === 'moved') return { kind: 'anew', context, refusal: taken.refusal };
-      return { kind: 'onward', context: { ...context, owesSend: false, release: taken.release } };
+      const result = await (owesSend ? budget.waitingFor(admission) : admission);
+      if (result.kind === 'refuse') return result;
+      if (result.kind === 'moved') return { kind: 'anew', context, refusal: result.refusal };
+      return { kind: 'onward', context: { ...context, owesSend: false, release: result.release } };
     },
   }),
 } as const;
--- a/source/edge-proxy/sends/retryBudget.ts
+++ b/source/edge-proxy/sends/retryBudget.ts
@@ -1,104 +1,120 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 
+/** Limits on the retries of all proxies together in one pool. */
 export type BudgetSettings = Readonly<{
+  /** Retries allowed per thousand first attempts. */
   perMille: number;
+  /** Retries that all proxies together may make besides, once per allowance interval. */
   fleetAllowance: number;
   allowanceMicroseconds: number;
+  /** The allowance is divided among at least this many proxies. */
   leastDaemons: number;
 }>;
 
-/** What one second send costs, in thousandths; a first send earns `perMille` of it. */
-const oneSend = 1000;
+/** Cost of one retry, in thousandths; a first attempt earns `perMille` of it. */
+const retryCost = 1000;
 
-/** Over so long the traffic is looked at to tell what will be earned. */
-const lookBackMicroseconds = 2_000_000;
-const keptFirsts = 256;
+/** Expected earnings are estimated from the first attempts of this time. */
+const trafficWindowMicroseconds = 2_000_000;
+const maxFirstAttemptTimes = 256;
 
 /**
- * Second sends of one pool by one proxy. They are paid with what the proxy's own first sends earn, and with its part of
- * a small allowance that comes in slowly; little is kept for later, and it starts with nothing. So in every window of
- * time, however long, second sends of all daemons together are at most a fifth of the first sends in it, and
- * `fleetAllowance` once, and once more for each `allowanceMicroseconds` of it. No count need be exchanged; a restart
- * brings nothing; a daemon that sees too few others still takes no more than its part of `leastDaemons`.
+ * Limits the retries of one proxy in one pool. Retries are paid for by what the proxy's own first attempts earn and by its
+ * part of a small allowance that accrues slowly; the balance is capped and starts at zero. So in any window of time the
+ * retries of all proxies together are at most the `perMille` part (a fifth by default) of the first attempts in it, plus
+ * `fleetAllowance` once, plus `fleetAllowance` for each allowance interval in it. The proxies exchange no counts; a
+ * restart gains nothing; a proxy that sees too few others still takes at most its part of a fleet of the minimum size.
  */
 export class RetryBudget {
-  private earned = 0;
-  private earnedAt: number;
-  private firsts: number[] = [];
-  private waiting = 0;
+  private balance = 0;
+  private accruedAtMicroseconds: number;
+  private firstAttemptTimes: number[] = [];
+  private waitingRetries = 0;
 
   public constructor(
     private readonly clock: Clock,
-    private readonly daemons: () => number,
+    private readonly proxyCount: () => number,
     private settings: BudgetSettings,
   ) {
-    this.earnedAt = clock.nowMicroseconds();
+    this.accruedAtMicroseconds = clock.nowMicroseconds();
   }
 
-  /** Why both counts: what came in until now came under the bounds before, and may be more than is kept under these. */
+  /** Accrues under the old settings up to now, then applies the new ones and caps the balance to what they allow. */
   public settingsAre(settings: BudgetSettings): void {
-    this.add(0);
+    this.accrue(0);
     this.settings = settings;
-    this.add(0);
+    this.accrue(0);
   }
 
+  /** Records a first attempt, which earns a part of a retry. */
   public first(): void {
-    this.add(this.settings.perMille);
-    this.firsts.push(this.clock.nowMicroseconds());
-    if (this.firsts.length > keptFirsts) this.firsts.shift();
+    this.accrue(this.settings.perMille);
+    this.firstAttemptTimes.push(this.clock.nowMicroseconds());
+    if (this.firstAttemptTimes.length > maxFirstAttemptTimes) this.firstAttemptTimes.shift();
   }
 
+  /** Pays for one retry; false if the balance is too low. */
   public spend(): boolean {
-    this.add(0);
-    if (this.earned < oneSend) return false;
-    this.earned -= oneSend;
+    this.accrue(0);
+    if (this.balance < retryCost) return false;
+    this.balance -= retryCost;
     return true;
   }
 
-  /** Whether one more order may hope to be sent again within that time, with those that already wait for it. */
+  /** Whether the budget is expected to pay for one more retry within that time, besides those already waiting for one. */
   public mayHope(withinMicroseconds: number): boolean {
-    return this.comesWithin(withinMicroseconds) >= (this.waiting + 1) * oneSend;
+    return this.expectedBalance(withinMicroseconds) >= (this.waitingRetries + 1) * retryCost;
   }
 
-  /** Whether one that waits may still hope. Why a single one: which of them has its turn first is for others to say. */
+  /**
+   * Whether the budget is expected to pay for at least one retry within that time. Other waitingRetries retries aren't counted
+   * because the admission queue decides which of them goes first.
+   */
   public stillHopes(withinMicroseconds: number): boolean {
-    return this.comesWithin(withinMicroseconds) >= oneSend;
+    return this.expectedBalance(withinMicroseconds) >= retryCost;
   }
 
-  private comesWithin(withinMicroseconds: number): number {
-    this.add(0);
-    const since = this.clock.nowMicroseconds() - lookBackMicroseconds;
-    this.firsts = this.firsts.filter((first) => first > since);
-    const fromTraffic = (this.firsts.length * this.settings.perMille) / lookBackMicroseconds;
-    const comes = (fromTraffic + this.most() / this.settings.allowanceMicroseconds) * Math.max(0, withinMicroseconds);
-    return this.earned + comes;
+  private expectedBalance(withinMicroseconds: number): number {
+    this.accrue(0);
+    const since = this.clock.nowMicroseconds() - trafficWindowMicroseconds;
+    this.firstAttemptTimes = this.firstAttemptTimes.filter((time) => time > since);
+    const perMicrosecondFromTraffic =
+      (this.firstAttemptTimes.length * this.settings.perMille) / trafficWindowMicroseconds;
+    const expected =
+      (perMicrosecondFromTraffic + this.ownAllowance() / this.settings.allowanceMicroseconds) *
+      Math.max(0, withinMicroseconds);
+    return this.balance + expected;
   }
 
-  /** Counts the order as waiting until the work is over. */
+  /** Counts a request as waiting for a retry until the promise settles. */
   public async waitingFor<Result>(work: Promise<Result>): Promise<Result> {
-    this.waiting += 1;
+    this.waitingRetries += 1;
     try {
       return await work;
     } finally {
-      this.waiting -= 1;
+      this.waitingRetries -= 1;
     }
   }
 
-  private add(thousandths: number): void {
+  private accrue(thousandths: number): void {
     const now = this.clock.nowMicroseconds();
-    const came = ((now - this.earnedAt) * this.most()) / this.settings.allowanceMicroseconds;
-    this.earned = Math.min(this.keeps(), this.earned + thousandths + came);
-    this.earnedAt = now;
+    const accruedAllowance =
+      ((now - this.accruedAtMicroseconds) * this.ownAllowance()) / this.settings.allowanceMicroseconds;
+    this.balance = Math.min(this.maxBalance(), this.balance + thousandths + accruedAllowance);
+    this.accruedAtMicroseconds = now;
   }
 
-  /** Its part of the allowance. Why never fewer than so many: who has just started, or is cut off, sees only itself. */
-  private most(): number {
+  /**
+   * This proxy's part of the fleet's allowance, in thousandths. Divided by at least the minimum number of proxies because
+   * one that has just started or is partitioned sees only itself.
+   */
+  private ownAllowance(): number {
     const { fleetAllowance, leastDaemons } = this.settings;
-    return Math.floor((fleetAllowance * oneSend) / Math.max(leastDaemons, this.daemons()));
+    return Math.floor((fleetAllowance * retryCost) / Math.max(leastDaemons, this.proxyCount()));
   }
 
-  /** Why at least one: in a large fleet a part may be less, and nothing could ever be sent again. */
-  private keeps(): number {
-    return Math.max(oneSend, this.most());
+  /** Cap of the balance. At least one retry: in a large fleet the part may be less, and nothing could ever be retried. */
+  private maxBalance(): number {
+    return Math.max(retryCost, this.ownAllowance());
   }
 }
--- a/source/edge-proxy/sends/runningSend.ts
+++ b/source/edge-proxy/sends/runningSend.ts
@@ -20,6 +20,7 @@
 import { FinalEvent, SendStates, type SendEvent, type SendState } from './sendState';
 import { WholeEvents } from './wholeEvents';
 
+/** What an attempt needs of the rest of the proxy. */
 export type SendParts = Readonly<{
   sender: BackEndSender;
   words: BackEndWords;
@@ -27,98 +28,102 @@
   identifier: Identifier;
   view: EngineView;
   speeds: LinkSpeeds;
-  /** What imports of named parts have taken, and how fast engines read. */
+  /** Measured durations of cache imports between engines, and prefill speeds. */
   moves: PartMoves;
   readSpeeds: ReadSpeeds;
   desk: Pick<DeskLink, 'done'>;
-  /** Whether answers still running on weights whose time is over are cut. */
+  /** Whether running responses are cut off when their weights are no longer permitted. */
   cutsOldWeights: boolean;
   clock: Clock;
   metrics: Metrics;
   log: Log;
-  /** Tells of each long prompt; undefined where nobody reads it. */
+  /** Log of the prefill times of prompts with named parts; undefined if it is disabled. */
   logRead: Log | undefined;
   budgetOf: (service: string) => RetryBudget;
-  /** How long an order may still be held. */
+  /** How long a request may still be queued. */
   holdingLeft: (context: Context) => number;
-  /** What an order's class means to an engine; undefined: nothing is said. */
+  /** Urgency of a request sent to the engine, by its class; undefined if none is sent. */
   urgencyOf: (context: Context) => number | undefined;
-  /** When an order that engines had no room for should be asked again. */
+  /** `retry-after` of a request that engines had no room for. */
   busySeconds: number;
-  /** Whether a send that never reached its engine counts as none. */
+  /**
+   * Whether an attempt that never reached its engine is free: it doesn't count as an attempt, and the
+   * first few aren't charged to the retry budget.
+   */
   unsentIsFree: boolean;
   tell: (notes: readonly DirectoryNote[]) => void;
   mostSends: number;
   stillGood: (fetch: FetchPlan) => boolean;
-  /** An engine its steward has not seen for so long may be frozen; Infinity: silence is no reason to end a send. */
+  /** An engine that its controller has not seen for longer may be frozen; Infinity disables this check. */
   silentMicroseconds: number;
-  /** How long ago the engine was last seen to answer its steward. */
+  /** How long ago the engine last answered its controller. */
   seenAgeMicroseconds: (engine: string) => number;
 }>;
 
-/** Starting value, ours: so many engines in a row may turn out not to be there before it counts. */
-const mostUnsent = 4;
+/** Free attempts at unreachable engines per request; further ones are paid from the budget. */
+const maxFreeUnreachedAttempts = 4;
 
-/** Statuses that promise the caller that nothing has run; only an answer that says so itself may carry one. */
-const promises: readonly number[] = [408, 421, 429, 503];
+/** Statuses that promise the client that nothing has run; forwarded only if the engine confirms it explicitly. */
+const notRunStatuses: readonly number[] = [408, 421, 429, 503];
 
-/** Why a send ended that its engine had said nothing to. */
-const silences: readonly string[] = ['engineSilent', 'userAgentGone'];
+/** Refusals that count against an engine that had not responded before. */
+const silentEngineCodes: readonly string[] = ['engineSilent', 'userAgentGone'];
 
-/** What a send had to wait for when it began, to learn from its answer. */
-const fewBefore = 3;
-type Begun = Readonly<{ reading: number; inFlight: number }>;
+/** With more requests than this in flight, the time to the first event says too little about speeds to be recorded. */
+const maxInFlightToMeasure = 3;
+/** Load of the engine when the attempt started: tokens still to prefill and requests in flight. */
+type LoadAtStart = Readonly<{ reading: number; inFlight: number }>;
 
-/** One send, from the last look at the fence to the end of its answer. */
+/** One attempt to send a request to an engine, from the final checks to the end of the response. */
 export class RunningSend {
   private state: SendState = SendStates.start;
-  private readonly final = new FinalEvent();
+  private readonly finalEvent = new FinalEvent();
   private readonly events = new WholeEvents();
-  private attested = false;
-  private deskTold = false;
+  private sawFirstEvent = false;
+  private schedulerNotified = false;
   private head: SendHead | undefined;
   private meaning: HeadMeaning | undefined;
-  private begunWith: Begun = { reading: 0, inFlight: 0 };
+  private loadAtStart: LoadAtStart = { reading: 0, inFlight: 0 };
   private sentMicroseconds: number;
-  private cutSend: () => void = () => undefined;
-  private stopped: Step | undefined;
+  private cancelSend: () => void = () => undefined;
+  private blocked: Step | undefined;
   private finish: (step: Step) => void = () => undefined;
   private readonly startedMicroseconds: number;
 
   public constructor(
-    private readonly parts: SendParts,
+    private readonly dependencies: SendParts,
     private readonly context: Context,
     private readonly resolved: Resolved,
     private readonly placed: Placed,
     private readonly fetch: FetchPlan,
-    private readonly lastLook: () => Step | undefined,
+    private readonly finalCheck: () => Step | undefined,
   ) {
-    this.startedMicroseconds = parts.clock.nowMicroseconds();
+    this.startedMicroseconds = dependencies.clock.nowMicroseconds();
     this.sentMicroseconds = this.startedMicroseconds;
   }
 
   public run(): Promise<Step> {
-    const { parts, context, placed, fetch } = this;
+    const { dependencies, context, placed, fetch } = this;
     const { order, answer } = context;
-    parts.tell(fetch.began);
-    this.begunWith = {
-      reading: parts.view.work.of(placed.engine).reading,
-      inFlight: parts.view.ownInFlight(placed.engine),
+    dependencies.tell(fetch.began);
+    this.loadAtStart = {
+      reading: dependencies.view.work.of(placed.engine).reading,
+      inFlight: dependencies.view.ownInFlight(placed.engine),
     };
-    parts.view.began(placed.engine);
-    parts.view.work.began(placed.engine, placed.bootEpoch, {
+    dependencies.view.began(placed.engine);
+    dependencies.view.work.began(placed.engine, placed.bootEpoch, {
       order: order.id,
       toRead: placed.toRead ?? 0,
       tokens: (order.promptTokens ?? 0) + (order.mostTokens ?? 0),
       fills: fetch.fills,
     });
-    const over = new Promise<Step>((resolve) => {
+    const result = new Promise<Step>((resolve) => {
       this.finish = resolve;
     });
-    const cancelLimit = parts.clock.after(Math.max(0, this.leftMicroseconds()), () =>
+    const cancelLimit = dependencies.clock.after(Math.max(0, this.remainingMicroseconds()), () =>
       this.abandon(Refusals.make(504, 'mayHaveRun', 'engineSilent', 'The engine took too long.', 1)),
     );
-    const { cut } = parts.sender.send(
+    const { cut } = dependencies.sender.send(
       {
         address: placed.address,
         method: order.method,
@@ -128,21 +133,21 @@
         runsOnce: !this.isRepeatable(),
       },
       {
-        mayGo: () => this.mayGo(),
+        mayGo: () => this.checkBeforeWrite(),
         head: (head) => this.onHead(head),
         part: (bytes) => this.onPart(bytes),
         end: () => this.onEnd(),
         failed: (failure) => this.onFailed(failure),
       },
     );
-    this.cutSend = cut;
-    // Why after: the caller may have left in the meantime, or the sender may have failed at once.
+    this.cancelSend = cut;
+    // Registered after sending: the client may have left in the meantime, or the sender may have failed at once.
     answer.whenGone(() => this.abandon(Refusals.make(499, 'mayHaveRun', 'userAgentGone', 'The caller left.')));
-    return over.finally(() => {
+    return result.finally(() => {
       cancelLimit();
-      parts.view.ended(placed.engine);
-      parts.view.work.ended(placed.engine, order.id);
-      this.tellDesk(false);
+      dependencies.view.ended(placed.engine);
+      dependencies.view.work.ended(placed.engine, order.id);
+      this.notifyScheduler(false);
     });
   }
 
@@ -151,33 +156,37 @@
     return resumable || repeatable === true;
   }
 
-  /** How long an answer may still take: by the service, the mapping, and the caller's own patience. */
-  private leftMicroseconds(): number {
+  /** How long the response may still take, by the limits of the service, the mapping and the client. */
+  private remainingMicroseconds(): number {
     const { service, mapping } = this.resolved;
     const { order } = this.context;
-    const spent = this.parts.clock.nowMicroseconds() - order.arrivedMicroseconds;
-    return Math.min(service.answerLimitMicroseconds, OrderLimits.of(order, mapping) - spent);
+    const elapsedMicroseconds = this.dependencies.clock.nowMicroseconds() - order.arrivedMicroseconds;
+    return Math.min(service.answerLimitMicroseconds, OrderLimits.of(order, mapping) - elapsedMicroseconds);
   }
 
-  /** Called with every piece of news: an answer on weights whose time is over ends here, visibly. */
+  /**
+   * Called whenever the state changes: abandons an attempt at an engine that is silent and no longer valid, or on weights
+   * that are no longer permitted.
+   */
   public recheck(): void {
     const { service } = this.resolved;
     if (
       this.state.kind === 'opening' &&
       service.kind === 'pool' &&
-      this.parts.seenAgeMicroseconds(this.placed.engine) > this.parts.silentMicroseconds
+      this.dependencies.seenAgeMicroseconds(this.placed.engine) > this.dependencies.silentMicroseconds
     ) {
-      // Why: a frozen engine would find the order in its conn when it wakes, long after what it was taken under is gone.
-      const stands = this.parts.identifier.stillStands(this.context.order, this.resolved);
-      const changed = stands.kind === 'refuse' ? stands.refusal : undefined;
-      const unlisted = !this.parts.view.isListed(this.resolved.mapping.service, this.placed.engine);
-      if ((changed !== undefined && changed.code !== 'notFresh') || stands.kind === 'moved' || unlisted) {
+      // When a frozen engine resumes, it would still find the request on its connection, long after the configuration
+      // under which it was admitted has changed.
+      const validity = this.dependencies.identifier.stillStands(this.context.order, this.resolved);
+      const revocation = validity.kind === 'refuse' ? validity.refusal : undefined;
+      const isUnlisted = !this.dependencies.view.isListed(this.resolved.mapping.service, this.placed.engine);
+      if ((revocation !== undefined && revocation.code !== 'notFresh') || validity.kind === 'moved' || isUnlisted) {
         this.abandon(
           Refusals.make(
             502,
             'mayHaveRun',
-            changed?.code ?? 'engineSilent',
-            changed?.text ?? 'The engine was taken out of service before it answered.',
+            revocation?.code ?? 'engineSilent',
+            revocation?.text ?? 'The engine was taken out of service before it answered.',
             1,
           ),
         );
@@ -186,23 +195,23 @@
     }
     if (
       service.kind === 'pool' &&
-      (this.parts.cutsOldWeights || this.state.kind === 'opening') &&
-      this.parts.fence.weights(this.resolved.mapping.service, this.placed.weights) === 'forbidden'
+      (this.dependencies.cutsOldWeights || this.state.kind === 'opening') &&
+      this.dependencies.fence.weights(this.resolved.mapping.service, this.placed.weights) === 'forbidden'
     )
       this.abandon(Refusals.make(502, 'mayHaveRun', 'oldWeights', 'The weights were replaced while it ran.', 1));
   }
 
-  private mayGo(): boolean {
+  private checkBeforeWrite(): boolean {
     if (this.state.kind === 'over') return false;
-    this.stopped = this.lastLook();
-    if (this.stopped === undefined && this.fetch !== noFetch && !this.parts.stillGood(this.fetch)) {
+    this.blocked = this.finalCheck();
+    if (this.blocked === undefined && this.fetch !== noFetch && !this.dependencies.stillGood(this.fetch)) {
       const refusal = Refusals.make(503, 'notRun', 'noEngine', 'What the engine keeps changed again and again.', 1);
-      this.stopped = { kind: 'hold', context: this.context, refusal };
+      this.blocked = { kind: 'hold', context: this.context, refusal };
     }
-    if (this.stopped !== undefined) return false;
-    // Why here: what is written now counts as traffic, and nothing else earns a second send.
-    if (this.context.sends === 0) this.parts.budgetOf(this.resolved.mapping.service).first();
-    this.sentMicroseconds = this.parts.clock.nowMicroseconds();
+    if (this.blocked !== undefined) return false;
+    // Counted here because only a request that is really written earns budget for retries.
+    if (this.context.sends === 0) this.dependencies.budgetOf(this.resolved.mapping.service).first();
+    this.sentMicroseconds = this.dependencies.clock.nowMicroseconds();
     return true;
   }
 
@@ -210,7 +219,7 @@
     const { target, source, salt } = this.fetch;
     const { order } = this.context;
     const { service, mapping, tenant, trustDomain } = this.resolved;
-    return this.parts.words.write({
+    return this.dependencies.words.write({
       orderId: order.id,
       contentType: order.contentType,
       passed: order.passed ?? {},
@@ -219,8 +228,8 @@
       engine: this.placed.engine,
       model: service.kind === 'pool' ? service.model : '',
       weights: this.placed.weights,
-      urgency: this.parts.urgencyOf(this.context),
-      leftMicroseconds: Number.isFinite(OrderLimits.of(order, mapping)) ? this.leftMicroseconds() : undefined,
+      urgency: this.dependencies.urgencyOf(this.context),
+      leftMicroseconds: Number.isFinite(OrderLimits.of(order, mapping)) ? this.remainingMicroseconds() : undefined,
       salt,
       target,
       source,
@@ -235,168 +244,171 @@
   }
 
   private onHead(head: SendHead): void {
-    const framed = head.framed || this.parts.words.closeEndsAnswer;
+    const framed = head.framed || this.dependencies.words.closeEndsAnswer;
     if (!this.step({ kind: 'head', status: head.status, framed })) return;
     this.head = head;
-    const meaning = this.parts.words.read(
+    const meaning = this.dependencies.words.read(
       head,
       this.resolved.service.kind === 'pool' ? this.resolved.service.model : '',
       this.placed.engine,
     );
     this.meaning = meaning;
-    // Why first: an answer to another order says nothing of this one, and may not be believed in anything.
+    // Checked first because nothing in a response to another request may be trusted.
     if (meaning.orderId !== undefined && meaning.orderId !== this.context.order.id)
-      return this.disbelieve('The engine gave an answer to another order.');
-    if (meaning.lacksSeal) return this.disbelieve('The engine gave an answer without its seal.');
+      return this.rejectResponse('The engine gave an answer to another order.');
+    if (meaning.lacksSeal) return this.rejectResponse('The engine gave an answer without its seal.');
     if (meaning.notRun !== undefined) {
       this.step({ kind: 'notRun' });
-      this.parts.tell(this.fetch.notSent);
-      // Why left to end where conns are kept: the answer is short, and the conn may be used again.
-      if (this.parts.words.namesInstance) this.cutSend();
-      const refusal = Refusals.make(503, 'notRun', 'engineBusy', 'The engine is busy.', this.parts.busySeconds);
+      this.dependencies.tell(this.fetch.notSent);
+      // Where connections are reused, the short response is left to end instead.
+      if (this.dependencies.words.namesInstance) this.cancelSend();
+      const refusal = Refusals.make(503, 'notRun', 'engineBusy', 'The engine is busy.', this.dependencies.busySeconds);
       if (meaning.notRun === 'busy') {
-        // Why back to holding: the next place should come from fresher counts, not from guessing again.
-        this.parts.view.saidFull(this.placed.engine);
-        this.again(refusal, 'hold');
+        // Queued again so that it is placed by fresher load counts instead of another guess.
+        this.dependencies.view.saidFull(this.placed.engine);
+        this.retry(refusal, 'hold');
       } else {
-        this.parts.view.saidOther(this.placed.engine);
-        this.again(refusal);
+        this.dependencies.view.saidOther(this.placed.engine);
+        this.retry(refusal);
       }
       return;
     }
-    if (promises.includes(head.status) || this.startsAnew(head, meaning)) {
+    if (notRunStatuses.includes(head.status) || this.cannotContinueResponse(head, meaning)) {
       this.step({ kind: 'failed' });
-      this.cutSend();
-      this.broken(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.'));
+      this.cancelSend();
+      this.handleFailure(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.'));
       return;
     }
-    if (this.ownFailureSentAgain(head)) return;
-    if (this.resolved.service.kind !== 'pool' || !this.parts.words.namesInstance) return;
-    // Why before a byte reaches the caller: this engine is not the one that was confirmed.
+    if (this.retryReportedFailure(head)) return;
+    if (this.resolved.service.kind !== 'pool' || !this.dependencies.words.namesInstance) return;
+    // Abandoned before a byte reaches the client: the engine doesn't run the instance and weights that were confirmed.
     if (
       meaning.weights === undefined ||
       meaning.bootEpoch === undefined ||
-      this.parts.fence.weights(this.resolved.mapping.service, meaning.weights) === 'forbidden'
+      this.dependencies.fence.weights(this.resolved.mapping.service, meaning.weights) === 'forbidden'
     )
       this.abandon(
         Refusals.make(502, 'mayHaveRun', 'oldWeights', 'The engine answered on weights that are not in service.', 1),
       );
   }
 
-  /** Nothing of this answer is passed on, and its conn carries no other one. */
-  private disbelieve(text: string): void {
+  /** Discards the whole response and closes its connection. */
+  private rejectResponse(text: string): void {
     this.step({ kind: 'failed' });
-    this.cutSend();
-    this.broken(Refusals.make(502, 'mayHaveRun', 'engineFailed', text));
+    this.cancelSend();
+    this.handleFailure(Refusals.make(502, 'mayHaveRun', 'engineFailed', text));
   }
 
   /**
-   * The engine's own word that it failed, where another engine may be asked instead. Where none may, the answer goes to
-   * the caller as it is. Why not 504: its time was over, and so is the order's.
+   * Retries a response in which the engine reports its own failure, if another engine is available and a retry is allowed;
+   * otherwise the response is forwarded to the client as it is. 504 isn't retried because the request's own time is over.
    */
-  private ownFailureSentAgain(head: SendHead): boolean {
+  private retryReportedFailure(head: SendHead): boolean {
     if (head.status < 500 || head.status === 504 || !this.isRepeatable()) return false;
     const { engine } = this.placed;
     const isElsewhere = ({ name }: Readonly<{ name: string }>): boolean =>
       name !== engine && !this.context.avoided.includes(name);
-    if (!this.parts.view.candidates(this.resolved.mapping.service).some(isElsewhere)) return false;
+    if (!this.dependencies.view.candidates(this.resolved.mapping.service).some(isElsewhere)) return false;
     const refusal = Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.');
-    const context = this.contextAgain(refusal, 'again');
+    const context = this.retryContext(refusal, 'again');
     if (context === undefined) return false;
     this.step({ kind: 'failed' });
-    this.tellOutliers('failed');
-    this.parts.tell(this.fetch.abandoned);
-    // Why left to end where conns are kept: the answer is short, and the conn may be used again.
-    if (this.parts.words.namesInstance) this.cutSend();
+    this.reportOutcome('failed');
+    this.dependencies.tell(this.fetch.abandoned);
+    // Where connections are reused, the short response is left to end instead.
+    if (this.dependencies.words.namesInstance) this.cancelSend();
     this.finish({ kind: 'again', context, refusal });
     return true;
   }
 
-  /** An answer that should go on with an earlier one, and is none of its kind. */
-  private startsAnew(head: SendHead, meaning: HeadMeaning): boolean {
+  /** Whether the client already has a part of an earlier response and this response can't continue it. */
+  private cannotContinueResponse(head: SendHead, meaning: HeadMeaning): boolean {
     return this.context.answer.begun() && (head.status !== 200 || !meaning.events);
   }
 
   private onPart(bytes: Uint8Array): Promise<void> | undefined {
-    if (!this.step({ kind: 'part', hasFinal: this.final.see(bytes) })) return undefined;
-    const passed = this.meaning?.events === true ? this.events.feed(bytes) : bytes;
-    if (passed === undefined) return undefined;
-    this.begin();
-    return this.context.answer.part(passed);
+    if (!this.step({ kind: 'part', hasFinal: this.finalEvent.see(bytes) })) return undefined;
+    const chunk = this.meaning?.events === true ? this.events.feed(bytes) : bytes;
+    if (chunk === undefined) return undefined;
+    this.startResponse();
+    return this.context.answer.part(chunk);
   }
 
-  private begin(): void {
+  private startResponse(): void {
     const { answer, order } = this.context;
     const { head, meaning } = this;
     if (head === undefined || meaning === undefined) return;
-    this.attest(head, meaning);
+    this.onFirstEvent(head, meaning);
     if (answer.begun()) return;
     answer.head({
       status: head.status,
       headers: {
         ...meaning.passed,
-        ...(this.parts.words.namesInstance ? { 'postdrum-order': order.id } : {}),
-        ...(this.parts.words.namesInstance && head.status >= 400 ? { 'postdrum-verdict': 'ran' } : {}),
+        ...(this.dependencies.words.namesInstance ? { 'postdrum-order': order.id } : {}),
+        ...(this.dependencies.words.namesInstance && head.status >= 400 ? { 'postdrum-verdict': 'ran' } : {}),
       },
     });
   }
 
-  /** The first event of the answer: what the engine was told to move has ended. */
-  private attest(head: SendHead, meaning: HeadMeaning): void {
-    if (this.attested) return;
-    this.attested = true;
-    const { parts, placed, fetch } = this;
-    if (head.status === 200) parts.view.work.begun(placed.engine, this.context.order.id);
-    this.tellDesk(head.status === 200);
-    const good = head.status === 200 && meaning.bootEpoch === placed.bootEpoch && meaning.weights === placed.weights;
-    parts.tell(good ? fetch.attested : fetch.abandoned);
-    if (head.status === 200) this.learn();
+  /** At the first event of the response: the cache transfers that the engine was asked for have ended. */
+  private onFirstEvent(head: SendHead, meaning: HeadMeaning): void {
+    if (this.sawFirstEvent) return;
+    this.sawFirstEvent = true;
+    const { dependencies, placed, fetch } = this;
+    if (head.status === 200) dependencies.view.work.begun(placed.engine, this.context.order.id);
+    this.notifyScheduler(head.status === 200);
+    const isConfirmed =
+      head.status === 200 && meaning.bootEpoch === placed.bootEpoch && meaning.weights === placed.weights;
+    dependencies.tell(isConfirmed ? fetch.attested : fetch.abandoned);
+    if (head.status === 200) this.recordSpeeds();
     const { source } = fetch;
-    const took = meaning.importMicroseconds;
-    if (source !== undefined && took !== undefined) {
-      parts.speeds.measured(source.holder, placed.engine, took / source.keys.length);
-      parts.metrics.count('postdrum_imports_total', { ended: good ? 'answered' : 'failed' });
+    const importMicroseconds = meaning.importMicroseconds;
+    if (source !== undefined && importMicroseconds !== undefined) {
+      dependencies.speeds.measured(source.holder, placed.engine, importMicroseconds / source.keys.length);
+      dependencies.metrics.count('postdrum_imports_total', { ended: isConfirmed ? 'answered' : 'failed' });
     }
   }
 
-  /** What the time to the first event tells of reading and moving, where little else was in the way. */
-  private learn(): void {
-    const { parts, placed, fetch } = this;
+  /** Records prefill speed and transfer time from the time to the first event, if the engine had little other load. */
+  private recordSpeeds(): void {
+    const { dependencies, placed, fetch } = this;
     const toRead = placed.toRead ?? 0;
     if (toRead === 0) return;
-    const took = parts.clock.nowMicroseconds() - this.sentMicroseconds;
-    this.tellRead(took);
-    if (this.begunWith.inFlight > fewBefore) return;
+    const elapsedMicroseconds = dependencies.clock.nowMicroseconds() - this.sentMicroseconds;
+    this.logPrefill(elapsedMicroseconds);
+    if (this.loadAtStart.inFlight > maxInFlightToMeasure) return;
     const { move } = fetch;
-    if (move === undefined) parts.readSpeeds.saw(placed.engine, toRead + this.begunWith.reading, took);
+    if (move === undefined)
+      dependencies.readSpeeds.saw(placed.engine, toRead + this.loadAtStart.reading, elapsedMicroseconds);
     else {
-      const reading = ((toRead + this.begunWith.reading) * 1000) / parts.readSpeeds.of(placed.engine);
-      parts.moves.measured(placed.engine, move, Math.max(0, took - reading));
+      const prefillMicroseconds =
+        ((toRead + this.loadAtStart.reading) * 1000) / dependencies.readSpeeds.of(placed.engine);
+      dependencies.moves.measured(placed.engine, move, Math.max(0, elapsedMicroseconds - prefillMicroseconds));
     }
   }
 
-  private tellOutliers(end: AnswerEnd): void {
-    const { view, clock } = this.parts;
+  private reportOutcome(end: AnswerEnd): void {
+    const { view, clock } = this.dependencies;
     view.outliers.answered(this.placed.engine, end, clock.nowMicroseconds() - this.sentMicroseconds);
   }
 
-  private tellDesk(good: boolean): void {
-    if (this.placed.reserved !== true || this.deskTold) return;
-    this.deskTold = true;
-    this.parts.desk.done(this.placed.engine, this.context.order.id, good);
+  private notifyScheduler(succeeded: boolean): void {
+    if (this.placed.reserved !== true || this.schedulerNotified) return;
+    this.schedulerNotified = true;
+    this.dependencies.desk.done(this.placed.engine, this.context.order.id, succeeded);
   }
 
-  private tellRead(took: number): void {
-    if (this.parts.logRead === undefined || this.fetch.fills.length + this.placed.matched === 0) return;
+  private logPrefill(elapsedMicroseconds: number): void {
+    if (this.dependencies.logRead === undefined || this.fetch.fills.length + this.placed.matched === 0) return;
     const { placed, fetch, context } = this;
     const { order } = context;
     const tokens = order.parts?.map(({ size }) => size).join('+') ?? '';
-    this.parts.logRead(
-      `Order ${order.id} (${tokens}) at ${placed.engine}, weights ${placed.weights}, kept ${placed.matched}, ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'by guess' : `in ${Math.round(fetch.move.microseconds / 1000)}`}, to store ${fetch.target === undefined ? 'no' : 'yes'}, read ${placed.toRead} behind ${this.begunWith.reading}, ${this.begunWith.inFlight} running: first event after ${Math.round(took / 1000)} ms, ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after it came.`,
+    this.dependencies.logRead(
+      `Request ${order.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.matched}, salt and first part ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.toRead} tokens to prefill behind ${this.loadAtStart.reading}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after arrival.`,
     );
   }
 
-  /** An answer without a length that stops where no answer would: its conn closed too early. */
+  /** Whether an unframed response stopped before its first byte or within an event, so its connection closed too early. */
   private closedTooEarly(): boolean {
     if (this.head?.framed !== false) return false;
     const hasBegun = this.state.kind === 'answering' && this.state.begun;
@@ -407,64 +419,70 @@
     if (!this.step({ kind: this.closedTooEarly() ? 'failed' : 'end' })) return;
     const { answer } = this.context;
     if (this.state.kind === 'over' && this.state.how === 'whole') {
-      // Why 5xx: it is the engine's own word that it failed.
-      this.tellOutliers((this.head?.status ?? 0) >= 500 ? 'failed' : 'good');
-      this.begin();
+      // With a 5xx status the engine itself reports that it failed.
+      this.reportOutcome((this.head?.status ?? 0) >= 500 ? 'failed' : 'good');
+      this.startResponse();
       const rest = this.events.flush();
       if (rest !== undefined) void answer.part(rest);
       answer.end();
-      this.parts.metrics.count('postdrum_answers_total', { service: this.resolved.mapping.service, end: 'whole' });
+      this.dependencies.metrics.count('postdrum_answers_total', {
+        service: this.resolved.mapping.service,
+        end: 'whole',
+      });
       this.finish({ kind: 'done' });
       return;
     }
-    this.broken(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The answer of the engine broke off.'));
+    this.handleFailure(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The answer of the engine broke off.'));
   }
 
   private onFailed({ kind, text, forgotten }: SendFailure): void {
     if (!this.step({ kind: 'failed' })) return;
-    this.parts.log(`A send to ${this.placed.engine} failed: ${text}.`);
+    this.dependencies.log(`Attempt at engine ${this.placed.engine} failed: ${text}.`);
     if (kind === 'notRun') {
-      this.parts.tell(this.fetch.notSent);
-      // Why no other engine and no budget: it was this proxy that did not let it go, and nothing was written.
-      if (this.stopped !== undefined) {
-        this.finish(this.stopped);
+      this.dependencies.tell(this.fetch.notSent);
+      // Neither retried here nor charged: this proxy itself stopped the request before anything was written.
+      if (this.blocked !== undefined) {
+        this.finish(this.blocked);
         return;
       }
-      this.parts.view.outliers.unreached(this.placed.engine);
-      if (this.parts.unsentIsFree) this.parts.view.saidOther(this.placed.engine);
-      this.again(Refusals.make(503, 'notRun', 'engineFailed', 'The engine could not be reached.', 1), 'unsent');
+      this.dependencies.view.outliers.unreached(this.placed.engine);
+      if (this.dependencies.unsentIsFree) this.dependencies.view.saidOther(this.placed.engine);
+      this.retry(Refusals.make(503, 'notRun', 'engineFailed', 'The engine could not be reached.', 1), 'unsent');
       return;
     }
-    // Why not against the engine: it forgot an idle conn, and may be well. The order may have run all the same.
-    this.broken(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.'), forgotten !== true);
+    // A closed idle connection doesn't count against the engine, which may be healthy. The request may still have run.
+    this.handleFailure(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.'), forgotten !== true);
   }
 
-  /** A failure after bytes may have left: only a resumable order whose answer has not begun is sent again. */
-  private broken(refusal: Refusal, isOfEngine = true): void {
-    if (isOfEngine) this.tellOutliers('failed');
-    this.parts.log(`An answer of ${this.placed.engine} broke off: ${refusal.text}`);
-    if (!this.attested) this.parts.tell(this.fetch.abandoned);
-    if (this.context.answer.begun() && !this.mayGoOnAfter()) {
-      this.parts.metrics.count('postdrum_answers_total', { service: this.resolved.mapping.service, end: 'cut' });
+  /**
+   * Handles a failure after bytes may have been sent: a resumable or repeatable request is retried unless the client already
+   * has a part of the response that can't be continued.
+   */
+  private handleFailure(refusal: Refusal, countsAgainstEngine = true): void {
+    if (countsAgainstEngine) this.reportOutcome('failed');
+    this.dependencies.log(`Response of engine ${this.placed.engine} failed: ${refusal.text}`);
+    if (!this.sawFirstEvent) this.dependencies.tell(this.fetch.abandoned);
+    if (this.context.answer.begun() && !this.canResume()) {
+      this.dependencies.metrics.count('postdrum_answers_total', { service: this.resolved.mapping.service, end: 'cut' });
       this.finish({ kind: 'refuse', refusal });
-    } else if (this.resolved.mapping.resumable) this.again(refusal);
-    else if (this.resolved.mapping.repeatable === true) this.again(refusal);
+    } else if (this.resolved.mapping.resumable) this.retry(refusal);
+    else if (this.resolved.mapping.repeatable === true) this.retry(refusal);
     else this.finish({ kind: 'refuse', refusal });
   }
 
   private abandon(refusal: Refusal): void {
-    const isWaiting = this.state.kind === 'opening';
+    const isAwaitingResponse = this.state.kind === 'opening';
     if (!this.step({ kind: 'cut' })) return;
-    // Why the caller's leaving too: those who wait for a silent engine go sooner than any limit ends.
-    if (isWaiting && silences.includes(refusal.code)) this.tellOutliers('silent');
-    this.parts.log(`A send to ${this.placed.engine} is given up: ${refusal.code}.`);
-    if (!this.attested) this.parts.tell(this.fetch.abandoned);
-    this.cutSend();
+    // A client that leaves counts, too, because clients give up on a silent engine before any time limit ends.
+    if (isAwaitingResponse && silentEngineCodes.includes(refusal.code)) this.reportOutcome('silent');
+    this.dependencies.log(`Attempt at engine ${this.placed.engine} abandoned: ${refusal.code}.`);
+    if (!this.sawFirstEvent) this.dependencies.tell(this.fetch.abandoned);
+    this.cancelSend();
     this.finish({ kind: 'refuse', refusal });
   }
 
-  /** Whether an answer that has begun may be taken up at another engine, after the last event that the caller has. */
-  private mayGoOnAfter(): boolean {
+  /** Whether a started response may be resumed at another engine, after the last event that the client has. */
+  private canResume(): boolean {
     return (
       this.resolved.mapping.resumable &&
       this.meaning?.events === true &&
@@ -472,9 +490,9 @@
     );
   }
 
-  /** `unsent`: the engine was never reached, so it is no send at all, and costs nothing of the budget. */
-  private again(refusal: Refusal, how: 'again' | 'hold' | 'unsent' = 'again'): void {
-    const context = this.contextAgain(refusal, how);
+  /** Retries if allowed, else refuses. `unsent` means that the engine was never reached, which may be free. */
+  private retry(refusal: Refusal, how: 'again' | 'hold' | 'unsent' = 'again'): void {
+    const context = this.retryContext(refusal, how);
     this.finish(
       context === undefined
         ? { kind: 'refuse', refusal }
@@ -482,30 +500,30 @@
     );
   }
 
-  /** What the next send goes out with, paid for; undefined: there may be none. */
-  private contextAgain(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): Context | undefined {
+  /** The context of the next attempt, paid from the budget; undefined if another attempt isn't allowed. */
+  private retryContext(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): Context | undefined {
     const kind = how === 'hold' ? 'hold' : 'again';
     const after = this.events.lastId ?? this.context.after;
     const context: Context = {
       ...this.context,
-      sends: this.context.sends + (how === 'unsent' && this.parts.unsentIsFree ? 0 : 1),
+      sends: this.context.sends + (how === 'unsent' && this.dependencies.unsentIsFree ? 0 : 1),
       rounds: this.context.rounds + 1,
       mayHaveRun: this.context.mayHaveRun || refusal.verdict !== 'notRun',
       avoided: [...this.context.avoided, this.placed.engine],
       ...(after === undefined ? {} : { after }),
     };
-    const spent =
-      this.parts.clock.nowMicroseconds() - this.startedMicroseconds > this.resolved.service.answerLimitMicroseconds ||
-      this.leftMicroseconds() <= 0;
-    const budget = this.parts.budgetOf(this.resolved.mapping.service);
-    const free = how === 'unsent' && this.parts.unsentIsFree && this.context.rounds < mostUnsent;
-    const most = this.resolved.mapping.mostSends ? this.resolved.mapping.mostSends : this.parts.mostSends;
-    const mayGoOn =
-      !spent &&
-      context.sends < most &&
-      (free || (kind === 'hold' ? budget.mayHope(this.parts.holdingLeft(context)) : budget.spend()));
-    if (!mayGoOn) return undefined;
-    this.parts.metrics.count('postdrum_sends_again_total', { service: this.resolved.mapping.service });
+    const isTimeOver =
+      this.dependencies.clock.nowMicroseconds() - this.startedMicroseconds >
+        this.resolved.service.answerLimitMicroseconds || this.remainingMicroseconds() <= 0;
+    const budget = this.dependencies.budgetOf(this.resolved.mapping.service);
+    const isFree = how === 'unsent' && this.dependencies.unsentIsFree && this.context.rounds < maxFreeUnreachedAttempts;
+    const maxAttempts = this.resolved.mapping.mostSends ? this.resolved.mapping.mostSends : this.dependencies.mostSends;
+    const mayRetry =
+      !isTimeOver &&
+      context.sends < maxAttempts &&
+      (isFree || (kind === 'hold' ? budget.mayHope(this.dependencies.holdingLeft(context)) : budget.spend()));
+    if (!mayRetry) return undefined;
+    this.dependencies.metrics.count('postdrum_sends_again_total', { service: this.resolved.mapping.service });
     return { ...context, owesSend: kind === 'hold' };
   }
 }
--- a/source/edge-proxy/sends/sendPolicy.ts
+++ b/source/edge-proxy/sends/sendPolicy.ts
@@ -3,61 +3,65 @@
 import type { Context, Placed, Policy, Resolved, Step } from '../path/order';
 import { RunningSend, type SendParts } from './runningSend';
 
-/** The last policy: looks once more whether the order may go, sends it, and passes the answer on. */
+/** The last policy: checks once more whether the request may be sent, sends it, and forwards the response. */
 export class SendPolicy implements Policy {
   public readonly name = 'send';
   private readonly running = new Set<RunningSend>();
 
-  public constructor(private readonly parts: SendParts) {}
+  public constructor(private readonly dependencies: SendParts) {}
 
   public readonly apply = async (context: Context): Promise<Step> => {
     const { resolved, placed } = context;
     if (resolved === undefined || placed === undefined) throw new Error('nothing placed');
     const fetch = context.fetch ?? noFetch;
-    const stopped = this.lastLook(context, resolved, placed);
-    if (stopped !== undefined) {
-      this.parts.tell(fetch.notSent);
-      return stopped;
+    const blocked = this.finalCheck(context, resolved, placed);
+    if (blocked !== undefined) {
+      this.dependencies.tell(fetch.notSent);
+      return blocked;
     }
-    this.parts.metrics.count('postdrum_sends_total', { service: resolved.mapping.service });
-    // Why drop the plan and not the order: without names it is a fresh prefill and nothing else.
-    const good = this.parts.stillGood(fetch);
-    if (!good) this.parts.tell(fetch.notSent);
-    const send = new RunningSend(this.parts, context, resolved, placed, good ? fetch : noFetch, () =>
-      this.lastLook(context, resolved, placed),
+    this.dependencies.metrics.count('postdrum_sends_total', { service: resolved.mapping.service });
+    // An outdated cache transfer plan is dropped and the request is sent all the same: without the plan the engine just
+    // prefills the whole prompt.
+    const isPlanValid = this.dependencies.stillGood(fetch);
+    if (!isPlanValid) this.dependencies.tell(fetch.notSent);
+    const attempt = new RunningSend(this.dependencies, context, resolved, placed, isPlanValid ? fetch : noFetch, () =>
+      this.finalCheck(context, resolved, placed),
     );
-    this.running.add(send);
+    this.running.add(attempt);
     try {
-      return await send.run();
+      return await attempt.run();
     } finally {
-      this.running.delete(send);
+      this.running.delete(attempt);
     }
   };
 
+  /** Called when the state changes: ends attempts that may no longer run. */
   public recheck(): void {
-    for (const send of [...this.running]) send.recheck();
+    for (const attempt of [...this.running]) attempt.recheck();
   }
 
+  /** Number of running attempts. */
   public get count(): number {
     return this.running.size;
   }
 
-  /** Undefined: it may go. Otherwise what becomes of an order of which nothing has been written. */
-  private lastLook(context: Context, resolved: Resolved, placed: Placed): Step | undefined {
-    const { fence, identifier } = this.parts;
-    // Why again here: the process may have been frozen since the order was taken.
+  /** Checks that the request may still be sent: undefined if so, else the result for a request of which nothing was sent. */
+  private finalCheck(context: Context, resolved: Resolved, placed: Placed): Step | undefined {
+    const { fence, identifier } = this.dependencies;
+    // Checked again here because the process may have been frozen since the request was admitted.
     if (!fence.fresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
     if (context.answer.gone())
       return { kind: 'refuse', refusal: Refusals.make(499, 'notRun', 'userAgentGone', 'The caller left.') };
-    const stands = identifier.stillStands(context.order, resolved);
-    if (stands.kind === 'refuse') return stands;
-    if (stands.kind === 'moved') {
+    const validity = identifier.stillStands(context.order, resolved);
+    if (validity.kind === 'refuse') return validity;
+    if (validity.kind === 'moved') {
       const refusal = Refusals.make(503, 'notRun', 'mappingRemoved', 'The mapping changed again and again.', 1);
       return { kind: 'anew', context, refusal };
     }
     const { engine: name, bootEpoch, weights } = placed;
-    // Why also those left out: it was placed there before, and one on probation counts this very order as its own.
-    if (this.parts.view.isAble(resolved.mapping.service, { name, bootEpoch, weights })) return undefined;
+    // Engines that are excluded from new placements are accepted, too: the request is already placed, and an engine on
+    // probation counts this very request as its trial.
+    if (this.dependencies.view.isAble(resolved.mapping.service, { name, bootEpoch, weights })) return undefined;
     const refusal = Refusals.make(503, 'notRun', 'noEngine', 'The engine left while the order was placed.', 1);
     return { kind: 'hold', context, refusal };
   }
--- a/source/edge-proxy/sends/sendState.ts
+++ b/source/edge-proxy/sends/sendState.ts
@@ -1,9 +1,10 @@
-/** Where one send stands. One function for every change; what it does not name is ignored. */
+/** State of one attempt to send a request to an engine. Events that don't apply to a state leave it unchanged. */
 export type SendState =
   | Readonly<{ kind: 'opening' }>
   | Readonly<{ kind: 'answering'; status: number; framed: boolean; begun: boolean; sawFinal: boolean }>
   | Readonly<{ kind: 'over'; how: 'whole' | 'cut' | 'failed' | 'notRun' }>;
 
+/** What happens to an attempt. */
 export type SendEvent =
   | Readonly<{ kind: 'head'; status: number; framed: boolean }>
   | Readonly<{ kind: 'part'; hasFinal: boolean }>
@@ -12,6 +13,7 @@
   | Readonly<{ kind: 'failed' }>
   | Readonly<{ kind: 'cut' }>;
 
+/** The state machine of an attempt. */
 export const SendStates = {
   start: { kind: 'opening' } as SendState,
   step: (state: SendState, event: SendEvent): SendState => {
@@ -24,7 +26,7 @@
           ? { ...state, begun: true, sawFinal: event.hasFinal || state.sawFinal }
           : state;
       case 'end':
-        // Why: an answer without length and without chunks ends with its conn, and so does a cut one.
+        // A response without a length and without chunks ends when its connection closes, and so does one that was cut off.
         return { kind: 'over', how: state.kind === 'answering' && (state.framed || state.sawFinal) ? 'whole' : 'cut' };
       case 'notRun':
         return { kind: 'over', how: 'notRun' };
@@ -36,20 +38,21 @@
   },
 } as const;
 
-const finalMark = Buffer.from('data: [DONE]');
+const finalEventBytes = Buffer.from('data: [DONE]');
 
-/** Looks for the stream's own final event, also where it is split over two parts. */
+/** Detects the final event of a stream, also where it is split over two chunks. */
 export class FinalEvent {
   private tail: Buffer = Buffer.alloc(0);
 
+  /** Whether the stream so far ends with the final event. */
   public see(bytes: Uint8Array): boolean {
     const joined = Buffer.concat([this.tail, bytes]);
-    this.tail = joined.subarray(Math.max(0, joined.length - finalMark.length - 4));
-    const found = joined.lastIndexOf(finalMark);
+    this.tail = joined.subarray(Math.max(0, joined.length - finalEventBytes.length - 4));
+    const found = joined.lastIndexOf(finalEventBytes);
     return (
       found >= 0 &&
       joined
-        .subarray(found + finalMark.length)
+        .subarray(found + finalEventBytes.length)
         .toString('latin1')
         .trim() === ''
     );
--- a/source/edge-proxy/sends/wholeEvents.ts
+++ b/source/edge-proxy/sends/wholeEvents.ts
@@ -1,53 +1,53 @@
 const lineFeed = 0x0a;
 const carriageReturn = 0x0d;
 
-/** Starting value, ours: an event longer than this is passed on in pieces, and can no longer be taken up after. */
-const mostEventBytes = 1024 * 1024;
+/** A longer event is forwarded in pieces, and the response can no longer be resumed after it. */
+const maxEventBytes = 1024 * 1024;
 
 /**
- * Cuts a series of events at their borders, so that only whole ones are passed on. Why: an answer that breaks off is
- * taken up after the last event that the caller has, and half an event could be neither repeated nor left out.
+ * Splits a stream of server-sent events idIndex event boundaries, so that only whole events are forwarded. A response that
+ * breaks off is resumed after the last event that the client has; half an event could be neither repeated nor left out.
  */
 export class WholeEvents {
-  private rest: Buffer = Buffer.alloc(0);
-  private last: string | undefined;
-  private tooLong = false;
+  private buffered: Buffer = Buffer.alloc(0);
+  private lastEventId: string | undefined;
+  private hasOversizedEvent = false;
 
-  /** The id of the last whole event that was passed on; undefined: none yet, or it had none. */
+  /** The id of the last whole event that was forwarded; undefined if there is none or an event was too long. */
   public get lastId(): string | undefined {
-    return this.tooLong ? undefined : this.last;
+    return this.hasOversizedEvent ? undefined : this.lastEventId;
   }
 
-  /** Whether the bytes so far end in the middle of an event. */
+  /** Whether the stream so far ends in the middle of an event. */
   public get isWithinEvent(): boolean {
-    return this.rest.length > 0;
+    return this.buffered.length > 0;
   }
 
-  /** Bytes up to the last border, or none. */
+  /** Adds bytes and returns those up to the last event boundary, if any. */
   public feed(bytes: Uint8Array): Buffer | undefined {
-    const joined = this.rest.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.rest, bytes]);
-    const border = WholeEvents.borderIn(joined, Math.max(0, this.rest.length - 3));
-    if (border === 0) {
-      this.rest = joined;
-      if (joined.length <= mostEventBytes) return undefined;
-      this.tooLong = true;
+    const joined = this.buffered.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.buffered, bytes]);
+    const boundaryIndex = WholeEvents.boundaryIn(joined, Math.max(0, this.buffered.length - 3));
+    if (boundaryIndex === 0) {
+      this.buffered = joined;
+      if (joined.length <= maxEventBytes) return undefined;
+      this.hasOversizedEvent = true;
       return this.flush();
     }
-    this.rest = joined.subarray(border);
-    const whole = joined.subarray(0, border);
-    this.last = WholeEvents.idIn(whole) ?? this.last;
-    return whole;
+    this.buffered = joined.subarray(boundaryIndex);
+    const complete = joined.subarray(0, boundaryIndex);
+    this.lastEventId = WholeEvents.lastIdIn(complete) ?? this.lastEventId;
+    return complete;
   }
 
-  /** What is left when the answer has ended well. */
+  /** Returns the remaining bytes when the response has ended normally. */
   public flush(): Buffer | undefined {
-    const rest = this.rest;
-    this.rest = Buffer.alloc(0);
+    const rest = this.buffered;
+    this.buffered = Buffer.alloc(0);
     return rest.length === 0 ? undefined : rest;
   }
 
-  /** The place after the last empty line; 0 where there is none. */
-  private static borderIn(bytes: Buffer, from: number): number {
+  /** The index after the last empty line; 0 if there is none. */
+  private static boundaryIn(bytes: Buffer, from: number): number {
     for (let end = bytes.length - 1; end > from; end -= 1) {
       if (bytes[end] !== lineFeed) continue;
       const before = bytes[end - 1] === carriageReturn ? end - 2 : end - 1;
@@ -56,12 +56,12 @@
     return 0;
   }
 
-  private static idIn(whole: Buffer): string | undefined {
+  private static lastIdIn(whole: Buffer): string | undefined {
     const text = whole.toString('latin1');
-    let at = text.lastIndexOf('\nid:');
-    if (at < 0) at = text.startsWith('id:') ? -1 : -2;
-    if (at === -2) return undefined;
-    const start = at + 4;
+    let idIndex = text.lastIndexOf('\nid:');
+    if (idIndex < 0) idIndex = text.startsWith('id:') ? -1 : -2;
+    if (idIndex === -2) return undefined;
+    const start = idIndex + 4;
     const end = text.indexOf('\n', start);
     return text
       .slice(start, end < 0 ? undefined : end)
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -35,8 +35,8 @@
     cuts: [
       [
         'edge-proxy/sends/runningSend.ts',
-        'else if (this.resolved.mapping.resumable) this.again(refusal);',
-        'else if (refusal.status > 0) this.again(refusal);',
+        'else if (this.resolved.mapping.resumable) this.retry(refusal);',
+        'else if (refusal.status > 0) this.retry(refusal);',
       ],
     ],
   },
@@ -263,11 +263,11 @@
     faults: ['brownOut'],
     seeds: 6,
     cuts: [
-      ['edge-proxy/sends/retryBudget.ts', 'if (this.earned < oneSend) return false;', ''],
+      ['edge-proxy/sends/retryBudget.ts', 'if (this.balance < retryCost) return false;', ''],
       [
         'edge-proxy/sends/retryBudget.ts',
-        'return this.comesWithin(withinMicroseconds) >= (this.waiting + 1) * oneSend;',
-        'return this.comesWithin(withinMicroseconds) >= 0;',
+        'return this.expectedBalance(withinMicroseconds) >= (this.waitingRetries + 1) * retryCost;',
+        'return this.expectedBalance(withinMicroseconds) >= 0;',
       ],
     ],
   },
@@ -336,8 +336,8 @@
     cuts: [
       [
         'edge-proxy/holding/takePolicy.ts',
-        "if (taken.kind === 'moved') return { kind: 'anew', context, refusal: taken.refusal };",
-        "if (taken.kind === 'moved') return { kind: 'refuse', refusal: taken.refusal };",
+        "if (result.kind === 'moved') return { kind: 'anew', context, refusal: result.refusal };",
+        "if (result.kind === 'moved') return { kind: 'refuse', refusal: result.refusal };",
       ],
       [
         'edge-proxy/sends/sendPolicy.ts',
@@ -360,7 +360,7 @@
       ],
       [
         'edge-proxy/sends/runningSend.ts',
-        "(kind === 'hold' ? budget.mayHope(this.parts.holdingLeft(context)) : budget.spend())",
+        "(kind === 'hold' ? budget.mayHope(this.dependencies.holdingLeft(context)) : budget.spend())",
         "kind === 'again' && budget.spend()",
       ],
     ],
@@ -384,14 +384,14 @@
     what: 'places in a class are not given back',
     faults: ['storeEmptied'],
     seeds: 2,
-    cuts: [['edge-proxy/holding/takeDesk.ts', 'desk.running -= 1;', '']],
+    cuts: [['edge-proxy/holding/takeDesk.ts', 'queue.running -= 1;', '']],
   },
   {
     point: 'neverAnswered',
     what: 'who waits too long is forgotten',
     faults: ['brownOut', 'coreCutFromEdges'],
     seeds: 6,
-    cuts: [['edge-proxy/holding/takeDesk.ts', 'held.settle(taken);', '']],
+    cuts: [['edge-proxy/holding/takeDesk.ts', 'entry.settle(result);', '']],
   },
   {
     point: 'noRetryAfter',
