--- a/source/edge-proxy/door/callersDoor.ts
+++ b/source/edge-proxy/door/callersDoor.ts
@@ -125,11 +125,8 @@
   private mayOutlastShutdown(limitMicroseconds: number | undefined): boolean {
     const lastOrders = this.shutdown?.plan.lastOrders;
     if (this.shutdown === undefined || lastOrders === undefined || limitMicroseconds === undefined) return false;
-    const elapsedMicroseconds = this.clock.nowMicroseconds() - this.shutdown.startedMicroseconds;
-    return (
-      elapsedMicroseconds > lastOrders.afterMicroseconds &&
-      elapsedMicroseconds + limitMicroseconds > lastOrders.endMicroseconds
-    );
+    const elapsed = this.clock.nowMicroseconds() - this.shutdown.startedMicroseconds;
+    return elapsed > lastOrders.afterMicroseconds && elapsed + limitMicroseconds > lastOrders.endMicroseconds;
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/source/edge-proxy/holding/takeDesk.ts
+++ b/source/edge-proxy/holding/takeDesk.ts
@@ -108,8 +108,8 @@
     const settings = this.classesOf()[className];
     if (settings === undefined) return Promise.resolve(mappingChanged);
     const queue = this.classQueue(service, className);
-    const refusal = this.refusalOnArrival(order, queue, settings);
-    if (refusal !== undefined) return Promise.resolve({ kind: 'refuse', refusal });
+    const arrivalRefusal = this.refusalOnArrival(order, queue, settings);
+    if (arrivalRefusal !== undefined) return Promise.resolve({ kind: 'refuse', refusal: arrivalRefusal });
     return new Promise((resolve) => {
       // Counted from arrival: a request that was resolved anew or queued again has already used part of its time.
       const remainingMicroseconds = this.holdingLeft(className, order);
@@ -154,8 +154,8 @@
           if (validity.kind === 'refuse') this.removeFromQueue(queue, entry, validity);
           else if (validity.kind === 'moved') this.removeFromQueue(queue, entry, mappingChanged);
           else {
-            const refusal = entry.order.hopeless(this.holdingLeft(entry.order.className, entry.order));
-            if (refusal !== undefined) this.removeFromQueue(queue, entry, { kind: 'refuse', refusal });
+            const tooLate = entry.order.hopeless(this.holdingLeft(entry.order.className, entry.order));
+            if (tooLate !== undefined) this.removeFromQueue(queue, entry, { kind: 'refuse', refusal: tooLate });
           }
         }
   }
--- a/tests/doors-callers.test.ts
+++ b/tests/doors-callers.test.ts
@@ -14,104 +14,104 @@
 import { RawCaller } from './support/rawCaller';
 import { HandClock } from './support/rawEngine';
 
-type Taken = Readonly<{ order: Order; answer: AnswerSink }>;
+type ReceivedRequest = Readonly<{ order: Order; answer: AnswerSink }>;
 
-/** A door whose proxy does what a test says, and keeps what it was handed. */
-class Stage {
-  public readonly taken: Taken[] = [];
+/** A client server whose proxy is a stub that keeps the requests it receives and handles them as the test says. */
+class ServerHarness {
+  public readonly received: ReceivedRequest[] = [];
   public readonly clock = new HandClock();
-  private readonly waiting: (() => void)[] = [];
+  private readonly listeners: (() => void)[] = [];
 
   public constructor(
-    private readonly act: (taken: Taken) => void,
-    public door: CallersDoor = undefined as unknown as CallersDoor,
+    private readonly handle: (received: ReceivedRequest) => void,
+    public server: CallersDoor = undefined as unknown as CallersDoor,
   ) {}
 
   public static async open(
-    act: (taken: Taken) => void,
+    handle: (received: ReceivedRequest) => void,
     limits: Partial<HttpLimits> = {},
     options: Partial<DoorOptions> = {},
     bodyBytes = 100_000,
-  ): Promise<Stage> {
-    const stage = new Stage(act);
+  ): Promise<ServerHarness> {
+    const harness = new ServerHarness(handle);
     const proxy = {
       handle: (order: Order, answer: AnswerSink) => {
-        const taken = { order, answer };
-        stage.taken.push(taken);
-        for (const wake of stage.waiting.splice(0)) wake();
-        stage.act(taken);
+        const received = { order, answer };
+        harness.received.push(received);
+        for (const notify of harness.listeners.splice(0)) notify();
+        harness.handle(received);
         return Promise.resolve();
       },
       metrics: new Metrics(),
       fresh: () => true,
     } as unknown as EdgeProxy;
-    stage.door = await CallersDoor.open(
+    harness.server = await CallersDoor.open(
       proxy,
       '127.0.0.1:0',
       { ...HttpLimits.usual, ...limits },
       bodyBytes,
-      stage.clock,
+      harness.clock,
       realRandom,
       { words: PlatformCallerWords, ...options },
     );
-    return stage;
+    return harness;
   }
 
-  public async until(count: number): Promise<Taken> {
-    while (this.taken.length < count) await new Promise<void>((resolve) => this.waiting.push(resolve));
-    return this.taken[count - 1] as Taken;
+  public async untilReceived(count: number): Promise<ReceivedRequest> {
+    while (this.received.length < count) await new Promise<void>((resolve) => this.listeners.push(resolve));
+    return this.received[count - 1] as ReceivedRequest;
   }
 
-  public caller(): Promise<RawCaller> {
-    return RawCaller.open(this.door.address);
+  public connect(): Promise<RawCaller> {
+    return RawCaller.open(this.server.address);
   }
 }
 
-const say =
+const respond =
   (text: string) =>
-  ({ answer }: Taken): void => {
+  ({ answer }: ReceivedRequest): void => {
     answer.head({ status: 200, headers: { 'content-length': String(text.length) } });
     void answer.part(Buffer.from(text));
     answer.end();
   };
-const id = (order: Order): string => order.id;
+const requestId = (order: Order): string => order.id;
 const head = (number: number | string, extra = 'content-length: 0'): string =>
   `POST /p/${number}?q=${number} HTTP/1.1\r\nhost: h.example\r\npostdrum-request-id: r${number}\r\n${extra}\r\n\r\n`;
-const turns = async (count = 20): Promise<void> => {
+const eventLoopTurns = async (count = 20): Promise<void> => {
   for (let turn = 0; turn < count; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-describe("the callers' door", () => {
-  test('bodies are the bytes they are, however they come', async () => {
-    const stage = await Stage.open(say('ok'));
-    const caller = await stage.caller();
+describe('the HTTP server for clients', () => {
+  test('passes on bodies byte for byte, however they are split and framed', async () => {
+    const harness = await ServerHarness.open(respond('ok'));
+    const client = await harness.connect();
     await fc.assert(
       fc.asyncProperty(
         fc.uint8Array({ maxLength: 3000 }),
         fc.boolean(),
         fc.array(fc.integer({ min: 1, max: 700 }), { minLength: 1, maxLength: 6 }),
         async (bytes, chunked, sizes) => {
-          const count = stage.taken.length + 1;
+          const count = harness.received.length + 1;
           const pieces: Uint8Array[] = [];
           for (let at = 0, turn = 0; at < bytes.length; turn += 1) {
             const size = sizes[turn % sizes.length] ?? 1;
             pieces.push(bytes.subarray(at, at + size));
             at += size;
           }
-          caller.text = '';
-          caller.write(head(count, chunked ? 'transfer-encoding: chunked' : `content-length: ${bytes.length}`));
+          client.text = '';
+          client.write(head(count, chunked ? 'transfer-encoding: chunked' : `content-length: ${bytes.length}`));
           for (const piece of pieces) {
             if (chunked)
-              caller
+              client
                 .write(`${piece.length.toString(16)}\r\n`)
                 .write(piece)
                 .write('\r\n');
-            else caller.write(piece);
-            await turns(1);
+            else client.write(piece);
+            await eventLoopTurns(1);
           }
-          if (chunked) caller.write('0\r\n\r\n');
-          const { order } = await stage.until(count);
-          await caller.until((text) => text.endsWith('ok'));
+          if (chunked) client.write('0\r\n\r\n');
+          const { order } = await harness.untilReceived(count);
+          await client.until((text) => text.endsWith('ok'));
           assert.deepEqual(Buffer.from(order.body as Uint8Array), Buffer.from(bytes));
           assert.deepEqual(
             [order.target, order.path, order.host],
@@ -121,333 +121,333 @@
       ),
       { seed: 31, numRuns: 60 },
     );
-    await stage.door.close();
+    await harness.server.close();
   });
 
-  test('a head in many pieces is one order, and half of one is none', async () => {
-    const stage = await Stage.open(say('ok'));
-    const caller = await stage.caller();
+  test('reads a head that arrives in many pieces as one request, and half a head as none', async () => {
+    const harness = await ServerHarness.open(respond('ok'));
+    const client = await harness.connect();
     for (const letter of head(1)) {
-      caller.write(letter);
-      await turns(1);
+      client.write(letter);
+      await eventLoopTurns(1);
     }
-    await caller.until((text) => text.endsWith('ok'));
-    assert.equal(stage.taken.length, 1);
-    caller.write(head(2).slice(0, 30)).socket.end();
-    await caller.until(() => false);
-    assert.equal(stage.taken.length, 1);
-    await stage.door.close();
+    await client.until((text) => text.endsWith('ok'));
+    assert.equal(harness.received.length, 1);
+    client.write(head(2).slice(0, 30)).socket.end();
+    await client.until(() => false);
+    assert.equal(harness.received.length, 1);
+    await harness.server.close();
   });
 
-  test('half a head that never ends is answered 408 or closed in time; a conn that never speaks is closed silently', async () => {
-    const stage = await Stage.open(say('ok'), { headMicroseconds: 50_000 });
-    const [half, mute, body] = await Promise.all([stage.caller(), stage.caller(), stage.caller()]);
+  test('answers half a head with 408 in time, and closes a connection that sends nothing without a response', async () => {
+    const harness = await ServerHarness.open(respond('ok'), { headMicroseconds: 50_000 });
+    const [half, silent, body] = await Promise.all([harness.connect(), harness.connect(), harness.connect()]);
     half.write('POST /x HTTP/1.1\r\nhost: h');
     body.write(head(1, 'content-length: 5'));
-    await Promise.all([half.until(() => false), mute.until(() => false)]);
-    assert.deepEqual([half.statuses(), mute.text], [[408], '']);
-    assert.equal(stage.taken.length, 0);
+    await Promise.all([half.until(() => false), silent.until(() => false)]);
+    assert.deepEqual([half.statuses(), silent.text], [[408], '']);
+    assert.equal(harness.received.length, 0);
     body.socket.destroy();
-    await stage.door.close();
+    await harness.server.close();
   });
 
-  test('half a body that never ends: 408, since nothing has run, and the order is never handed on', async () => {
-    const stage = await Stage.open(say('ok'), { headMicroseconds: 50_000, bodyMicroseconds: 50_000 });
-    const caller = await stage.caller();
-    caller.write(head(1, 'content-length: 5')).write('abc');
-    await caller.until(() => false);
-    assert.deepEqual([caller.statuses(), stage.taken.length], [[408], 0]);
-    await stage.door.close();
+  test('answers half a body with 408 and does not pass the request on', async () => {
+    const harness = await ServerHarness.open(respond('ok'), { headMicroseconds: 50_000, bodyMicroseconds: 50_000 });
+    const client = await harness.connect();
+    client.write(head(1, 'content-length: 5')).write('abc');
+    await client.until(() => false);
+    assert.deepEqual([client.statuses(), harness.received.length], [[408], 0]);
+    await harness.server.close();
   });
 
-  test('orders one behind the other on one conn are answered in their order', async () => {
-    const stage = await Stage.open(() => undefined);
-    const caller = await stage.caller();
-    caller.write(head(1) + head(2) + head(3));
-    await stage.until(3);
+  test('answers pipelined requests in their order', async () => {
+    const harness = await ServerHarness.open(() => undefined);
+    const client = await harness.connect();
+    client.write(head(1) + head(2) + head(3));
+    await harness.untilReceived(3);
     for (const place of [2, 1, 0]) {
-      const taken = stage.taken[place] as Taken;
-      say(`<${id(taken.order)}>`)(taken);
+      const received = harness.received[place] as ReceivedRequest;
+      respond(`<${requestId(received.order)}>`)(received);
     }
-    const text = await caller.until((seen) => seen.includes('<r3>'));
+    const text = await client.until((seen) => seen.includes('<r3>'));
     assert.deepEqual(
       [...text.matchAll(/<(r\d)>/g)].map(([, name]) => name),
       ['r1', 'r2', 'r3'],
     );
-    await stage.door.close();
+    await harness.server.close();
   });
 
-  test('garbage behind a whole order: the order is answered, then the conn ends', async () => {
-    const stage = await Stage.open(() => undefined);
-    const caller = await stage.caller();
-    caller.write(`${head(1)}\u0000garbage\r\n\r\n`);
-    const taken = await stage.until(1);
-    await turns();
-    assert.equal(caller.text, '', 'no bare line that would pass for the answer');
-    assert.equal(taken.answer.gone(), false);
-    say('whole')(taken);
-    await caller.until(() => false);
-    assert.deepEqual([caller.statuses(), caller.text.endsWith('whole')], [[200], true]);
-    await stage.door.close();
+  test('answers a request that is followed by garbage, then closes the connection', async () => {
+    const harness = await ServerHarness.open(() => undefined);
+    const client = await harness.connect();
+    client.write(`${head(1)}\u0000garbage\r\n\r\n`);
+    const received = await harness.untilReceived(1);
+    await eventLoopTurns();
+    assert.equal(client.text, '', 'no error response that the client would take for the response to its request');
+    assert.equal(received.answer.gone(), false);
+    respond('whole')(received);
+    await client.until(() => false);
+    assert.deepEqual([client.statuses(), client.text.endsWith('whole')], [[200], true]);
+    await harness.server.close();
   });
 
-  test('half an order behind a whole one that runs for long: the whole one is answered', async () => {
-    const stage = await Stage.open(() => undefined, { headMicroseconds: 50_000, bodyMicroseconds: 50_000 });
-    const caller = await stage.caller();
-    const other = await stage.caller();
-    caller.write(head(1) + head(2).slice(0, 20));
+  test('answers a long-running request that is followed by half a request', async () => {
+    const harness = await ServerHarness.open(() => undefined, { headMicroseconds: 50_000, bodyMicroseconds: 50_000 });
+    const client = await harness.connect();
+    const other = await harness.connect();
+    client.write(head(1) + head(2).slice(0, 20));
     other.write(head(2).slice(0, 20));
-    const taken = await stage.until(1);
-    // Why wait for the other: its time is up by then, so that of the first is too.
+    const received = await harness.untilReceived(1);
+    // When the time limit of the other connection is over, that of the first is over as well.
     await other.until(() => false);
-    await turns();
-    assert.deepEqual([other.statuses(), caller.text, caller.closed], [[408], '', false]);
-    say('whole')(taken);
-    await caller.until(() => false);
-    assert.deepEqual([caller.statuses(), caller.text.endsWith('whole')], [[200], true]);
-    await stage.door.close();
+    await eventLoopTurns();
+    assert.deepEqual([other.statuses(), client.text, client.closed], [[408], '', false]);
+    respond('whole')(received);
+    await client.until(() => false);
+    assert.deepEqual([client.statuses(), client.text.endsWith('whole')], [[200], true]);
+    await harness.server.close();
   });
 
-  test('a broken chunk: 400, and an order before it on the conn is still answered first', async () => {
-    const stage = await Stage.open(() => undefined);
-    const caller = await stage.caller();
-    caller.write(head(1)).write(`${head(2, 'transfer-encoding: chunked')}zz\r\n`);
-    const taken = await stage.until(1);
-    await turns();
-    say('whole')(taken);
-    await caller.until(() => false);
-    assert.deepEqual([caller.statuses(), stage.taken.length], [[200, 400], 1]);
-    await stage.door.close();
+  test('answers a malformed chunk with 400, after the response to an earlier request on the connection', async () => {
+    const harness = await ServerHarness.open(() => undefined);
+    const client = await harness.connect();
+    client.write(head(1)).write(`${head(2, 'transfer-encoding: chunked')}zz\r\n`);
+    const received = await harness.untilReceived(1);
+    await eventLoopTurns();
+    respond('whole')(received);
+    await client.until(() => false);
+    assert.deepEqual([client.statuses(), harness.received.length], [[200, 400], 1]);
+    await harness.server.close();
   });
 
-  test('too large: a body that says so, one that grows so, and a head', async () => {
-    const stage = await Stage.open(say('ok'), { headBytes: 2000 }, {}, 1000);
-    const said = await stage.caller();
-    said.write(head(1, 'content-length: 1001'));
-    await said.until((text) => text.includes('tooLarge'));
-    const grown = await stage.caller();
+  test('refuses a body too large by its content-length or by its chunks, and a head that is too large', async () => {
+    const harness = await ServerHarness.open(respond('ok'), { headBytes: 2000 }, {}, 1000);
+    const declared = await harness.connect();
+    declared.write(head(1, 'content-length: 1001'));
+    await declared.until((text) => text.includes('tooLarge'));
+    const grown = await harness.connect();
     grown.write(head(2, 'transfer-encoding: chunked')).write(`3e9\r\n${'x'.repeat(1001)}\r\n`);
     await grown.until((text) => text.includes('tooLarge'));
-    const long = await stage.caller();
+    const long = await harness.connect();
     long.write(head(3, `x: ${'y'.repeat(3000)}`));
     await long.until(() => false);
-    assert.deepEqual([said.statuses(), grown.statuses(), long.statuses()], [[413], [413], [431]]);
-    assert.equal(stage.taken.length, 0);
-    await stage.door.close();
+    assert.deepEqual([declared.statuses(), grown.statuses(), long.statuses()], [[413], [413], [431]]);
+    assert.equal(harness.received.length, 0);
+    await harness.server.close();
   });
 
-  test('a refusal reaches a caller that still writes, and the conn is good for the next order', async () => {
-    const stage = await Stage.open(say('ok'), {}, {}, 1000);
-    const caller = await stage.caller();
-    caller.write(head(1, 'content-length: 200000')).write('x'.repeat(100_000));
-    await caller.until((text) => text.includes('tooLarge'));
-    caller.write('x'.repeat(100_000)).write(head(2));
-    await caller.until((text) => text.endsWith('ok'));
-    assert.deepEqual(caller.statuses(), [413, 200]);
-    await stage.door.close();
+  test('delivers a refusal to a client that is still writing and keeps the connection usable', async () => {
+    const harness = await ServerHarness.open(respond('ok'), {}, {}, 1000);
+    const client = await harness.connect();
+    client.write(head(1, 'content-length: 200000')).write('x'.repeat(100_000));
+    await client.until((text) => text.includes('tooLarge'));
+    client.write('x'.repeat(100_000)).write(head(2));
+    await client.until((text) => text.endsWith('ok'));
+    assert.deepEqual(client.statuses(), [413, 200]);
+    await harness.server.close();
   });
 
-  test('a caller that leaves is told of, before and within its answer', async () => {
-    const stage = await Stage.open(() => undefined);
+  test('reports a client that disconnects before or during its response', async () => {
+    const harness = await ServerHarness.open(() => undefined);
     for (const begun of [false, true]) {
-      const caller = await stage.caller();
-      const count = stage.taken.length + 1;
-      caller.write(head(count));
-      const { answer } = await stage.until(count);
+      const client = await harness.connect();
+      const count = harness.received.length + 1;
+      client.write(head(count));
+      const { answer } = await harness.untilReceived(count);
       if (begun) {
         answer.head({ status: 200, headers: {} });
-        await caller.until((text) => text.includes('200'));
+        await client.until((text) => text.includes('200'));
       }
       const gone = new Promise<void>((resolve) => answer.whenGone(resolve));
-      caller.socket.destroy();
+      client.socket.destroy();
       await gone;
       assert.equal(answer.gone(), true);
       answer.end();
     }
-    await stage.door.close();
+    await harness.server.close();
   });
 
-  test('a cut answer looks cut', async () => {
-    const stage = await Stage.open(({ answer }) => {
+  test('ends a cut response without its last chunk', async () => {
+    const harness = await ServerHarness.open(({ answer }) => {
       answer.head({ status: 200, headers: {} });
       void answer.part(Buffer.from('part'));
       setImmediate(() => answer.cut());
     });
-    const caller = await stage.caller();
-    caller.write(head(1));
-    const text = await caller.until(() => false);
+    const client = await harness.connect();
+    client.write(head(1));
+    const text = await client.until(() => false);
     assert.ok(text.includes('part') && !text.includes('0\r\n\r\n'));
-    await stage.door.close();
+    await harness.server.close();
   });
 
-  test('a head without a part goes out at once, and with its first part otherwise', async () => {
-    const stage = await Stage.open(({ answer }) => answer.head({ status: 200, headers: { 'x-a': '1' } }));
-    const caller = await stage.caller();
-    caller.write(head(1));
-    await caller.until((text) => text.includes('x-a: 1'));
-    await stage.door.close();
+  test('sends a head at once if no part of the body follows', async () => {
+    const harness = await ServerHarness.open(({ answer }) => answer.head({ status: 200, headers: { 'x-a': '1' } }));
+    const client = await harness.connect();
+    client.write(head(1));
+    await client.until((text) => text.includes('x-a: 1'));
+    await harness.server.close();
   });
 
-  test("operators' limits hold as soon as they change, and are told to callers", async () => {
-    const said: { limits?: CallerLimits } = {};
-    const stage = await Stage.open(say('ok'), {}, { limits: () => said.limits }, 1000);
+  test("applies changed operators' limits at once and announces the idle timeout", async () => {
+    const operators: { limits?: CallerLimits } = {};
+    const harness = await ServerHarness.open(respond('ok'), {}, { limits: () => operators.limits }, 1000);
     const ask = async (bytes: number): Promise<RawCaller> => {
-      const caller = await stage.caller();
-      caller.write(head(bytes, `content-length: ${bytes}`)).write('x'.repeat(bytes));
-      await caller.until((text) => /ok$|tooLarge/.test(text));
-      return caller;
+      const client = await harness.connect();
+      client.write(head(bytes, `content-length: ${bytes}`)).write('x'.repeat(bytes));
+      await client.until((text) => /ok$|tooLarge/.test(text));
+      return client;
     };
     assert.deepEqual((await ask(900)).statuses(), [200]);
-    said.limits = { headBytes: 300, bodyBytes: 800, headMicroseconds: 0, idleMicroseconds: 15_000_000 };
+    operators.limits = { headBytes: 300, bodyBytes: 800, headMicroseconds: 0, idleMicroseconds: 15_000_000 };
     assert.deepEqual((await ask(900)).statuses(), [413]);
     const fine = await ask(700);
     assert.match(fine.text, /keep-alive: timeout=15\r\n/);
-    const long = await stage.caller();
+    const long = await harness.connect();
     long.write(head(1, `x: ${'y'.repeat(400)}`));
     await long.until(() => false);
     assert.deepEqual(long.statuses(), [431]);
-    await stage.door.close();
+    await harness.server.close();
   });
 
-  test('an order with a limit of its own counts from its head, others from the end of their body', async () => {
-    const stage = await Stage.open(say('ok'));
+  test('counts the time of a request from its head if it has a deadline, else from the end of its body', async () => {
+    const harness = await ServerHarness.open(respond('ok'));
     for (const [extra, expected] of [
       ['postdrum-deadline-ms: 50\r\n', 0],
       ['', 7000],
     ] as const) {
-      const caller = await stage.caller();
-      const count = stage.taken.length + 1;
-      const began = stage.clock.nowMicroseconds();
-      caller.write(head(count, `${extra}content-length: 1\r\nexpect: 100-continue`));
-      await caller.until((text) => text.includes('100 Continue'));
-      stage.clock.pass(7000);
-      caller.write('x');
-      const { order } = await stage.until(count);
-      assert.equal(order.arrivedMicroseconds - began, expected);
+      const client = await harness.connect();
+      const count = harness.received.length + 1;
+      const startedMicroseconds = harness.clock.nowMicroseconds();
+      client.write(head(count, `${extra}content-length: 1\r\nexpect: 100-continue`));
+      await client.until((text) => text.includes('100 Continue'));
+      harness.clock.pass(7000);
+      client.write('x');
+      const { order } = await harness.untilReceived(count);
+      assert.equal(order.arrivedMicroseconds - startedMicroseconds, expected);
       assert.equal(order.passed?.['expect'], undefined);
     }
-    await stage.door.close();
+    await harness.server.close();
   });
 });
 
-describe('a planned stop', () => {
+describe('a graceful shutdown', () => {
   const { drain } = ProxyStops.within(8_000_000);
 
-  test('it listens until those who send callers have noticed, then finishes what it read', async () => {
-    const stage = await Stage.open(() => undefined);
-    const kept = await stage.caller();
-    kept.write(head(1));
-    say('one')(await stage.until(1));
-    await kept.until((text) => text.endsWith('one'));
-    assert.doesNotMatch(kept.text, /connection: close/i);
-    let over = false;
-    const drained = stage.door.drain(drain).then(() => {
-      over = true;
+  test('accepts connections until load balancers have reacted, then finishes the requests it has read', async () => {
+    const harness = await ServerHarness.open(() => undefined);
+    const persistent = await harness.connect();
+    persistent.write(head(1));
+    respond('one')(await harness.untilReceived(1));
+    await persistent.until((text) => text.endsWith('one'));
+    assert.doesNotMatch(persistent.text, /connection: close/i);
+    let isDrained = false;
+    const drained = harness.server.drain(drain).then(() => {
+      isDrained = true;
     });
-    // A kept conn is served still, and told to end.
-    kept.text = '';
-    kept.write(head(2));
-    say('two')(await stage.until(2));
-    await kept.until(() => false);
-    assert.match(kept.text, /connection: close/i);
-    assert.ok(kept.text.endsWith('two'));
-    // New ones are taken until nobody has come for a while.
+    // An open connection is still served, with `connection: close`.
+    persistent.text = '';
+    persistent.write(head(2));
+    respond('two')(await harness.untilReceived(2));
+    await persistent.until(() => false);
+    assert.match(persistent.text, /connection: close/i);
+    assert.ok(persistent.text.endsWith('two'));
+    // New connections are accepted until none has arrived for a while.
     for (let round = 0; round < 3; round += 1) {
-      stage.clock.pass(1_000_000);
-      await turns();
-      const caller = await stage.caller();
-      caller.write(head(round + 3));
-      say('late')(await stage.until(round + 3));
-      await caller.until(() => false);
-      assert.ok(caller.text.endsWith('late'));
+      harness.clock.pass(1_000_000);
+      await eventLoopTurns();
+      const client = await harness.connect();
+      client.write(head(round + 3));
+      respond('late')(await harness.untilReceived(round + 3));
+      await client.until(() => false);
+      assert.ok(client.text.endsWith('late'));
     }
-    const last = await stage.caller();
+    const last = await harness.connect();
     last.write(head(9));
-    const running = await stage.until(6);
+    const running = await harness.untilReceived(6);
     for (let step = 0; step < 6; step += 1) {
-      stage.clock.pass(250_000);
-      await turns();
+      harness.clock.pass(250_000);
+      await eventLoopTurns();
     }
-    await assert.rejects(stage.caller());
-    assert.equal(over, false);
-    say('last')(running);
+    await assert.rejects(harness.connect());
+    assert.equal(isDrained, false);
+    respond('last')(running);
     await last.until(() => false);
     assert.ok(last.text.endsWith('last'));
     await drained;
   });
 
-  test('orders that stand one behind the other when it begins, or come then, are all answered', async () => {
-    const stage = await Stage.open(() => undefined);
-    const caller = await stage.caller();
-    caller.write(head(1) + head(2));
-    await stage.until(2);
-    const drained = stage.door.drain();
-    caller.write(head(3));
-    await stage.until(3);
-    for (const taken of stage.taken) say(id(taken.order))(taken);
-    await caller.until(() => false);
-    assert.deepEqual(caller.statuses(), [200, 200, 200]);
-    assert.equal(caller.text.match(/connection: close/gi)?.length, 1);
+  test('answers all requests that are pipelined before or during the shutdown', async () => {
+    const harness = await ServerHarness.open(() => undefined);
+    const client = await harness.connect();
+    client.write(head(1) + head(2));
+    await harness.untilReceived(2);
+    const drained = harness.server.drain();
+    client.write(head(3));
+    await harness.untilReceived(3);
+    for (const received of harness.received) respond(requestId(received.order))(received);
+    await client.until(() => false);
+    assert.deepEqual(client.statuses(), [200, 200, 200]);
+    assert.equal(client.text.match(/connection: close/gi)?.length, 1);
     await drained;
   });
 
-  test('callers that go on coming do not hold it up for ever', async () => {
-    const stage = await Stage.open(say('ok'));
-    const drained = stage.door.drain(drain);
+  test('ends although new clients keep arriving', async () => {
+    const harness = await ServerHarness.open(respond('ok'));
+    const drained = harness.server.drain(drain);
     for (let passed = 0; passed < drain.mostMicroseconds; passed += 500_000) {
-      const caller = await stage.caller();
-      caller.write(head(passed));
-      await caller.until(() => false);
-      assert.deepEqual(caller.statuses(), [200]);
-      stage.clock.pass(500_000);
-      await turns();
+      const client = await harness.connect();
+      client.write(head(passed));
+      await client.until(() => false);
+      assert.deepEqual(client.statuses(), [200]);
+      harness.clock.pass(500_000);
+      await eventLoopTurns();
     }
     await drained;
-    await assert.rejects(stage.caller());
+    await assert.rejects(harness.connect());
   });
 
-  test('an order that comes late and may outlast it is told to go elsewhere; one that may not is answered', async (context) => {
-    const stage = await Stage.open(say('ok'));
-    // A door that is left open holds the whole file up when this test fails.
-    context.after(() => stage.door.close());
-    const kept = await stage.caller();
+  test('refuses a late request that may outlast the shutdown and answers one that can finish', async (context) => {
+    const harness = await ServerHarness.open(respond('ok'));
+    // A server left open keeps the whole file running when this test fails.
+    context.after(() => harness.server.close());
+    const persistent = await harness.connect();
     const within = (milliseconds: number): string => `postdrum-deadline-ms: ${milliseconds}\r\ncontent-length: 0`;
-    kept.write(head(1, within(6000)));
-    await kept.until((text) => text.endsWith('ok'));
-    const drained = stage.door.drain(drain);
+    persistent.write(head(1, within(6000)));
+    await persistent.until((text) => text.endsWith('ok'));
+    const drained = harness.server.drain(drain);
     const statusAt = async (microseconds: number, milliseconds: number): Promise<number | undefined> => {
-      stage.clock.pass(microseconds);
-      await turns();
-      const caller = await stage.caller();
-      caller.write(head(`${microseconds}`, within(milliseconds)));
-      await caller.until(() => false);
-      assert.match(caller.text, /connection: close/i);
-      return caller.statuses()[0];
+      harness.clock.pass(microseconds);
+      await eventLoopTurns();
+      const client = await harness.connect();
+      client.write(head(`${microseconds}`, within(milliseconds)));
+      await client.until(() => false);
+      assert.match(client.text, /connection: close/i);
+      return client.statuses()[0];
     };
-    assert.equal(await statusAt(2_000_000, 6000), 200, 'whoever sends callers has not noticed yet');
-    assert.equal(await statusAt(1_000_000, 6000), 503, 'it may run for longer than this proxy');
+    assert.equal(await statusAt(2_000_000, 6000), 200, 'load balancers have not reacted yet');
+    assert.equal(await statusAt(1_000_000, 6000), 503, 'it may run longer than this proxy');
     assert.equal(await statusAt(0, 4000), 200);
-    kept.text = '';
-    kept.write(head(2, within(6000)));
-    await kept.until(() => false);
-    assert.deepEqual(kept.statuses(), [503], 'on a conn that was open before as well');
-    assert.equal(stage.taken.length, 3);
-    stage.clock.pass(drain.mostMicroseconds);
-    await turns();
+    persistent.text = '';
+    persistent.write(head(2, within(6000)));
+    await persistent.until(() => false);
+    assert.deepEqual(persistent.statuses(), [503], 'also on a connection that was already open');
+    assert.equal(harness.received.length, 3);
+    harness.clock.pass(drain.mostMicroseconds);
+    await eventLoopTurns();
     await drained;
   });
 
-  test('half an order does not hold it up', async () => {
-    const stage = await Stage.open(say('ok'));
-    const half = await stage.caller();
+  test('does not wait for half a request', async () => {
+    const harness = await ServerHarness.open(respond('ok'));
+    const half = await harness.connect();
     half.write('POST /x HTTP/1.1\r\nhost: h');
-    await turns();
-    await stage.door.drain({ ...drain, leastMicroseconds: 0, quietMicroseconds: 0, lateMicroseconds: 10_000 });
+    await eventLoopTurns();
+    await harness.server.drain({ ...drain, leastMicroseconds: 0, quietMicroseconds: 0, lateMicroseconds: 10_000 });
     await half.until(() => false);
     assert.equal(half.text, '');
   });
 
-  test('it ends well before it would be killed', () => {
+  test('ends before the process is killed', () => {
     for (const grace of [4_000_000, 8_000_000, 30_000_000]) {
       const stops = ProxyStops.within(grace);
       assert.ok(stops.stopLimitMicroseconds < grace);
@@ -456,10 +456,10 @@
   });
 });
 
-test('readiness is told by status alone, and follows at once', async () => {
+test('readiness is shown by the status code alone and changes at once', async () => {
   let ready = false;
-  const door = await ReadinessDoor.open('127.0.0.1:0', '/-/ready', () => ready);
-  const caller = await RawCaller.open(door.address);
+  const server = await ReadinessDoor.open('127.0.0.1:0', '/-/ready', () => ready);
+  const client = await RawCaller.open(server.address);
   for (const [now, path, status] of [
     [false, '/-/ready', 503],
     [true, '/-/ready', 200],
@@ -467,10 +467,10 @@
     [false, '/-/ready', 503],
   ] as const) {
     ready = now;
-    caller.text = '';
-    caller.write(`GET ${path} HTTP/1.1\r\nhost: x\r\n\r\n`);
-    await caller.until((text) => text.includes('\r\n\r\n'));
-    assert.deepEqual(caller.statuses(), [status]);
+    client.text = '';
+    client.write(`GET ${path} HTTP/1.1\r\nhost: x\r\n\r\n`);
+    await client.until((text) => text.includes('\r\n\r\n'));
+    assert.deepEqual(client.statuses(), [status]);
   }
-  await door.close();
+  await server.close();
 });
--- a/tests/held-past-timeout.test.ts
+++ b/tests/held-past-timeout.test.ts
@@ -10,39 +10,39 @@
 
 const classLimitMicroseconds = 6_000_000;
 
-/** What becomes of an order that no engine has room for, and when. */
-const heldOrder = async (
+/** The result for a request that no engine has room for, and the time after which it comes. */
+const queueRequest = async (
   routeMicroseconds: number | undefined,
-  callerMicroseconds: number | undefined,
+  clientMicroseconds: number | undefined,
 ): Promise<Readonly<{ step: Step | undefined; afterMicroseconds: number }>> => {
   const world = new World(1);
-  const rank = {
+  const serviceClass = {
     rank: 0,
     sharePerMille: 1000,
     lends: true,
     holdingMost: 8,
     holdingLimitMicroseconds: classLimitMicroseconds,
   };
-  const desk = new TakeDesk(
+  const queue = new TakeDesk(
     world.clock,
     { capacity: () => 0, free: () => 0, otherLoads: () => [], proxies: () => 1 },
-    () => ({ c: rank }),
+    () => ({ c: serviceClass }),
     (service, name) => `${service}/${name}`,
     new Metrics(),
   );
   const policy = TakePolicies.take(
-    desk,
+    queue,
     { stillStands: () => ({ kind: 'stands' }) } as unknown as Identifier,
     () => ({}) as RetryBudget,
   );
-  const began = world.nowMicroseconds;
+  const startedMicroseconds = world.nowMicroseconds;
   let afterMicroseconds = Infinity;
   let step: Step | undefined;
   void policy
     .apply({
       order: {
-        arrivedMicroseconds: began,
-        ...(callerMicroseconds === undefined ? {} : { limitMicroseconds: callerMicroseconds }),
+        arrivedMicroseconds: startedMicroseconds,
+        ...(clientMicroseconds === undefined ? {} : { limitMicroseconds: clientMicroseconds }),
       },
       answer: { whenGone: () => undefined },
       resolved: {
@@ -56,24 +56,25 @@
       turnKept: false,
       owesSend: false,
     } as unknown as Context)
-    .then((found) => {
-      step = found;
-      afterMicroseconds = world.nowMicroseconds - began;
+    .then((result) => {
+      step = result;
+      afterMicroseconds = world.nowMicroseconds - startedMicroseconds;
     });
   await world.runFor(classLimitMicroseconds + 1_000_000);
   return { step, afterMicroseconds };
 };
 
-describe('a held order gets its final answer when its own time is over', () => {
+// Guards against queued requests that wait for the limit of their class although their own deadline has passed.
+describe('a queued request is refused when its own time limit is over', () => {
   const cases = [
     ['the timeout of its route', 400_000, 6_000_000, 400_000],
-    ['the deadline of its caller', 3_000_000, 700_000, 700_000],
-    ['no timeout, no deadline: the limit of its class', undefined, undefined, classLimitMicroseconds],
+    ['the deadline of its client', 3_000_000, 700_000, 700_000],
+    ['no timeout and no deadline: the queue limit of its class', undefined, undefined, classLimitMicroseconds],
     ['a route without a timeout', 0, 900_000, 900_000],
   ] as const;
-  for (const [what, route, caller, expected] of cases)
-    test(what, async () => {
-      const { step, afterMicroseconds } = await heldOrder(route, caller);
+  for (const [title, route, client, expected] of cases)
+    test(title, async () => {
+      const { step, afterMicroseconds } = await queueRequest(route, client);
       assert.equal(
         step?.kind === 'refuse' ? `${step.refusal.code} ${step.refusal.verdict}` : '',
         'holdingLimit notRun',
--- a/tests/policies.test.ts
+++ b/tests/policies.test.ts
@@ -40,7 +40,7 @@
 });
 const loads = fc.uniqueArray(load, { selector: ({ name }) => name, minLength: 1, maxLength: 3 });
 
-test('shares: never above capacity; a class below its share is never shut out while there is room; best rank first', () => {
+test('class shares: capacity is never exceeded, a class below its share is never blocked while a place is free, best rank first', () => {
   fc.assert(
     fc.property(fc.nat(24), loads, (capacity, classes) => {
       const eligible = Shares.eligible(capacity, classes);
@@ -57,7 +57,7 @@
   );
 });
 
-test('shares: idle room is lent, what does not lend is kept, and what is asked back is not lent any more', () => {
+test('class shares: idle capacity is lent unless its class does not lend or has requests waiting itself', () => {
   const classes = (lends: boolean, held: number): readonly ClassLoad[] => [
     { name: 'busy', rank: 0, entitled: 5, lends: true, running: 5, held: 3 },
     { name: 'idle', rank: 1, entitled: 5, lends, running: 0, held },
@@ -67,7 +67,7 @@
   assert.deepEqual(Shares.eligible(10, classes(true, 1)), ['idle']);
 });
 
-const deskOf = (
+const queueOf = (
   world: World,
   capacity: number,
   classes: Readonly<Record<string, ServiceClass>>,
@@ -80,7 +80,7 @@
     (service, name) => `${service}/${name}`,
     new Metrics(),
   );
-const takeOrder = (world: World, tenant: string, more: Partial<TakeOrder> = {}): TakeOrder => ({
+const admissionRequest = (world: World, tenant: string, more: Partial<TakeOrder> = {}): TakeOrder => ({
   service: 's',
   className: 'c',
   tenant,
@@ -100,15 +100,15 @@
   holdingLimitMicroseconds: 1_000_000,
 };
 
-test('holding: tenants take turns, however many orders one of them brings', async () => {
+test('admission: tenants are served round-robin, however many requests one of them has', async () => {
   const world = new World(1);
-  const desk = deskOf(world, 1, { c: oneClass });
-  const row: string[] = [];
+  const queue = queueOf(world, 1, { c: oneClass });
+  const admitted: string[] = [];
   const releases: (() => void)[] = [];
   for (const tenant of ['big', 'big', 'big', 'big', 'small']) {
-    void desk.take(takeOrder(world, tenant)).then((taken) => {
+    void queue.take(admissionRequest(world, tenant)).then((taken) => {
       if (taken.kind !== 'taken') return;
-      row.push(tenant);
+      admitted.push(tenant);
       releases.push(taken.release);
     });
   }
@@ -117,20 +117,20 @@
     releases.shift()?.();
   }
   await world.runFor(1000);
-  assert.deepEqual(row, ['big', 'big', 'small', 'big', 'big']);
+  assert.deepEqual(admitted, ['big', 'big', 'small', 'big', 'big']);
 });
 
-test('holding: full is refused at once, waiting ends at its limit, a caller that left gives up its place', async () => {
+test('admission: a full queue refuses at once, waiting ends at its time limit, and a disconnected client leaves the queue', async () => {
   const world = new World(2);
-  const desk = deskOf(world, 0, { c: oneClass });
+  const queue = queueOf(world, 0, { c: oneClass });
   const codes: string[] = [];
-  let leave: () => void = () => undefined;
+  let disconnect: () => void = () => undefined;
   for (let number = 0; number < 7; number += 1) {
-    void desk
+    void queue
       .take(
-        takeOrder(world, 't', {
+        admissionRequest(world, 't', {
           whenGone: (act) => {
-            if (number === 0) leave = act;
+            if (number === 0) disconnect = act;
           },
         }),
       )
@@ -144,23 +144,23 @@
   }
   await world.runFor(1000);
   assert.deepEqual(codes, ['holdingFull notRun 6']);
-  leave();
+  disconnect();
   await world.runFor(1000);
   assert.equal(codes[1], 'userAgentGone notRun 0');
   await world.runFor(1_100_000);
   assert.equal(codes.length, 7);
   assert.ok(codes.slice(2).every((code) => code.startsWith('holdingLimit notRun')));
-  assert.equal(desk.heldCount(), 0);
+  assert.equal(queue.heldCount(), 0);
 });
 
-test('holding: who was held before and lost its place to a busy engine is served first', async () => {
+test('admission: a request that returns from a busy engine is served first', async () => {
   const world = new World(4);
-  const desk = deskOf(world, 1, { c: oneClass });
-  const row: string[] = [];
+  const queue = queueOf(world, 1, { c: oneClass });
+  const admitted: string[] = [];
   let release: () => void = () => undefined;
   const take = (name: string, tenant: string, turnKept: boolean): void =>
-    void desk.take(takeOrder(world, tenant, { turnKept })).then((taken) => {
-      row.push(`${name} ${taken.kind}`);
+    void queue.take(admissionRequest(world, tenant, { turnKept })).then((taken) => {
+      admitted.push(`${name} ${taken.kind}`);
       if (taken.kind === 'taken') release = taken.release;
     });
   for (const name of ['a', 'b', 'c']) take(name, `tenant-${name}`, false);
@@ -170,42 +170,42 @@
     release();
   }
   await world.runFor(1000);
-  assert.deepEqual(row, ['a taken', 'again taken', 'b taken', 'c taken']);
+  assert.deepEqual(admitted, ['a taken', 'again taken', 'b taken', 'c taken']);
 });
 
-test('holding: the limit counts from the arrival, and news of the setup reaches what is held', async () => {
+test('admission: the time limit counts from arrival, and queued requests follow changes of the configuration', async () => {
   const world = new World(5);
-  const desk = deskOf(world, 0, { c: oneClass });
+  const queue = queueOf(world, 0, { c: oneClass });
   await world.runFor(5_000_000);
   const ends: string[] = [];
-  const note = (name: string, order: Partial<TakeOrder>): void =>
-    void desk.take(takeOrder(world, 't', order)).then((taken) => ends.push(`${name} ${taken.kind}`));
-  note('late', { arrivedMicroseconds: world.nowMicroseconds - 900_000, turnKept: true });
-  note('moved', { stillStands: () => ({ kind: 'moved' }) });
+  const admit = (name: string, order: Partial<TakeOrder>): void =>
+    void queue.take(admissionRequest(world, 't', order)).then((taken) => ends.push(`${name} ${taken.kind}`));
+  admit('late', { arrivedMicroseconds: world.nowMicroseconds - 900_000, turnKept: true });
+  admit('moved', { stillStands: () => ({ kind: 'moved' }) });
   const refusal = Refusals.make(401, 'notRun', 'keyRemoved', 'gone');
-  note('removed', { stillStands: () => ({ kind: 'refuse', refusal }) });
+  admit('removed', { stillStands: () => ({ kind: 'refuse', refusal }) });
   await world.runFor(50_000);
   assert.deepEqual(ends, []);
-  desk.recheck();
+  queue.recheck();
   await world.runFor(1000);
   assert.deepEqual(ends, ['moved moved', 'removed refuse']);
   await world.runFor(60_000);
   assert.equal(ends[2], 'late refuse');
 });
 
-test('holding: what would foreseeably outlast its limit is refused on arrival, with a time that fits', async () => {
+test('admission: a request that would outlast its time limit is refused on arrival with a fitting retry-after', async () => {
   const world = new World(6);
   const classes = { c: { ...oneClass, holdingMost: 100 } };
-  const desk = deskOf(world, 1, classes);
+  const queue = queueOf(world, 1, classes);
   const refused: number[] = [];
-  // One order in 100 ms: of the many that come at once, some ten can be served within a second.
+  // At one request per 100 ms, about ten of those that arrive at once can be served within a second.
   for (let turn = 0; turn < 6; turn += 1) {
-    const taken = await desk.take(takeOrder(world, 't'));
+    const taken = await queue.take(admissionRequest(world, 't'));
     await world.runFor(100_000);
     if (taken.kind === 'taken') taken.release();
   }
   for (let number = 0; number < 30; number += 1)
-    void desk.take(takeOrder(world, 't')).then((taken) => {
+    void queue.take(admissionRequest(world, 't')).then((taken) => {
       if (taken.kind === 'refuse' && taken.refusal.code === 'holdingFull')
         refused.push(taken.refusal.retryAfterSeconds ?? 0);
       if (taken.kind === 'taken') world.plan(100_000, taken.release);
@@ -215,17 +215,22 @@
   assert.ok(refused.every((retryAfter) => retryAfter >= 1 && retryAfter <= 2));
 });
 
-test('holding: where more is wanted than there is, proxies keep to their parts and do not rush for one place', () => {
+test('admission: when demand exceeds capacity, a proxy keeps to its own part and does not compete for one place', () => {
   const world = new World(7);
   const others = [{ classes: { 's/c': 6 }, waiting: { 's/c': 24 } }];
-  const desk = deskOf(world, 8, { c: { ...oneClass, holdingMost: 100 } }, { otherLoads: () => others, free: () => 2 });
-  for (let number = 0; number < 10; number += 1) void desk.take(takeOrder(world, 't'));
-  // Ten of forty orders are here, so two of eight places are.
-  assert.equal(desk.runningCount(), 2);
-  assert.equal(desk.heldCount(), 8);
+  const queue = queueOf(
+    world,
+    8,
+    { c: { ...oneClass, holdingMost: 100 } },
+    { otherLoads: () => others, free: () => 2 },
+  );
+  for (let number = 0; number < 10; number += 1) void queue.take(admissionRequest(world, 't'));
+  // This proxy has ten of forty requests, so it gets two of eight places.
+  assert.equal(queue.runningCount(), 2);
+  assert.equal(queue.heldCount(), 8);
 });
 
-test('retry budget: nine proxies together stay at a fifth and the allowance in every window of time', async () => {
+test('retry budget: in every window of time nine proxies together stay within a fifth of first attempts plus the allowance', async () => {
   const step = fc.tuple(fc.nat(8), fc.constantFrom('first', 'again', 'restart', 'lonely', 'pause'));
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 600 }), async (steps) => {
@@ -234,11 +239,11 @@
       const budgetSettings = { perMille: 200, fleetAllowance: 18, allowanceMicroseconds: 10_000_000, leastDaemons: 9 };
       const make = (proxy: number): RetryBudget => new RetryBudget(world.clock, () => seen[proxy] ?? 1, budgetSettings);
       const budgets = seen.map((_, proxy) => make(proxy));
-      let heaviest = 0;
+      let maxSum = 0;
       let sum = 0;
       for (const [proxy, act] of steps) {
         if (act === 'restart') budgets[proxy] = make(proxy);
-        // Why: cut off, it sees nobody else; that must not give it more.
+        // A partitioned proxy sees no other proxy, which must not increase its budget.
         else if (act === 'lonely') seen[proxy] = 1;
         else if (act === 'pause') {
           await world.runFor(400_000);
@@ -247,15 +252,15 @@
           budgets[proxy]?.first();
           sum = Math.max(0, sum - 0.2);
         } else if (budgets[proxy]?.spend() === true) sum += 1;
-        heaviest = Math.max(heaviest, sum);
+        maxSum = Math.max(maxSum, sum);
       }
-      assert.ok(heaviest <= 18 + 1e-6, `${heaviest} above a fifth in some window`);
+      assert.ok(maxSum <= 18 + 1e-6, `${maxSum} above a fifth in some window`);
     }),
     settings,
   );
 });
 
-test('retry budget: who waits for one hopes only for what the traffic will earn', async () => {
+test('retry budget: a waiting request expects only as many retries as the traffic will earn', async () => {
   const world = new World(4);
   const budget = new RetryBudget(world.clock, () => 9, {
     perMille: 200,
@@ -269,7 +274,8 @@
     budget.first();
   }
   while (budget.spend());
-  // Ten first sends a second earn two, and the allowance a fifth of one: two may wait for a second, not three.
+  // Ten first attempts per second earn two retries, and the allowance a fifth of one: in one second two requests may
+  // expect a retry, but not three.
   const over = new Promise<void>(() => undefined);
   void budget.waitingFor(over);
   assert.equal(budget.mayHope(1_000_000), true);
@@ -277,7 +283,7 @@
   assert.equal(budget.mayHope(1_000_000), false);
 });
 
-test('sends: an unframed answer is whole only with its final event; nothing follows the end', () => {
+test('attempts: an unframed response is complete only with its final event, and no event changes an ended attempt', () => {
   const head = SendStates.step(SendStates.start, { kind: 'head', status: 200, framed: false });
   const part = SendStates.step(head, { kind: 'part', hasFinal: false });
   assert.deepEqual(SendStates.step(part, { kind: 'end' }), { kind: 'over', how: 'cut' });
@@ -287,7 +293,7 @@
   assert.equal(SendStates.step(over, { kind: 'failed' }), over);
 });
 
-test('the final event is found however the bytes are cut, and not when more follows', () => {
+test('final event: it is found however the bytes are split, but not when more follows', () => {
   fc.assert(
     fc.property(fc.array(fc.nat(40), { maxLength: 5 }), fc.boolean(), (cuts, more) => {
       const text = `data: {"a":1}\n\ndata: [DONE]\n\n${more ? 'data: {"late":1}\n\n' : ''}`;
@@ -307,7 +313,7 @@
   );
 });
 
-test('weights: about half of a pool keeps serving until the first half is done or time is short', () => {
+test('weights: about half of a pool keeps serving until the other half has loaded or time is short', () => {
   const engines = ['e1', 'e2', 'e3', 'e4', 'e5'];
   const fact = (engine: string, weights: string): EngineFact => ({
     engine,
@@ -355,7 +361,7 @@
   likelyInFlight: fc.nat(16),
   matched: fc.nat(16),
 });
-test('placement: an engine with room is taken before a full one; a crowd outweighs a prefix in the end', () => {
+test('placement: an engine with free capacity is preferred to a full one, and high load outweighs a cached prefix', () => {
   fc.assert(
     fc.property(fc.array(scored, { minLength: 1, maxLength: 8 }), fc.nat(16), (candidates, blocks) => {
       for (const placement of [Placements.byLoad, Placements.byPrefix]) {
@@ -387,7 +393,7 @@
   );
 });
 
-test('links: one slow import makes a pair dear at once, and it fades back', () => {
+test('link speeds: one slow import raises the cost of a pair at once, and the cost decays to the default', () => {
   const speeds = new LinkSpeeds(1500, 10);
   speeds.measured('a', 'b', 1000);
   speeds.measured('a', 'b', 100_000);
@@ -397,7 +403,7 @@
   assert.equal(speeds.blockMicroseconds('a', 'b'), 1500);
 });
 
-test('rendezvous: one daemon more moves only what becomes its own', () => {
+test('rendezvous: an added node takes over subjects but moves none between the others', () => {
   fc.assert(
     fc.property(
       fc.uniqueArray(fc.string({ minLength: 1 }), { minLength: 2, maxLength: 10 }),
@@ -414,7 +420,7 @@
   );
 });
 
-test('facts: two books that exchange what is newer end equal, whatever was put where', () => {
+test('facts: two stores that exchange newer entries end equal, whatever each held before', () => {
   const fact = fc.record({ key: fc.constantFrom('a', 'b', 'c', 'd'), version: fc.tuple(fc.nat(3), fc.nat(3)) });
   fc.assert(
     fc.property(fc.array(fact), fc.array(fact), (left, right) => {
@@ -439,7 +445,7 @@
   weights: {},
 });
 
-test('freshness: a daemon never goes back, and its age only falls by a later look at the same or a newer revision', () => {
+test('freshness: the revision never decreases, and the age falls only by a later confirmation of the same or a newer revision', () => {
   fc.assert(
     fc.property(
       fc.array(
@@ -536,7 +542,7 @@
   );
 });
 
-test('duties: one holder while a lease runs, rising terms, and none from a keeper that has just come back', async () => {
+test('leases: one holder while a lease runs, increasing terms, and no grant from a control node that has just restarted', async () => {
   const world = new World(9);
   const process = new SimProcess(world, 'k', '10.0.0.1');
   const ledger = new Ledger(new SimDisk(world).of(process), world.clock, () => undefined, 1_000_000);
@@ -556,7 +562,7 @@
   assert.equal(await ask('y', 2), false);
   assert.equal(await ask('x', 1), true);
   voter.withdraw([{ duty: 'd', candidate: 'x', term: 1 }]);
-  assert.equal(await ask('y', 1), false, 'a term is given once');
+  assert.equal(await ask('y', 1), false, 'a term is granted once');
   assert.equal(await ask('y', 2), true);
   await world.runFor(1_100_000);
   assert.equal(await ask('x', 2), false);
@@ -574,7 +580,7 @@
   );
 });
 
-test('rendezvous: first and rank say the same as the whole order, also for names that are not there', () => {
+test('rendezvous: first and rank agree with the full order, also for unknown names', () => {
   fc.assert(
     fc.property(fc.string(), fc.uniqueArray(fc.string(), { maxLength: 12 }), fc.string(), (subject, names, other) => {
       const order = Rendezvous.order(subject, names);
@@ -585,18 +591,18 @@
   );
 });
 
-test('rendezvous: a hundred names share a thousand subjects about evenly', () => {
+test('rendezvous: a hundred names share ten thousand subjects about evenly', () => {
   const names = Array.from({ length: 100 }, (_, index) => `edge-hall-${index}`);
   const counts = new Map<string, number>();
   for (let number = 0; number < 10_000; number += 1) {
     const first = Rendezvous.first(`steward/i-${number.toString(16)}`, names) ?? '';
     counts.set(first, (counts.get(first) ?? 0) + 1);
   }
-  // Why so wide: a hundred each is the mean, and its chance deviation is ten.
+  // The mean is a hundred per name with a standard deviation of ten, so the bounds are wide.
   for (const name of names) assert.ok((counts.get(name) ?? 0) > 55 && (counts.get(name) ?? 0) < 150, name);
 });
 
-test('members: whom a daemon knows and watches follows each piece of news about a member, and nothing else', () => {
+test('members: the known and probed members follow each update about a member and no other facts', () => {
   const book = new FactBook();
   const own = { name: 'a', zone: 'z1', address: 'a:1', proxyAddress: '', pagesAddress: '', boot: 'b' };
   const clock = { nowMicroseconds: () => 0, steadyMicroseconds: () => 0, after: () => () => undefined };
@@ -613,7 +619,7 @@
   );
   const before = members.present();
   book.put({ key: 'load/b', version: [1, 1], value: {} });
-  assert.equal(members.present(), before, 'a load says nothing of members');
+  assert.equal(members.present(), before, 'a load fact does not change the members');
   say('c', 'gone', 2);
   assert.deepEqual(
     members.watched().map(({ name }) => name),
--- a/tests/settings-change.test.ts
+++ b/tests/settings-change.test.ts
@@ -39,62 +39,62 @@
   return found.settings;
 };
 
-describe('the watch on a settings file', () => {
-  type Desk = { text: string; mark: string; reads: number; taken: string[]; told: string[] };
-  const watched = (world: World, desk: Desk, inForce: string): SettingsWatch<string> => {
+describe('watching a settings file', () => {
+  type SettingsFile = { text: string; mark: string; reads: number; applied: string[]; reported: string[] };
+  const watched = (world: World, source: SettingsFile, inForce: string): SettingsWatch<string> => {
     const watch = new SettingsWatch<string>(
       world.clock,
       {
         text: () => {
-          desk.reads += 1;
-          return desk.text;
+          source.reads += 1;
+          return source.text;
         },
-        mark: () => desk.mark,
+        mark: () => source.mark,
         parse: (text) =>
           text.startsWith('good') ? { kind: 'read', settings: text } : { kind: 'wrong', sentence: 'not good' },
       },
-      (sentence) => desk.told.push(sentence),
+      (sentence) => source.reported.push(sentence),
       inForce,
     ).start();
-    watch.news.on('changed', (value) => void desk.taken.push(value));
+    watch.news.on('changed', (value) => void source.applied.push(value));
     return watch;
   };
 
-  test('reads the text only when its mark is another, and seldom all the same', async () => {
+  test('reads the text when its change mark differs, and occasionally without a difference', async () => {
     const world = new World(1);
-    const desk: Desk = { text: 'good 1', mark: 'a', reads: 0, taken: [], told: [] };
-    const watch = watched(world, desk, 'good 1');
-    assert.equal(desk.reads, 0, 'the start costs no read');
+    const source: SettingsFile = { text: 'good 1', mark: 'a', reads: 0, applied: [], reported: [] };
+    const watch = watched(world, source, 'good 1');
+    assert.equal(source.reads, 0, 'starting does not read the file');
     await world.runFor(60_000_000);
-    assert.ok(desk.reads <= 8, `${desk.reads} reads in a minute`);
-    Object.assign(desk, { text: 'good 2', mark: 'b' });
+    assert.ok(source.reads <= 8, `${source.reads} reads in a minute`);
+    Object.assign(source, { text: 'good 2', mark: 'b' });
     await world.runFor(1_100_000);
-    assert.deepEqual(desk.taken, ['good 2'], 'within about a second');
-    Object.assign(desk, { text: 'good 3' });
+    assert.deepEqual(source.applied, ['good 2'], 'within about a second');
+    Object.assign(source, { text: 'good 3' });
     await world.runFor(11_000_000);
-    assert.deepEqual(desk.taken, ['good 2', 'good 3'], 'also where the mark says nothing');
-    Object.assign(desk, { text: 'good 4' });
+    assert.deepEqual(source.applied, ['good 2', 'good 3'], 'also if the mark has not changed');
+    Object.assign(source, { text: 'good 4' });
     await watch.look();
-    assert.deepEqual(desk.taken.at(-1), 'good 4', 'at a signal the mark does not count');
+    assert.deepEqual(source.applied.at(-1), 'good 4', 'a signal reads the text whatever the mark');
     watch.stop();
   });
 
-  test('what changed between the start and the watch is seen; what is wrong is told once and kept out', async () => {
+  test('notices a change made before the watch started; reports invalid settings once and does not apply them', async () => {
     const world = new World(1);
-    const desk: Desk = { text: 'good 2', mark: 'a', reads: 0, taken: [], told: [] };
-    const watch = watched(world, desk, 'good 1');
+    const source: SettingsFile = { text: 'good 2', mark: 'a', reads: 0, applied: [], reported: [] };
+    const watch = watched(world, source, 'good 1');
     await world.runFor(2_000_000);
-    assert.deepEqual(desk.taken, ['good 2']);
-    Object.assign(desk, { text: 'half', mark: 'b' });
+    assert.deepEqual(source.applied, ['good 2']);
+    Object.assign(source, { text: 'half', mark: 'b' });
     await world.runFor(30_000_000);
-    Object.assign(desk, { mark: 'c' });
+    Object.assign(source, { mark: 'c' });
     await world.runFor(30_000_000);
-    assert.deepEqual([desk.taken, desk.told.length], [['good 2'], 1]);
+    assert.deepEqual([source.applied, source.reported.length], [['good 2'], 1]);
     watch.stop();
   });
 });
 
-test('of changed settings only what may change is taken, and what waits is named', () => {
+test('applies only the settings that may change at runtime and names those that need a restart', () => {
   const before = { seeds: ['a'], bound: Infinity, name: 'n', other: 1 };
   const change = SettingsChanges.of(before, { ...before, seeds: ['b'], bound: 5, name: 'm' }, ['seeds', 'bound']);
   assert.deepEqual(change.settings, { ...before, seeds: ['b'], bound: 5 });
@@ -106,53 +106,57 @@
   assert.equal(SettingsChanges.sentence(none), undefined);
 });
 
-test('a retry budget goes over to other bounds: neither what it has nor what it hopes for is above them', async () => {
+test('a retry budget that gets new settings keeps and expects no more than they allow', async () => {
   const world = new World(1);
   const wide = { perMille: 500, fleetAllowance: 90, allowanceMicroseconds: 10_000_000, leastDaemons: 9 };
   const budget = new RetryBudget(world.clock, () => 9, wide);
   for (let number = 0; number < 200; number += 1) budget.first();
   budget.settingsAre({ ...wide, perMille: 100, fleetAllowance: 9 });
-  assert.deepEqual([budget.spend(), budget.spend()], [true, false], 'one is kept, as under the new bounds');
+  assert.deepEqual(
+    [budget.spend(), budget.spend()],
+    [true, false],
+    'the balance is capped to one retry by the new settings',
+  );
   for (let number = 0; number < 9; number += 1) budget.first();
   assert.equal(budget.spend(), false);
   budget.first();
-  assert.equal(budget.spend(), true, 'ten first sends earn one');
-  const other = new RetryBudget(world.clock, () => 9, { ...wide, perMille: 0, fleetAllowance: 9 });
+  assert.equal(budget.spend(), true, 'ten first attempts earn one retry');
+  const widened = new RetryBudget(world.clock, () => 9, { ...wide, perMille: 0, fleetAllowance: 9 });
   await world.runFor(500_000);
-  other.settingsAre(wide);
-  for (let number = 0; number < 20; number += 1) other.first();
-  const spent = Array.from({ length: 20 }, () => other.spend()).filter(Boolean);
-  assert.equal(spent.length, 10, 'what the wider bounds allow');
+  widened.settingsAre(wide);
+  for (let number = 0; number < 20; number += 1) widened.first();
+  const spent = Array.from({ length: 20 }, () => widened.spend()).filter(Boolean);
+  assert.equal(spent.length, 10, 'as many as the wider limits allow');
 });
 
-test('a fence goes over to other bounds at once', async () => {
+test('the staleness check applies new limits at once', async () => {
   const world = new World(1);
   const freshness = new Freshness(world.clock, undefined, 'listed');
-  const fence = new Fence(freshness, world.clock, Infinity);
-  assert.equal(fence.fresh(), false, 'nothing is known');
+  const guard = new Fence(freshness, world.clock, Infinity);
+  assert.equal(guard.fresh(), false, 'nothing is known');
   freshness.ageMicroseconds = () => world.nowMicroseconds;
   await world.runFor(4_000_000);
-  assert.equal(fence.fresh(), true);
-  fence.boundsAre(3_000_000, 1_000_000);
-  assert.equal(fence.fresh(), false);
-  fence.boundsAre(5_000_000, 1_000_000);
-  assert.equal(fence.fresh(), true);
+  assert.equal(guard.fresh(), true);
+  guard.boundsAre(3_000_000, 1_000_000);
+  assert.equal(guard.fresh(), false);
+  guard.boundsAre(5_000_000, 1_000_000);
+  assert.equal(guard.fresh(), true);
 });
 
-/** A transport that reaches nobody and keeps whom it was to reach. */
-const silent = (asked: string[]): Transport =>
+/** A transport whose requests all fail and which records their addresses. */
+const unreachable = (requests: string[]): Transport =>
   ({
     listen: (address: string) => Promise.resolve({ address, close: () => Promise.resolve() }),
     ask: (address: string, message: Message) => {
-      asked.push(`${message.kind} ${address}`);
+      requests.push(`${message.kind} ${address}`);
       return Promise.resolve({ kind: 'failed' });
     },
     close: () => Promise.resolve(),
   }) as unknown as Transport;
 
-test('an agent goes over to other seeds and another list; its own address waits for a restart', async () => {
+test('an agent applies new seeds and a new list address; its own address needs a restart', async () => {
   const world = new World(1);
-  const asked: string[] = [];
+  const requests: string[] = [];
   const lists: string[] = [];
   const settings = {
     ...AgentDefaults,
@@ -161,7 +165,7 @@
     listAddress: '10.9.0.1:1',
   };
   const agent = new EdgeAgent(
-    { clock: world.clock, random: world.random, transport: silent(asked) },
+    { clock: world.clock, random: world.random, transport: unreachable(requests) },
     {} as BackEndDoor,
     settings,
     {
@@ -174,8 +178,8 @@
   await agent.start();
   await world.runFor(10_000_000);
   assert.deepEqual([...new Set(lists)], ['10.9.0.1:1']);
-  assert.ok(asked.every((line) => line.endsWith(' 10.0.0.1:1')) && asked.length > 0);
-  asked.length = 0;
+  assert.ok(requests.every((line) => line.endsWith(' 10.0.0.1:1')) && requests.length > 0);
+  requests.length = 0;
   lists.length = 0;
   agent.settingsAre({
     ...settings,
@@ -185,15 +189,15 @@
   });
   await world.runFor(10_000_000);
   assert.deepEqual([...new Set(lists)], ['10.9.0.2:1']);
-  assert.deepEqual([...new Set(asked.map((line) => line.split(' ')[1]))].sort(), ['10.0.0.2:1', '10.0.0.3:1']);
+  assert.deepEqual([...new Set(requests.map((line) => line.split(' ')[1]))].sort(), ['10.0.0.2:1', '10.0.0.3:1']);
   await agent.stop();
 });
 
-test('the list is asked for where the settings of that moment say', async () => {
+test('the engine list is requested at the address in the current settings', async () => {
   const world = new World(1);
-  const asked: string[] = [];
+  const requests: string[] = [];
   const keeper = new EngineListKeeper(
-    { page: (_from, _limit, address) => Promise.resolve(void asked.push(address)) },
+    { page: (_from, _limit, address) => Promise.resolve(void requests.push(address)) },
     new Freshness(world.clock, undefined, 'listed'),
     () => 1,
     world.clock,
@@ -205,13 +209,13 @@
   await keeper.read();
   keeper.settingsAre({ address: '10.9.0.2:1' });
   await keeper.read();
-  assert.deepEqual(asked, ['10.9.0.1:1', '10.9.0.2:1']);
+  assert.deepEqual(requests, ['10.9.0.1:1', '10.9.0.2:1']);
 });
 
-test('a proxy goes over to the bounds of its settings, not to another name', () => {
+test('a proxy applies new limits but not a new name', () => {
   const world = new World(1);
   const proxy = new EdgeProxy(
-    { clock: world.clock, random: world.random, transport: silent([]) },
+    { clock: world.clock, random: world.random, transport: unreachable([]) },
     {} as BackEndSender,
     PlatformProxySettings.of(read()),
   );
@@ -257,33 +261,33 @@
   };
 
   for (const program of programs)
-    test(`${program} takes a changed file, with and without a signal; a wrong one is told once and kept out`, async () => {
+    test(`${program} applies a changed file, with and without a signal; an invalid one is reported once and not applied`, async () => {
       const settings = path.join(folder, `${program}.yaml`);
       const port = await freePort();
-      const sound = { ...file, internalPorts: [port, port] };
+      const valid = { ...file, internalPorts: [port, port] };
       const write = (change: Readonly<Record<string, unknown>>): void =>
-        writeFileSync(settings, stringify({ ...sound, ...change }));
+        writeFileSync(settings, stringify({ ...valid, ...change }));
       write({});
       const child = spawn(process.execPath, [path.join(folder, `${program}.cjs`)], {
         stdio: ['ignore', 'ignore', 'pipe'],
         env: { PATH: process.env['PATH'], POSTDRUM_NODE_FILE: settings },
       });
       running.push(child);
-      let said = '';
-      child.stderr.on('data', (chunk: Buffer) => (said += chunk.toString()));
-      const saysSo = (form: RegExp): Promise<void> =>
-        until(`${form} in ${said}`, () => Promise.resolve(form.test(said)));
-      await saysSo(/listens on/);
+      let output = '';
+      child.stderr.on('data', (chunk: Buffer) => (output += chunk.toString()));
+      const untilOutput = (form: RegExp): Promise<void> =>
+        until(`${form} in ${output}`, () => Promise.resolve(form.test(output)));
+      await untilOutput(/listens on/);
       write({ ip: 'nowhere' });
-      await saysSo(/The changed settings are wrong and not taken: ip/);
+      await untilOutput(/The changed settings are wrong and not taken: ip/);
       const { settings: change, said: form } = changed[program] ?? { settings: {}, said: /./ };
       write(change);
-      await saysSo(form);
-      assert.equal(said.match(/wrong and not taken/g)?.length, 1, said);
-      said = '';
+      await untilOutput(form);
+      assert.equal(output.match(/wrong and not taken/g)?.length, 1, output);
+      output = '';
       write({ nodeName: 'other' });
       child.kill('SIGHUP');
-      await saysSo(/only after a restart: .*name/);
+      await untilOutput(/only after a restart: .*name/);
       assert.equal(child.exitCode, null);
       child.kill('SIGTERM');
     });
--- a/tests/support/rawCaller.ts
+++ b/tests/support/rawCaller.ts
@@ -1,20 +1,20 @@
 import net from 'node:net';
 
-/** A caller on a bare conn: it writes what a test says and keeps all that comes back. */
+/** A client on a plain TCP connection: it writes given bytes and keeps all that it receives. */
 export class RawCaller {
   public text = '';
   public closed = false;
-  private readonly waiting: (() => void)[] = [];
+  private readonly changeListeners: (() => void)[] = [];
 
   private constructor(public readonly socket: net.Socket) {
     socket.on('error', () => undefined);
     socket.on('data', (chunk: Buffer) => {
       this.text += chunk.toString('latin1');
-      this.changed();
+      this.notify();
     });
     socket.on('close', () => {
       this.closed = true;
-      this.changed();
+      this.notify();
     });
   }
 
@@ -33,9 +33,10 @@
     return this;
   }
 
-  /** Resolves when it is so, or when the conn has closed. */
-  public async until(isSo: (text: string) => boolean): Promise<string> {
-    while (!isSo(this.text) && !this.closed) await new Promise<void>((resolve) => this.waiting.push(resolve));
+  /** Resolves when the received text fulfils the condition, or when the connection has closed. */
+  public async until(condition: (text: string) => boolean): Promise<string> {
+    while (!condition(this.text) && !this.closed)
+      await new Promise<void>((resolve) => this.changeListeners.push(resolve));
     return this.text;
   }
 
@@ -43,7 +44,7 @@
     return [...this.text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map((found) => Number(found[1]));
   }
 
-  private changed(): void {
-    for (const wake of this.waiting.splice(0)) wake();
+  private notify(): void {
+    for (const listener of this.changeListeners.splice(0)) listener();
   }
 }
--- a/tests/support/sendStage.ts
+++ b/tests/support/sendStage.ts
@@ -8,24 +8,24 @@
 import type { BackEndSender, SendHead, SendOrder, SendSink } from '../../source/shared/back-end/protocol';
 import { Metrics } from '../../source/shared/metrics/metrics';
 
-/** Parts that a test has no interest in take every call and give nothing. */
-const quiet = <Part>(given: object = {}): Part =>
+/** A stub that accepts every call and returns undefined, save for the given properties. */
+const stub = <Stubbed>(given: object = {}): Stubbed =>
   new Proxy(given, {
     get: (target, name) => (name in target ? (target as Record<string | symbol, unknown>)[name] : () => undefined),
-  }) as Part;
+  }) as Stubbed;
 
-/** What one caller was given. */
-class Caller implements AnswerSink {
+/** A client that records its response. */
+class RecordingClient implements AnswerSink {
   public given: AnswerHead | undefined;
   public text = '';
   public ended = false;
-  private left = false;
-  private readonly onGone: (() => void)[] = [];
+  private hasLeft = false;
+  private readonly goneListeners: (() => void)[] = [];
 
   public readonly begun = (): boolean => this.given !== undefined;
-  public readonly gone = (): boolean => this.left;
-  public readonly whenGone = (act: () => void): void => {
-    this.onGone.push(act);
+  public readonly gone = (): boolean => this.hasLeft;
+  public readonly whenGone = (listener: () => void): void => {
+    this.goneListeners.push(listener);
   };
   public readonly head = (head: AnswerHead): void => {
     this.given = head;
@@ -41,17 +41,18 @@
   public readonly refuse = (): void => undefined;
 
   public leave(): void {
-    this.left = true;
-    for (const act of this.onGone) act();
+    this.hasLeft = true;
+    for (const listener of this.goneListeners) listener();
   }
 }
 
+/** What a test varies of the request. */
 export type StageOrder = Readonly<{ limitMicroseconds?: number; mapping?: Partial<Mapping> }>;
 
-/** One order at the moment it is sent, in the words of the users' platform, to an engine that a test speaks for. */
+/** Sends one request in the format of the users' platform to an engine whose response the test gives. */
 export class SendStage {
   public readonly world = new World(1);
-  public readonly caller = new Caller();
+  public readonly caller = new RecordingClient();
   public sent: SendOrder | undefined;
   public step: Step | undefined;
   public cuts = 0;
@@ -67,24 +68,24 @@
       },
     };
     const policy = new SendPolicy(
-      quiet<SendParts>({
+      stub<SendParts>({
         sender,
         words: PlatformBackEndWords,
         clock: this.world.clock,
         metrics: new Metrics(),
-        fence: quiet({ fresh: () => true }),
-        identifier: quiet({ stillStands: () => ({ kind: 'stands' }) }),
-        view: quiet({
-          work: quiet({ of: () => ({ reading: 0 }) }),
-          outliers: quiet(),
+        fence: stub({ fresh: () => true }),
+        identifier: stub({ stillStands: () => ({ kind: 'stands' }) }),
+        view: stub({
+          work: stub({ of: () => ({ reading: 0 }) }),
+          outliers: stub(),
           isAble: () => true,
           ownInFlight: () => 0,
           candidates: () => [],
         }),
-        readSpeeds: quiet(),
-        moves: quiet(),
-        desk: quiet(),
-        budgetOf: () => quiet({ spend: () => false, mayHope: () => false }),
+        readSpeeds: stub(),
+        moves: stub(),
+        desk: stub(),
+        budgetOf: () => stub({ spend: () => false, mayHope: () => false }),
         stillGood: () => true,
         logRead: undefined,
         silentMicroseconds: Infinity,
@@ -120,7 +121,7 @@
     });
   }
 
-  /** The head of an engine's answer. */
+  /** Delivers the head of the engine's response. */
   public head(status: number, headers: Readonly<Record<string, string>>, framed = true): void {
     this.sink?.head({ status, headers, framed } satisfies SendHead);
   }
@@ -129,13 +130,13 @@
     void this.sink?.part(Buffer.from(text));
   }
 
-  /** The answer ended as its framing, or the end of its connection, says. */
+  /** Ends the response, by its framing or by the end of its connection. */
   public async end(): Promise<void> {
     this.sink?.end();
     await this.settle();
   }
 
-  /** The connection was reset, or what came was no answer. */
+  /** Reports that the connection was reset, or that the response could not be parsed. */
   public async reset(): Promise<void> {
     this.sink?.failed({ kind: 'mayHaveRun', text: 'reset' });
     await this.settle();
