--- a/source/edge-proxy/holding/shares.ts
+++ b/source/edge-proxy/holding/shares.ts
@@ -5,7 +5,7 @@
   entitled: number;
   lends: boolean;
   running: number;
-  held: number;
+  queued: number;
 }>;
 
 /** Divides the capacity of a service among its classes. */
@@ -21,7 +21,7 @@
         if (item.running < item.entitled) return true;
         // Unused capacity of a class that doesn't lend, or that has requests waiting itself, can't be borrowed.
         const reservedPlaces = classes
-          .filter((other) => other.name !== item.name && (!other.lends || other.held > 0))
+          .filter((other) => other.name !== item.name && (!other.lends || other.queued > 0))
           .reduce((sum, other) => sum + Math.max(0, other.entitled - other.running), 0);
         return free > reservedPlaces;
       })
--- a/source/edge-proxy/holding/takeDesk.ts
+++ b/source/edge-proxy/holding/takeDesk.ts
@@ -46,7 +46,7 @@
 type QueuedRequest = Readonly<{ order: TakeOrder; settle: (taken: Taken) => void; cancel: Cancel }>;
 type ClassQueue = {
   running: number;
-  held: number;
+  queued: number;
   readonly tenants: Map<string, QueuedRequest[]>;
   readonly startTimes: number[];
 };
@@ -56,7 +56,7 @@
 type OtherSums = Readonly<{
   source: OtherLoads;
   running: ReadonlyMap<string, number>;
-  held: ReadonlyMap<string, number>;
+  queued: ReadonlyMap<string, number>;
 }>;
 
 const sumByKey = (records: readonly Readonly<Record<string, number>>[]): ReadonlyMap<string, number> => {
@@ -66,7 +66,7 @@
   return sums;
 };
 
-/** The start rate of a class is measured over at most this many startTimes and this time. */
+/** The start rate of a class is measured over at most this many starts and this time. */
 const maxStartTimes = 32;
 const startRateWindowMicroseconds = 4_000_000;
 
@@ -95,9 +95,9 @@
     const classes: Record<string, number> = {};
     const waiting: Record<string, number> = {};
     for (const [service, serviceQueues] of this.services) {
-      for (const [name, { running, held }] of serviceQueues.classes) {
+      for (const [name, { running, queued }] of serviceQueues.classes) {
         if (running > 0) classes[this.serviceKey(service, name)] = running;
-        if (held > 0) waiting[this.serviceKey(service, name)] = held;
+        if (queued > 0) waiting[this.serviceKey(service, name)] = queued;
       }
     }
     return { classes, waiting, tenants: Object.fromEntries(this.tenantsRunning) };
@@ -170,7 +170,7 @@
   }
 
   public heldCount(): number {
-    return this.sum(({ held }) => held);
+    return this.sum(({ queued }) => queued);
   }
 
   public runningCount(): number {
@@ -187,9 +187,9 @@
   private refusalOnArrival(order: TakeOrder, queue: ClassQueue, settings: ServiceClass): Refusal | undefined {
     // A request that is queued again was accepted before, and its time limit keeps running.
     if (order.turnKept) return undefined;
-    if (queue.held >= settings.holdingMost)
+    if (queue.queued >= settings.holdingMost)
       return Refusals.make(503, 'notRun', 'holdingFull', 'Too many orders wait.', this.retryAfterEstimate(order));
-    const wait = this.expectedWaitMicroseconds(queue, queue.held);
+    const wait = this.expectedWaitMicroseconds(queue, queue.queued);
     // Refused on arrival because queueing it until its limit and refusing it then only costs the client time.
     return wait > settings.holdingLimitMicroseconds
       ? Refusals.make(
@@ -214,7 +214,7 @@
   private enqueue(queue: ClassQueue, entry: QueuedRequest): void {
     const { tenant, turnKept } = entry.order;
     const list = queue.tenants.get(tenant) ?? [];
-    queue.held += 1;
+    queue.queued += 1;
     if (!turnKept) {
       queue.tenants.set(tenant, [...list, entry]);
       return;
@@ -251,8 +251,11 @@
    * of other proxies are stale when they arrive, and all proxies would compete for the same free place.
    */
   private ownLimit(serviceQueues: ServiceQueues, loads: readonly ClassLoad[], capacity: number): number {
-    const ownDemand = [...serviceQueues.classes.values()].reduce((sum, { running, held }) => sum + running + held, 0);
-    const totalDemand = loads.reduce((sum, { running, held }) => sum + running + held, 0);
+    const ownDemand = [...serviceQueues.classes.values()].reduce(
+      (sum, { running, queued }) => sum + running + queued,
+      0,
+    );
+    const totalDemand = loads.reduce((sum, { running, queued }) => sum + running + queued, 0);
     return totalDemand <= capacity ? capacity : Math.max(1, Math.round((capacity * ownDemand) / totalDemand));
   }
 
@@ -272,7 +275,7 @@
   }
 
   private start(service: string, queue: ClassQueue, tenant: string, next: QueuedRequest): void {
-    queue.held -= 1;
+    queue.queued -= 1;
     queue.running += 1;
     if (queue.startTimes.push(this.clock.nowMicroseconds()) > maxStartTimes) queue.startTimes.shift();
     this.tenantsRunning.set(tenant, (this.tenantsRunning.get(tenant) ?? 0) + 1);
@@ -299,7 +302,7 @@
     const rest = list.filter((item) => item !== entry);
     if (rest.length > 0) queue.tenants.set(tenant, rest);
     else queue.tenants.delete(tenant);
-    queue.held -= 1;
+    queue.queued -= 1;
     entry.cancel();
     if (result.kind === 'refuse') this.metrics.count('postdrum_given_up_total', { code: result.refusal.code });
     entry.settle(result);
@@ -316,7 +319,7 @@
         lends: settings.lends,
         entitled: (capacity * settings.sharePerMille) / 1000,
         running: (local?.running ?? 0) + (others.running.get(key) ?? 0),
-        held: (local?.held ?? 0) + (others.held.get(key) ?? 0),
+        queued: (local?.queued ?? 0) + (others.queued.get(key) ?? 0),
       };
     });
   }
@@ -325,16 +328,16 @@
   private otherSumsOf(others: OtherLoads): OtherSums {
     if (this.otherSums?.source === others) return this.otherSums;
     const running = sumByKey(others.map(({ classes }) => classes));
-    const held = sumByKey(others.map(({ waiting }) => waiting));
-    this.otherSums = { source: others, running, held };
+    const queued = sumByKey(others.map(({ waiting }) => waiting));
+    this.otherSums = { source: others, running, queued };
     return this.otherSums;
   }
 
   /** Suggested `retry-after` in seconds: the time in which the requests that are queued now will have started. */
   private retryAfterEstimate({ service, className }: TakeOrder): number {
     const queue = this.classQueue(service, className);
-    const measuredSeconds = this.expectedWaitMicroseconds(queue, queue.held) / 1_000_000;
-    const estimate = (queue.held * this.room.proxies()) / Math.max(1, this.room.capacity(service));
+    const measuredSeconds = this.expectedWaitMicroseconds(queue, queue.queued) / 1_000_000;
+    const estimate = (queue.queued * this.room.proxies()) / Math.max(1, this.room.capacity(service));
     return Math.min(30, Math.max(1, Math.ceil(measuredSeconds > 0 ? measuredSeconds : estimate)));
   }
 
@@ -343,7 +346,7 @@
     this.services.set(service, serviceQueues);
     const queue = serviceQueues.classes.get(className) ?? {
       running: 0,
-      held: 0,
+      queued: 0,
       tenants: new Map<string, QueuedRequest[]>(),
       startTimes: [],
     };
--- a/source/edge-proxy/sends/retryBudget.ts
+++ b/source/edge-proxy/sends/retryBudget.ts
@@ -21,7 +21,7 @@
 /**
  * Limits the retries of one proxy in one pool. Retries are paid for by what the proxy's own first attempts earn and by its
  * part of a small allowance that accrues slowly; the balance is capped and starts at zero. So in any window of time the
- * retries of all proxies together are at most the `perMille` part (a fifth by default) of the first attempts in it, plus
+ * retries of all proxies together are at most the `perMille` part (a fifth for 200) of the first attempts in it, plus
  * `fleetAllowance` once, plus `fleetAllowance` for each allowance interval in it. The proxies exchange no counts; a
  * restart gains nothing; a proxy that sees too few others still takes at most its part of a fleet of the minimum size.
  */
@@ -67,7 +67,7 @@
   }
 
   /**
-   * Whether the budget is expected to pay for at least one retry within that time. Other waitingRetries retries aren't counted
+   * Whether the budget is expected to pay for at least one retry within that time. Other waiting retries aren't counted
    * because the admission queue decides which of them goes first.
    */
   public stillHopes(withinMicroseconds: number): boolean {
--- a/source/edge-proxy/sends/wholeEvents.ts
+++ b/source/edge-proxy/sends/wholeEvents.ts
@@ -5,7 +5,7 @@
 const maxEventBytes = 1024 * 1024;
 
 /**
- * Splits a stream of server-sent events idIndex event boundaries, so that only whole events are forwarded. A response that
+ * Splits a stream of server-sent events at event boundaries, so that only whole events are forwarded. A response that
  * breaks off is resumed after the last event that the client has; half an event could be neither repeated nor left out.
  */
 export class WholeEvents {
--- a/tests/held-past-timeout.test.ts
+++ b/tests/held-past-timeout.test.ts
@@ -32,7 +32,7 @@
   );
   const policy = TakePolicies.take(
     queue,
-    { stillStands: () => ({ kind: 'stands' }) } as unknown as Identifier,
+    { stillStands: () => ({ kind: 'stands' }) } as Partial<Identifier> as Identifier,
     () => ({}) as RetryBudget,
   );
   const startedMicroseconds = world.nowMicroseconds;
--- a/tests/policies.test.ts
+++ b/tests/policies.test.ts
@@ -36,7 +36,7 @@
   entitled: fc.nat(10),
   lends: fc.boolean(),
   running: fc.nat(10),
-  held: fc.nat(3),
+  queued: fc.nat(3),
 });
 const loads = fc.uniqueArray(load, { selector: ({ name }) => name, minLength: 1, maxLength: 3 });
 
@@ -58,9 +58,9 @@
 });
 
 test('class shares: idle capacity is lent unless its class does not lend or has requests waiting itself', () => {
-  const classes = (lends: boolean, held: number): readonly ClassLoad[] => [
-    { name: 'busy', rank: 0, entitled: 5, lends: true, running: 5, held: 3 },
-    { name: 'idle', rank: 1, entitled: 5, lends, running: 0, held },
+  const classes = (lends: boolean, queued: number): readonly ClassLoad[] => [
+    { name: 'busy', rank: 0, entitled: 5, lends: true, running: 5, queued: 3 },
+    { name: 'idle', rank: 1, entitled: 5, lends, running: 0, queued },
   ];
   assert.deepEqual(Shares.eligible(10, classes(true, 0)), ['busy', 'idle']);
   assert.deepEqual(Shares.eligible(10, classes(false, 0)), ['idle']);
--- a/tests/support/sendStage.ts
+++ b/tests/support/sendStage.ts
@@ -9,7 +9,7 @@
 import { Metrics } from '../../source/shared/metrics/metrics';
 
 /** A stub that accepts every call and returns undefined, save for the given properties. */
-const stub = <Stubbed>(given: object = {}): Stubbed =>
+const stub = <Stubbed>(given: { readonly [Name in keyof Stubbed]?: unknown } = {}): Stubbed =>
   new Proxy(given, {
     get: (target, name) => (name in target ? (target as Record<string | symbol, unknown>)[name] : () => undefined),
   }) as Stubbed;
@@ -73,10 +73,10 @@
         words: PlatformBackEndWords,
         clock: this.world.clock,
         metrics: new Metrics(),
-        fence: stub({ fresh: () => true }),
-        identifier: stub({ stillStands: () => ({ kind: 'stands' }) }),
-        view: stub({
-          work: stub({ of: () => ({ reading: 0 }) }),
+        fence: stub<SendParts['fence']>({ fresh: () => true }),
+        identifier: stub<SendParts['identifier']>({ stillStands: () => ({ kind: 'stands' }) }),
+        view: stub<SendParts['view']>({
+          work: stub<SendParts['view']['work']>({ of: () => ({ reading: 0 }) }),
           outliers: stub(),
           isAble: () => true,
           ownInFlight: () => 0,
@@ -85,7 +85,7 @@
         readSpeeds: stub(),
         moves: stub(),
         desk: stub(),
-        budgetOf: () => stub({ spend: () => false, mayHope: () => false }),
+        budgetOf: () => stub<ReturnType<SendParts['budgetOf']>>({ spend: () => false, mayHope: () => false }),
         stillGood: () => true,
         logRead: undefined,
         silentMicroseconds: Infinity,
