--- a/tests/policies.test.ts
+++ b/tests/policies.test.ts
@@ -10,7 +10,7 @@
 import { Shares, type ClassLoad } from '../source/edge-proxy/holding/shares';
 import { TakeDesk, type Room, type TakeOrder } from '../source/edge-proxy/holding/takeDesk';
 import { Placements, type Scored } from '../source/edge-proxy/placement/placements';
-import { RetryBudget } from '../source/edge-proxy/sends/retryBudget';
+import { RetryBudget, type BudgetSettings } from '../source/edge-proxy/sends/retryBudget';
 import { FinalEvent, SendStates } from '../source/edge-proxy/sends/sendState';
 import { LinkSpeeds } from '../source/edge-proxy/fetch/linkSpeeds';
 import { SimDisk } from '../source/fleet-simulator/world/simDisk';
@@ -236,7 +236,12 @@
     fc.asyncProperty(fc.array(step, { maxLength: 600 }), async (steps) => {
       const world = new World(3);
       const seen = Array.from({ length: 9 }, () => 9);
-      const budgetSettings = { perMille: 200, fleetAllowance: 18, allowanceMicroseconds: 10_000_000, leastDaemons: 9 };
+      const budgetSettings: BudgetSettings = {
+        perMille: 200,
+        fleetAllowance: 18,
+        allowanceMicroseconds: 10_000_000,
+        leastDaemons: 9,
+      };
       const make = (proxy: number): RetryBudget => new RetryBudget(world.clock, () => seen[proxy] ?? 1, budgetSettings);
       const budgets = seen.map((_, proxy) => make(proxy));
       let maxSum = 0;
--- a/tests/settings-change.test.ts
+++ b/tests/settings-change.test.ts
@@ -12,7 +12,7 @@
 import { EngineListDefaults, EngineListKeeper } from '../source/edge-agent/engine-list/engineListKeeper';
 import { EdgeProxy, type ProxySettings } from '../source/edge-proxy/edgeProxy';
 import { Fence } from '../source/edge-proxy/fence/fence';
-import { RetryBudget } from '../source/edge-proxy/sends/retryBudget';
+import { RetryBudget, type BudgetSettings } from '../source/edge-proxy/sends/retryBudget';
 import { World } from '../source/fleet-simulator/world/world';
 import type { BackEndDoor, BackEndSender } from '../source/shared/back-end/protocol';
 import type { Message, Transport } from '../source/shared/effects/transport/transport';
@@ -108,7 +108,12 @@
 
 test('a retry budget that gets new settings keeps and expects no more than they allow', async () => {
   const world = new World(1);
-  const wide = { perMille: 500, fleetAllowance: 90, allowanceMicroseconds: 10_000_000, leastDaemons: 9 };
+  const wide: BudgetSettings = {
+    perMille: 500,
+    fleetAllowance: 90,
+    allowanceMicroseconds: 10_000_000,
+    leastDaemons: 9,
+  };
   const budget = new RetryBudget(world.clock, () => 9, wide);
   for (let number = 0; number < 200; number += 1) budget.first();
   budget.settingsAre({ ...wide, perMille: 100, fleetAllowance: 9 });
