--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -140,7 +140,7 @@
     faults: ['keyRevoked', 'keeperKilled', 'keeperPowerLost'],
     seeds: 40,
     cuts: [
-      ['core-keeper/register/heartbeats.ts', 'void this.repair(word, owner);', ''],
+      ['core-keeper/register/heartbeats.ts', 'void this.catchUp(statement, leader);', ''],
       ['shared/news/newsExchange.ts', 'body.revision <= (theirs[key] ?? 0)', 'body.revision === (theirs[key] ?? 0)'],
       ['shared/freshness/freshness.ts', 'if (revision <= (this.applied?.revision ?? -1)) return undefined;', ''],
       [
@@ -179,8 +179,8 @@
       ],
       [
         'edge-agent/stewards/engineSteward.ts',
-        "if (engine.state === 'draining' && status.accepting && allKnow)",
-        "if (engine.state === 'draining' && !status.accepting && allKnow)",
+        "if (engine.state === 'draining' && status.accepting && proxiesKnow)",
+        "if (engine.state === 'draining' && !status.accepting && proxiesKnow)",
       ],
     ],
   },
@@ -253,8 +253,12 @@
     ],
     seeds: 80,
     cuts: [
-      ['core-keeper/register/ownership.ts', "return mayStand ? { kind: 'unknown' } : undefined;", 'return undefined;'],
-      ['core-keeper/register/changeRouter.ts', "maySettle ||= outcome?.kind === 'unknown';", ''],
+      [
+        'core-keeper/register/ownership.ts',
+        "return mayBeAccepted ? { kind: 'unknown' } : undefined;",
+        'return undefined;',
+      ],
+      ['core-keeper/register/changeRouter.ts', "mayBeAccepted ||= outcome?.kind === 'unknown';", ''],
     ],
   },
   {
@@ -355,7 +359,7 @@
       ['edge-agent/stewards/engineSteward.ts', '>= drainAfterMicroseconds', '>= 0'],
       [
         'edge-agent/stewards/engineSteward.ts',
-        "this.say(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);",
+        "this.publishStatus(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);",
         '',
       ],
       [
