--- a/source/edge-proxy/door/callerWords.ts
+++ b/source/edge-proxy/door/callerWords.ts
@@ -1,6 +1,6 @@
 import type { Random } from '../../shared/effects/random/random';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { Order } from '../path/order';
+import type { ProxyRequest } from '../pipeline/request';
 
 /** Method, target and headers of a client's request as received, with header names in lower case. */
 export type CallerHead = Readonly<{
@@ -10,7 +10,7 @@
 }>;
 
 /** A request as parsed from its head; the server adds the body and the arrival time. */
-export type HeadOrder = Omit<Order, 'body' | 'arrivedMicroseconds'>;
+export type HeadOrder = Omit<ProxyRequest, 'body' | 'arrivedMicroseconds'>;
 
 /** What a request head asks for: a request to proxy, a built-in page, or nothing that can be served. */
 export type CallerRead =
--- a/source/edge-proxy/door/callersDoor.ts
+++ b/source/edge-proxy/door/callersDoor.ts
@@ -8,7 +8,7 @@
 import { Replies } from '../../shared/http/replies';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { EdgeProxy } from '../edgeProxy';
-import type { AnswerSink } from '../path/order';
+import type { ResponseSink } from '../pipeline/request';
 import { ChatCallerWords, type CallerWords } from './callerWords';
 import { DoorLimits } from './doorLimits';
 
@@ -26,7 +26,7 @@
 }>;
 
 /** Writes the response to one HTTP request of a client. */
-class HttpResponseSink implements AnswerSink {
+class HttpResponseSink implements ResponseSink {
   private clientGone = false;
   private bodyStarted = false;
   private readonly goneListeners: (() => void)[] = [];
@@ -46,12 +46,12 @@
   public readonly begun = (): boolean => this.response.headersSent;
   public readonly gone = (): boolean => this.clientGone;
 
-  public readonly whenGone = (listener: () => void): void => {
+  public readonly onClientGone = (listener: () => void): void => {
     if (this.clientGone) listener();
     else this.goneListeners.push(listener);
   };
 
-  public readonly head: AnswerSink['head'] = ({ status, headers }) => {
+  public readonly head: ResponseSink['head'] = ({ status, headers }) => {
     if (this.clientGone) return;
     this.response.writeHead(status, { ...headers, ...this.connectionHeaders() });
     // The head is not flushed at once because the first part usually follows in the same tick and both go out together.
@@ -66,7 +66,7 @@
     // Backpressure: a slow client slows the engine down instead of filling the memory of this process.
     return new Promise((resolve) => {
       this.response.once('drain', resolve);
-      this.whenGone(resolve);
+      this.onClientGone(resolve);
     });
   };
 
--- a/source/edge-proxy/holding/takeDesk.ts
+++ b/source/edge-proxy/holding/takeDesk.ts
@@ -2,7 +2,7 @@
 import type { Cancel, Clock } from '../../shared/effects/clock/clock';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { StillStands } from '../fence/identify';
+import type { Revalidation } from '../identification/requestIdentifier';
 import { Shares, type ClassLoad } from './shares';
 
 /** The outcome of a request for admission. */
@@ -23,7 +23,7 @@
   /** Whether it goes to the front of the queue: it was queued and admitted before, and its engine had no room. */
   turnKept: boolean;
   whenGone: (act: () => void) => void;
-  stillStands: () => StillStands;
+  stillStands: () => Revalidation;
   /** Called when its turn has come; if false, later requests go first. */
   mayStart: () => boolean;
   /** Called when the state changes: a refusal if the request can't be expected to start within the time that is left. */
--- a/source/edge-proxy/sends/runningSend.ts
+++ b/source/edge-proxy/sends/runningSend.ts
@@ -5,16 +5,16 @@
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { Fence } from '../fence/fence';
-import type { Identifier } from '../fence/identify';
+import type { StalenessGuard } from '../identification/stalenessGuard';
+import type { RequestIdentifier } from '../identification/requestIdentifier';
 import { noFetch, type FetchPlan } from '../fetch/fetchPlanner';
 import type { LinkSpeeds } from '../fetch/linkSpeeds';
 import type { PartMoves } from '../fetch/partMoves';
-import type { Context, Placed, Resolved, Step } from '../path/order';
-import { OrderLimits } from '../path/orderLimits';
-import type { DeskLink } from '../placement/deskLink';
+import type { RequestContext, PlacedRequest, ResolvedRequest, PolicyResult } from '../pipeline/request';
+import { RequestLimits } from '../pipeline/requestLimits';
+import type { SchedulerClient } from '../placement/schedulerClient';
 import type { EngineView } from '../placement/engineView';
-import type { ReadSpeeds } from '../placement/readSpeeds';
+import type { PrefillSpeeds } from '../placement/prefillSpeeds';
 import type { RetryBudget } from './retryBudget';
 import type { AnswerEnd } from '../outliers/outlierDetector';
 import { FinalEvent, SendStates, type SendEvent, type SendState } from './sendState';
@@ -24,14 +24,14 @@
 export type SendParts = Readonly<{
   sender: BackEndSender;
   words: BackEndWords;
-  fence: Fence;
-  identifier: Identifier;
+  fence: StalenessGuard;
+  identifier: RequestIdentifier;
   view: EngineView;
   speeds: LinkSpeeds;
   /** Measured durations of cache imports between engines, and prefill speeds. */
   moves: PartMoves;
-  readSpeeds: ReadSpeeds;
-  desk: Pick<DeskLink, 'done'>;
+  readSpeeds: PrefillSpeeds;
+  desk: Pick<SchedulerClient, 'done'>;
   /** Whether running responses are cut off when their weights are no longer permitted. */
   cutsOldWeights: boolean;
   clock: Clock;
@@ -41,9 +41,9 @@
   logRead: Log | undefined;
   budgetOf: (service: string) => RetryBudget;
   /** How long a request may still be queued. */
-  holdingLeft: (context: Context) => number;
+  holdingLeft: (context: RequestContext) => number;
   /** Urgency of a request sent to the engine, by its class; undefined if none is sent. */
-  urgencyOf: (context: Context) => number | undefined;
+  urgencyOf: (context: RequestContext) => number | undefined;
   /** `retry-after` of a request that engines had no room for. */
   busySeconds: number;
   /**
@@ -86,38 +86,38 @@
   private loadAtStart: LoadAtStart = { reading: 0, inFlight: 0 };
   private sentMicroseconds: number;
   private cancelSend: () => void = () => undefined;
-  private blocked: Step | undefined;
-  private finish: (step: Step) => void = () => undefined;
+  private blocked: PolicyResult | undefined;
+  private finish: (step: PolicyResult) => void = () => undefined;
   private readonly startedMicroseconds: number;
 
   public constructor(
     private readonly dependencies: SendParts,
-    private readonly context: Context,
-    private readonly resolved: Resolved,
-    private readonly placed: Placed,
+    private readonly context: RequestContext,
+    private readonly resolved: ResolvedRequest,
+    private readonly placed: PlacedRequest,
     private readonly fetch: FetchPlan,
-    private readonly finalCheck: () => Step | undefined,
+    private readonly finalCheck: () => PolicyResult | undefined,
   ) {
     this.startedMicroseconds = dependencies.clock.nowMicroseconds();
     this.sentMicroseconds = this.startedMicroseconds;
   }
 
-  public run(): Promise<Step> {
+  public run(): Promise<PolicyResult> {
     const { dependencies, context, placed, fetch } = this;
     const { order, answer } = context;
     dependencies.tell(fetch.began);
     this.loadAtStart = {
-      reading: dependencies.view.work.of(placed.engine).reading,
+      reading: dependencies.view.work.of(placed.engine).pendingPrefillTokens,
       inFlight: dependencies.view.ownInFlight(placed.engine),
     };
-    dependencies.view.began(placed.engine);
-    dependencies.view.work.began(placed.engine, placed.bootEpoch, {
+    dependencies.view.recordSendStart(placed.engine);
+    dependencies.view.work.recordSendStart(placed.engine, placed.bootEpoch, {
       order: order.id,
-      toRead: placed.toRead ?? 0,
-      tokens: (order.promptTokens ?? 0) + (order.mostTokens ?? 0),
+      tokensToPrefill: placed.tokensToPrefill ?? 0,
+      tokens: (order.promptTokens ?? 0) + (order.maxOutputTokens ?? 0),
       fills: fetch.fills,
     });
-    const result = new Promise<Step>((resolve) => {
+    const result = new Promise<PolicyResult>((resolve) => {
       this.finish = resolve;
     });
     const cancelLimit = dependencies.clock.after(Math.max(0, this.remainingMicroseconds()), () =>
@@ -142,7 +142,7 @@
     );
     this.cancelSend = cut;
     // Registered after sending: the client may have left in the meantime, or the sender may have failed at once.
-    answer.whenGone(() => this.abandon(Refusals.make(499, 'mayHaveRun', 'userAgentGone', 'The caller left.')));
+    answer.onClientGone(() => this.abandon(Refusals.make(499, 'mayHaveRun', 'userAgentGone', 'The caller left.')));
     return result.finally(() => {
       cancelLimit();
       dependencies.view.ended(placed.engine);
@@ -161,7 +161,7 @@
     const { service, mapping } = this.resolved;
     const { order } = this.context;
     const elapsedMicroseconds = this.dependencies.clock.nowMicroseconds() - order.arrivedMicroseconds;
-    return Math.min(service.answerLimitMicroseconds, OrderLimits.of(order, mapping) - elapsedMicroseconds);
+    return Math.min(service.answerLimitMicroseconds, RequestLimits.of(order, mapping) - elapsedMicroseconds);
   }
 
   /**
@@ -177,7 +177,7 @@
     ) {
       // When a frozen engine resumes, it would still find the request on its connection, long after the configuration
       // under which it was admitted has changed.
-      const validity = this.dependencies.identifier.stillStands(this.context.order, this.resolved);
+      const validity = this.dependencies.identifier.revalidate(this.context.order, this.resolved);
       const revocation = validity.kind === 'refuse' ? validity.refusal : undefined;
       const isUnlisted = !this.dependencies.view.isListed(this.resolved.mapping.service, this.placed.engine);
       if ((revocation !== undefined && revocation.code !== 'notFresh') || validity.kind === 'moved' || isUnlisted) {
@@ -229,7 +229,7 @@
       model: service.kind === 'pool' ? service.model : '',
       weights: this.placed.weights,
       urgency: this.dependencies.urgencyOf(this.context),
-      leftMicroseconds: Number.isFinite(OrderLimits.of(order, mapping)) ? this.remainingMicroseconds() : undefined,
+      leftMicroseconds: Number.isFinite(RequestLimits.of(order, mapping)) ? this.remainingMicroseconds() : undefined,
       salt,
       target,
       source,
@@ -265,10 +265,10 @@
       const refusal = Refusals.make(503, 'notRun', 'engineBusy', 'The engine is busy.', this.dependencies.busySeconds);
       if (meaning.notRun === 'busy') {
         // Queued again so that it is placed by fresher load counts instead of another guess.
-        this.dependencies.view.saidFull(this.placed.engine);
+        this.dependencies.view.markFull(this.placed.engine);
         this.retry(refusal, 'hold');
       } else {
-        this.dependencies.view.saidOther(this.placed.engine);
+        this.dependencies.view.markAbsent(this.placed.engine);
         this.retry(refusal);
       }
       return;
@@ -307,7 +307,7 @@
     if (head.status < 500 || head.status === 504 || !this.isRepeatable()) return false;
     const { engine } = this.placed;
     const isElsewhere = ({ name }: Readonly<{ name: string }>): boolean =>
-      name !== engine && !this.context.avoided.includes(name);
+      name !== engine && !this.context.avoidedEngines.includes(name);
     if (!this.dependencies.view.candidates(this.resolved.mapping.service).some(isElsewhere)) return false;
     const refusal = Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.');
     const context = this.retryContext(refusal, 'again');
@@ -372,14 +372,14 @@
   /** Records prefill speed and transfer time from the time to the first event, if the engine had little other load. */
   private recordSpeeds(): void {
     const { dependencies, placed, fetch } = this;
-    const toRead = placed.toRead ?? 0;
+    const toRead = placed.tokensToPrefill ?? 0;
     if (toRead === 0) return;
     const elapsedMicroseconds = dependencies.clock.nowMicroseconds() - this.sentMicroseconds;
     this.logPrefill(elapsedMicroseconds);
     if (this.loadAtStart.inFlight > maxInFlightToMeasure) return;
     const { move } = fetch;
     if (move === undefined)
-      dependencies.readSpeeds.saw(placed.engine, toRead + this.loadAtStart.reading, elapsedMicroseconds);
+      dependencies.readSpeeds.addMeasurement(placed.engine, toRead + this.loadAtStart.reading, elapsedMicroseconds);
     else {
       const prefillMicroseconds =
         ((toRead + this.loadAtStart.reading) * 1000) / dependencies.readSpeeds.of(placed.engine);
@@ -399,12 +399,12 @@
   }
 
   private logPrefill(elapsedMicroseconds: number): void {
-    if (this.dependencies.logRead === undefined || this.fetch.fills.length + this.placed.matched === 0) return;
+    if (this.dependencies.logRead === undefined || this.fetch.fills.length + this.placed.cachedParts === 0) return;
     const { placed, fetch, context } = this;
     const { order } = context;
     const tokens = order.parts?.map(({ size }) => size).join('+') ?? '';
     this.dependencies.logRead(
-      `Request ${order.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.matched}, salt and first part ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.toRead} tokens to prefill behind ${this.loadAtStart.reading}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after arrival.`,
+      `Request ${order.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.cachedParts}, salt and first part ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.tokensToPrefill} tokens to prefill behind ${this.loadAtStart.reading}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after arrival.`,
     );
   }
 
@@ -446,7 +446,7 @@
         return;
       }
       this.dependencies.view.outliers.unreached(this.placed.engine);
-      if (this.dependencies.unsentIsFree) this.dependencies.view.saidOther(this.placed.engine);
+      if (this.dependencies.unsentIsFree) this.dependencies.view.markAbsent(this.placed.engine);
       this.retry(Refusals.make(503, 'notRun', 'engineFailed', 'The engine could not be reached.', 1), 'unsent');
       return;
     }
@@ -501,15 +501,15 @@
   }
 
   /** The context of the next attempt, paid from the budget; undefined if another attempt isn't allowed. */
-  private retryContext(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): Context | undefined {
+  private retryContext(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): RequestContext | undefined {
     const kind = how === 'hold' ? 'hold' : 'again';
     const after = this.events.lastId ?? this.context.after;
-    const context: Context = {
+    const context: RequestContext = {
       ...this.context,
       sends: this.context.sends + (how === 'unsent' && this.dependencies.unsentIsFree ? 0 : 1),
       rounds: this.context.rounds + 1,
       mayHaveRun: this.context.mayHaveRun || refusal.verdict !== 'notRun',
-      avoided: [...this.context.avoided, this.placed.engine],
+      avoidedEngines: [...this.context.avoidedEngines, this.placed.engine],
       ...(after === undefined ? {} : { after }),
     };
     const isTimeOver =
@@ -524,6 +524,6 @@
       (isFree || (kind === 'hold' ? budget.mayHope(this.dependencies.holdingLeft(context)) : budget.spend()));
     if (!mayRetry) return undefined;
     this.dependencies.metrics.count('postdrum_sends_again_total', { service: this.resolved.mapping.service });
-    return { ...context, owesSend: kind === 'hold' };
+    return { ...context, owesRetryBudget: kind === 'hold' };
   }
 }
--- a/source/edge-proxy/sends/sendPolicy.ts
+++ b/source/edge-proxy/sends/sendPolicy.ts
@@ -1,6 +1,6 @@
 import { Refusals } from '../../shared/verdict/verdict';
 import { noFetch } from '../fetch/fetchPlanner';
-import type { Context, Placed, Policy, Resolved, Step } from '../path/order';
+import type { RequestContext, PlacedRequest, Policy, ResolvedRequest, PolicyResult } from '../pipeline/request';
 import { RunningSend, type SendParts } from './runningSend';
 
 /** The last policy: checks once more whether the request may be sent, sends it, and forwards the response. */
@@ -10,7 +10,7 @@
 
   public constructor(private readonly dependencies: SendParts) {}
 
-  public readonly apply = async (context: Context): Promise<Step> => {
+  public readonly apply = async (context: RequestContext): Promise<PolicyResult> => {
     const { resolved, placed } = context;
     if (resolved === undefined || placed === undefined) throw new Error('nothing placed');
     const fetch = context.fetch ?? noFetch;
@@ -46,13 +46,13 @@
   }
 
   /** Checks that the request may still be sent: undefined if so, else the result for a request of which nothing was sent. */
-  private finalCheck(context: Context, resolved: Resolved, placed: Placed): Step | undefined {
+  private finalCheck(context: RequestContext, resolved: ResolvedRequest, placed: PlacedRequest): PolicyResult | undefined {
     const { fence, identifier } = this.dependencies;
     // Checked again here because the process may have been frozen since the request was admitted.
-    if (!fence.fresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
+    if (!fence.isFresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
     if (context.answer.gone())
       return { kind: 'refuse', refusal: Refusals.make(499, 'notRun', 'userAgentGone', 'The caller left.') };
-    const validity = identifier.stillStands(context.order, resolved);
+    const validity = identifier.revalidate(context.order, resolved);
     if (validity.kind === 'refuse') return validity;
     if (validity.kind === 'moved') {
       const refusal = Refusals.make(503, 'notRun', 'mappingRemoved', 'The mapping changed again and again.', 1);
@@ -61,7 +61,7 @@
     const { engine: name, bootEpoch, weights } = placed;
     // Engines that are excluded from new placements are accepted, too: the request is already placed, and an engine on
     // probation counts this very request as its trial.
-    if (this.dependencies.view.isAble(resolved.mapping.service, { name, bootEpoch, weights })) return undefined;
+    if (this.dependencies.view.isUsable(resolved.mapping.service, { name, bootEpoch, weights })) return undefined;
     const refusal = Refusals.make(503, 'notRun', 'noEngine', 'The engine left while the order was placed.', 1);
     return { kind: 'hold', context, refusal };
   }
--- a/tests/settings-change.test.ts
+++ b/tests/settings-change.test.ts
@@ -11,7 +11,7 @@
 import { AgentDefaults, EdgeAgent } from '../source/edge-agent/edgeAgent';
 import { EngineListDefaults, EngineListKeeper } from '../source/edge-agent/engine-list/engineListKeeper';
 import { EdgeProxy, type ProxySettings } from '../source/edge-proxy/edgeProxy';
-import { Fence } from '../source/edge-proxy/fence/fence';
+import { StalenessGuard } from '../source/edge-proxy/identification/stalenessGuard';
 import { RetryBudget, type BudgetSettings } from '../source/edge-proxy/sends/retryBudget';
 import { World } from '../source/fleet-simulator/world/world';
 import type { BackEndDoor, BackEndSender } from '../source/shared/back-end/protocol';
@@ -137,15 +137,15 @@
 test('the staleness check applies new limits at once', async () => {
   const world = new World(1);
   const freshness = new Freshness(world.clock, undefined, 'listed');
-  const guard = new Fence(freshness, world.clock, Infinity);
-  assert.equal(guard.fresh(), false, 'nothing is known');
+  const guard = new StalenessGuard(freshness, world.clock, Infinity);
+  assert.equal(guard.isFresh(), false, 'nothing is known');
   freshness.ageMicroseconds = () => world.nowMicroseconds;
   await world.runFor(4_000_000);
-  assert.equal(guard.fresh(), true);
-  guard.boundsAre(3_000_000, 1_000_000);
-  assert.equal(guard.fresh(), false);
-  guard.boundsAre(5_000_000, 1_000_000);
-  assert.equal(guard.fresh(), true);
+  assert.equal(guard.isFresh(), true);
+  guard.setBounds(3_000_000, 1_000_000);
+  assert.equal(guard.isFresh(), false);
+  guard.setBounds(5_000_000, 1_000_000);
+  assert.equal(guard.isFresh(), true);
 });
 
 /** A transport whose requests all fail and which records their addresses. */
--- a/tests/support/sendStage.ts
+++ b/tests/support/sendStage.ts
@@ -1,6 +1,6 @@
 import { PlatformBackEndWords } from '../../platform/back-ends/words';
 import { noFetch } from '../../source/edge-proxy/fetch/fetchPlanner';
-import type { AnswerHead, AnswerSink, Context, Step } from '../../source/edge-proxy/path/order';
+import type { ResponseHead, ResponseSink, RequestContext, PolicyResult } from '../../source/edge-proxy/pipeline/request';
 import type { SendParts } from '../../source/edge-proxy/sends/runningSend';
 import { SendPolicy } from '../../source/edge-proxy/sends/sendPolicy';
 import { World } from '../../source/fleet-simulator/world/world';
@@ -15,8 +15,8 @@
   }) as Stubbed;
 
 /** A client that records its response. */
-class RecordingClient implements AnswerSink {
-  public given: AnswerHead | undefined;
+class RecordingClient implements ResponseSink {
+  public given: ResponseHead | undefined;
   public text = '';
   public ended = false;
   private hasLeft = false;
@@ -24,10 +24,10 @@
 
   public readonly begun = (): boolean => this.given !== undefined;
   public readonly gone = (): boolean => this.hasLeft;
-  public readonly whenGone = (listener: () => void): void => {
+  public readonly onClientGone = (listener: () => void): void => {
     this.goneListeners.push(listener);
   };
-  public readonly head = (head: AnswerHead): void => {
+  public readonly head = (head: ResponseHead): void => {
     this.given = head;
   };
   public readonly part = (bytes: Uint8Array): undefined => {
@@ -54,7 +54,7 @@
   public readonly world = new World(1);
   public readonly caller = new RecordingClient();
   public sent: SendOrder | undefined;
-  public step: Step | undefined;
+  public step: PolicyResult | undefined;
   public cuts = 0;
   private sink: SendSink | undefined;
 
@@ -73,12 +73,12 @@
         words: PlatformBackEndWords,
         clock: this.world.clock,
         metrics: new Metrics(),
-        fence: stub<SendParts['fence']>({ fresh: () => true }),
-        identifier: stub<SendParts['identifier']>({ stillStands: () => ({ kind: 'stands' }) }),
+        fence: stub<SendParts['fence']>({ isFresh: () => true }),
+        identifier: stub<SendParts['identifier']>({ revalidate: () => ({ kind: 'stands' }) }),
         view: stub<SendParts['view']>({
           work: stub<SendParts['view']['work']>({ of: () => ({ reading: 0 }) }),
           outliers: stub(),
-          isAble: () => true,
+          isUsable: () => true,
           ownInFlight: () => 0,
           candidates: () => [],
         }),
@@ -115,7 +115,7 @@
       rounds: 0,
       avoided: [],
       mayHaveRun: false,
-    } as unknown as Context;
+    } as unknown as RequestContext;
     void policy.apply(context).then((step) => {
       this.step = step;
     });
