--- a/source/core-keeper/membership/learnerProgress.ts
+++ b/source/core-keeper/membership/learnerProgress.ts
@@ -31,7 +31,9 @@
 export const LearnerProgress = {
   /** Whether the new list, the first in the view, holds every committed value. A majority of both lists must have reported. */
   isNewListReady: (view: MemberView, memberReports: readonly MemberReport[]): boolean => {
-    const sound = Stamps.currentAnswers(memberReports).filter(({ membersRevision }) => membersRevision >= view.revision);
+    const sound = Stamps.currentAnswers(memberReports).filter(
+      ({ membersRevision }) => membersRevision >= view.revision,
+    );
     const [next] = view.sets;
     const answering = sound.map(({ stamp }) => stamp.keeper);
     return next !== undefined && Stamps.hasMajority(view.sets, answering) && isHeldBy(next, sound);
--- a/source/core-keeper/messages/controlRequests.ts
+++ b/source/core-keeper/messages/controlRequests.ts
@@ -82,11 +82,14 @@
 
 type RequestKind = keyof typeof schemas;
 /** A request of one of the given kinds. */
-export type ControlRequest<Kind extends RequestKind = RequestKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
+export type ControlRequest<Kind extends RequestKind = RequestKind> = {
+  [Each in Kind]: Of<(typeof schemas)[Each]['type']>;
+}[Kind];
 
 /** A request that has passed its schema, or the reason why it was refused. */
 export type ParsedRequest =
-  Readonly<{ kind: 'good'; request: ControlRequest }> | Readonly<{ kind: 'refused'; requestKind: RequestKind | 'unknown'; fault: string }>;
+  | Readonly<{ kind: 'good'; request: ControlRequest }>
+  | Readonly<{ kind: 'refused'; requestKind: RequestKind | 'unknown'; fault: string }>;
 
 const isRequestKind = (kind: string): kind is RequestKind => Object.hasOwn(schemas, kind);
 
--- a/source/core-keeper/register/changeFetcher.ts
+++ b/source/core-keeper/register/changeFetcher.ts
@@ -44,7 +44,11 @@
     return this.fetchNext(address, number, { outcome });
   }
 
-  private async fetchNext(address: string, after: number, done?: FetchChange['done']): Promise<FetchedChange | undefined> {
+  private async fetchNext(
+    address: string,
+    after: number,
+    done?: FetchChange['done'],
+  ): Promise<FetchedChange | undefined> {
     const message = { kind: 'fetchChange', fleet: this.node.fleet(), keys: this.node.ledKeys(), after } as const;
     const request: FetchChange = done === undefined ? message : { ...message, done };
     return ControlResponses.read(await this.transport.ask(address, request, this.askMicroseconds), 'fetchedChange');
--- a/source/edge-proxy/placement/costPlacer.ts
+++ b/source/edge-proxy/placement/costPlacer.ts
@@ -98,7 +98,9 @@
     const matched = joinsPrefill ? Math.max(chosen.matched, demand.parts.length - 1) : chosen.matched;
     const sharedIsCached =
       joinsPrefill || (scheduled !== undefined && decision !== undefined && decision.keeper !== '');
-    const toRead = sharedIsCached ? Math.min(chosen.tokensToPrefill, unsharedTokens(demand.parts, prompt)) : chosen.tokensToPrefill;
+    const toRead = sharedIsCached
+      ? Math.min(chosen.tokensToPrefill, unsharedTokens(demand.parts, prompt))
+      : chosen.tokensToPrefill;
     this.lanes.recordPlacement(
       mapping.service,
       ((demand.isShort ? prompt : toRead) * 1000) / chosen.tokensPerMillisecond,
@@ -108,7 +110,10 @@
     );
     const keeper = decision?.keeper === undefined || decision.keeper === '' ? undefined : decision.keeper;
     this.countCopy(chosen, matched, demand);
-    const home = keeper ?? places?.[0] ?? (demand.parts.length === 0 ? undefined : PlacementCosts.defaultEngineOf(demand.parts, offers));
+    const home =
+      keeper ??
+      places?.[0] ??
+      (demand.parts.length === 0 ? undefined : PlacementCosts.defaultEngineOf(demand.parts, offers));
     return {
       engine: chosen.name,
       address: chosen.address,
@@ -175,7 +180,9 @@
           offer.name,
           Math.round(PlacementCosts.costWithoutPrefill(offer, demand, this.settings)),
           Math.round((offer.tokensToPrefill * 1000) / offer.tokensPerMillisecond),
-          Math.round((Math.min(offer.tokensToPrefill, unsharedTokens(parts, prompt)) * 1000) / offer.tokensPerMillisecond),
+          Math.round(
+            (Math.min(offer.tokensToPrefill, unsharedTokens(parts, prompt)) * 1000) / offer.tokensPerMillisecond,
+          ),
           Math.round(this.moves.usualMicroseconds(pool, tokensIn(parts, 0, parts.length - 1))),
         ] as const;
         return copy === undefined ? fields : [...fields, Math.round(copy)];
--- a/source/edge-proxy/sends/sendPolicy.ts
+++ b/source/edge-proxy/sends/sendPolicy.ts
@@ -46,7 +46,11 @@
   }
 
   /** Checks that the request may still be sent: undefined if so, else the result for a request of which nothing was sent. */
-  private finalCheck(context: RequestContext, resolved: ResolvedRequest, placed: PlacedRequest): PolicyResult | undefined {
+  private finalCheck(
+    context: RequestContext,
+    resolved: ResolvedRequest,
+    placed: PlacedRequest,
+  ): PolicyResult | undefined {
     const { fence, identifier } = this.dependencies;
     // Checked again here because the process may have been frozen since the request was admitted.
     if (!fence.isFresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
--- a/tests/clocks.test.ts
+++ b/tests/clocks.test.ts
@@ -104,7 +104,12 @@
   const world = new World(8);
   const network = new SimNetwork(world);
   const keeperProcess = new SimProcess(world, 'k', '10.1.0.1', voterDrift);
-  const ledger = new WriteAheadLog(new SimDisk(world).of(keeperProcess), keeperProcess.clock, () => undefined, 1_000_000);
+  const ledger = new WriteAheadLog(
+    new SimDisk(world).of(keeperProcess),
+    keeperProcess.clock,
+    () => undefined,
+    1_000_000,
+  );
   await Promise.all([ledger.open(), world.runFor(5000)]);
   await Promise.all([
     ledger.write([{ kind: 'forming', fleet: 'f', members: {} }, { kind: 'formed' }]),
@@ -116,7 +121,11 @@
     return { kind: 'ballots', answers: await voter.vote(message['ballots'] as never, 0) };
   });
   const member = { address: '10.1.0.1:1', operatorsAddress: '10.1.0.1:2', zone: '' };
-  const link = { keepers: () => ({ k: member }), sets: () => [['k']], membersRevision: () => 0 } as unknown as ControlLink;
+  const link = {
+    controlNodes: () => ({ k: member }),
+    memberSets: () => [['k']],
+    membersRevision: () => 0,
+  } as unknown as ControlLink;
   const holderOf = (name: string, drift: number): LeaseHolder => {
     const process = new SimProcess(world, name, `10.2.0.${name.length}`, drift);
     const effects = { clock: process.clock, random: world.random, transport: network.transportOf(process) };
--- a/tests/control-fuzz.test.ts
+++ b/tests/control-fuzz.test.ts
@@ -157,7 +157,9 @@
 
 describe('the log of a control node', () => {
   const whole = events.map((event) => RecordCodec.encode([event]));
-  const states = events.map((_, index) => events.slice(0, index + 1).reduce(ReplicaStates.apply, ReplicaStates.initial));
+  const states = events.map((_, index) =>
+    events.slice(0, index + 1).reduce(ReplicaStates.apply, ReplicaStates.initial),
+  );
 
   test('with any byte changed and any tail cut off, opens as a prefix of the written records or is refused', async () => {
     const bytes = Buffer.concat(whole);
--- a/tests/control-members.test.ts
+++ b/tests/control-members.test.ts
@@ -176,7 +176,9 @@
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(
+        ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
+      );
       assert.ok(leader !== undefined);
       for (const other of fleet.machines)
         if (other !== leader) {
@@ -194,7 +196,9 @@
       const fleet = new ControlFleet(seed, platformDialect);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(
+        ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
+      );
       assert.ok(leader !== undefined);
       for (const other of fleet.machines) if (other !== leader) fleet.network.cut(other.machine, leader.machine);
       const startedAt = fleet.world.nowMicroseconds;
--- a/tests/fleet-behaviour.test.ts
+++ b/tests/fleet-behaviour.test.ts
@@ -153,7 +153,9 @@
   const holders = (): readonly string[] =>
     fleet.edges
       .filter(({ agentProcess }) => agentProcess.alive)
-      .flatMap(({ agent, name }) => agent.stewardship.activeControllers().map(({ name: engine }) => `${engine} by ${name}`))
+      .flatMap(({ agent, name }) =>
+        agent.stewardship.activeControllers().map(({ name: engine }) => `${engine} by ${name}`),
+      )
       .sort();
   await world.runFor(20_000_000);
   assert.equal(holders().length, 7);
--- a/tests/held-past-timeout.test.ts
+++ b/tests/held-past-timeout.test.ts
@@ -44,7 +44,7 @@
         arrivedMicroseconds: startedMicroseconds,
         ...(clientMicroseconds === undefined ? {} : { limitMicroseconds: clientMicroseconds }),
       },
-      answer: { whenGone: () => undefined },
+      answer: { onClientGone: () => undefined },
       resolved: {
         tenant: 't',
         mapping: {
@@ -53,8 +53,8 @@
           ...(routeMicroseconds === undefined ? {} : { limitMicroseconds: routeMicroseconds }),
         },
       },
-      turnKept: false,
-      owesSend: false,
+      keepsQueuePosition: false,
+      owesRetryBudget: false,
     } as unknown as RequestContext)
     .then((result) => {
       step = result;
--- a/tests/quorum-reader.test.ts
+++ b/tests/quorum-reader.test.ts
@@ -20,7 +20,11 @@
   ),
 };
 
-const wordsOf = (keeper: string, held: NonNullable<Held>, known: Readonly<Record<string, number>>): StatementsAnswer => ({
+const wordsOf = (
+  keeper: string,
+  held: NonNullable<Held>,
+  known: Readonly<Record<string, number>>,
+): StatementsAnswer => ({
   kind: 'words',
   stamp: { fleet: 'fleet', keeper, incarnation: held.incarnation ?? 0, known },
   membersRevision: 1,
