--- a/source/edge-proxy/demand/demandView.ts
+++ b/source/edge-proxy/demand/demandView.ts
@@ -8,20 +8,22 @@
 
 export type DemandSettings = CopyPlacesSettings &
   Readonly<{
-    /** Off: nothing is counted or told, and every decision is as it was before there was any of this. */
+    /** If off, no demand is counted or published, and no decision depends on demand. */
     isOn: boolean;
     counters: number;
     halfLifeMicroseconds: number;
-    /** What one more copy pushes out costs to read again, for a thousand tokens, in microseconds of delay. */
+    /** Delay, per thousand tokens, of prefilling again what one more copy evicts. */
     copyMicrosecondsPerThousand: number;
-    /** A store that is fuller than this is sent only what is wanted or asked for again; in per mille of its memory. 0: it is sent all. */
+    /**
+     * A cache store that is fuller than this, in per mille of its memory, is sent only prefixes that are in demand or requested again.
+     * 0: it is sent every prefix.
+     */
     storeRoomPerMille: number;
-    /** How often all proxies together were asked lately for a prefix that counts as wanted. */
+    /** Least number of recent requests, at all proxies together, that make a prefix count as in demand. */
     leastCount: number;
   }>;
 
 export const DemandSettings = {
-  /** Starting values, ours. */
   usual: {
     isOn: true,
     counters: 64,
@@ -33,35 +35,39 @@
     leastCount: 2,
   } satisfies DemandSettings,
   off: (settings: DemandSettings): DemandSettings => ({ ...settings, isOn: false }),
-  /** Places and copies by the demand; stores are sent every prefix that is read. */
+  /** Placement and copies follow the demand, but stores are sent every prefix that is prefilled. */
   fillingStores: (settings: DemandSettings): DemandSettings => ({ ...settings, storeRoomPerMille: 0 }),
 } as const;
 
-type Agreed = Readonly<{
-  mark: string;
+type FleetDemand = Readonly<{
+  version: string;
   atMicroseconds: number;
   wanted: readonly Wanted[];
   byName: ReadonlyMap<string, Wanted>;
 }>;
-type Places = Readonly<{ of: readonly Wanted[]; places: ReadonlyMap<string, readonly string[]> }>;
+type Assignment = Readonly<{ of: readonly Wanted[]; places: ReadonlyMap<string, readonly string[]> }>;
 
-const nobody: Agreed = { mark: '', atMicroseconds: -Infinity, wanted: [], byName: new Map() };
+const noDemand: FleetDemand = { version: '', atMicroseconds: -Infinity, wanted: [], byName: new Map() };
 
-/** Starting value, ours: so long what was worked out stands, and what is told to the agent. Why: news of it comes all the time. */
-const standsMicroseconds = 1_000_000;
+/** Shortest time between two rankings, and between two publications: gossip about demand arrives continuously. */
+const refreshMicroseconds = 1_000_000;
 
-/** Starting values, ours: pairs of a prefix and an engine that are weighed, and prefixes that get places at the least. */
-const mostWeighed = 16_384;
-const leastAssigned = 16;
-const mostAssignments = 8;
+/** Most pairs of a prefix and an engine that are weighed, and the least number of prefixes that are assignments engines. */
+const maxWeighedPairs = 16_384;
+const minAssignedPrefixes = 16;
+/** Most sets of engines whose assignments are cached. */
+const maxCachedAssignments = 8;
 
-/** Which prefixes are most in demand: counted here, told to the fleet, and agreed on from what all have told. */
+/**
+ * Which prefixes are most in demand: each proxy counts its own requests and publishes the counts, and ranks the prefixes by the
+ * counts of the whole fleet.
+ */
 export class DemandView {
   private readonly counts: HeavyHitters;
-  private agreed: Agreed = nobody;
-  private readonly assigned = new Map<string, Places>();
+  private fleetDemand: FleetDemand = noDemand;
+  private readonly assignments = new Map<string, Assignment>();
   private readonly weights = new Map<string, Map<string, number>>();
-  private toldMicroseconds = -Infinity;
+  private publishedMicroseconds = -Infinity;
 
   public constructor(
     private readonly facts: FactBook,
@@ -71,17 +77,17 @@
     this.counts = new HeavyHitters(settings.counters, settings.halfLifeMicroseconds);
   }
 
-  /** An order was taken that shares this prefix with others. */
+  /** Counts an accepted request that shares this prefix with others. */
   public saw(prefix: string): void {
     if (this.settings.isOn && prefix !== '') this.counts.saw(prefix, this.clock.nowMicroseconds());
   }
 
-  /** What is said of it to the fleet; nothing shortly after the last time. */
+  /** The counts to publish to the fleet; none if the last ones are less than a second old. */
   public telling(): Readonly<{ demand?: Omit<DemandFact, 'agent'> }> {
     if (!this.settings.isOn) return {};
     const now = this.clock.nowMicroseconds();
-    if (now - this.toldMicroseconds < standsMicroseconds) return {};
-    this.toldMicroseconds = now;
+    if (now - this.publishedMicroseconds < refreshMicroseconds) return {};
+    this.publishedMicroseconds = now;
     const prefixes = this.counts
       .top(DemandLimits.perFact, now)
       .map(({ name, count }) => [name, Math.round(count)] as const)
@@ -89,21 +95,21 @@
     return { demand: { total: Math.round(this.counts.total(now)), prefixes } };
   }
 
-  /** The most wanted first; the same wherever the same was told. */
+  /** The prefixes by falling demand; the same ranking at every proxy that has received the same counts. */
   public wanted(): readonly Wanted[] {
-    return this.now().wanted;
+    return this.current().wanted;
   }
 
   public isWanted(prefix: string): boolean {
-    return (this.now().byName.get(prefix)?.count ?? 0) >= this.settings.leastCount;
+    return (this.current().byName.get(prefix)?.count ?? 0) >= this.settings.leastCount;
   }
 
-  /** Those of the engines that the prefix's copies belong on, the first one first. */
+  /** Those of the engines that should keep a copy of the prefix, the preferred one first. */
   public places(prefix: string, engines: readonly string[]): readonly string[] {
-    const { wanted, byName } = this.now();
+    const { wanted, byName } = this.current();
     if (!byName.has(prefix)) return CopyPlaces.usual(prefix, engines);
     const names = engines.join(' ');
-    const known = this.assigned.get(names);
+    const known = this.assignments.get(names);
     const places = known?.of === wanted ? known.places : this.assign(wanted, engines, names);
     return places.get(prefix) ?? CopyPlaces.usual(prefix, engines);
   }
@@ -113,48 +119,55 @@
     engines: readonly string[],
     names: string,
   ): ReadonlyMap<string, readonly string[]> {
-    // Why bounded: each of them is weighed against each engine, and in a large pool the first few are most of the demand.
-    const first = wanted.slice(0, Math.max(leastAssigned, Math.floor(mostWeighed / engines.length)));
-    // Why sorted: lists that come in another order must lead to the same places.
-    const places = CopyPlaces.assign(first, [...engines].sort(), this.settings, (prefix, engine) =>
+    // The number is bounded because each prefix is weighed against each engine, and in a large pool the first few prefixes make
+    // up most of the demand.
+    const topPrefixes = wanted.slice(0, Math.max(minAssignedPrefixes, Math.floor(maxWeighedPairs / engines.length)));
+    // The engines are sorted so that the same engines in another order lead to the same places.
+    const places = CopyPlaces.assign(topPrefixes, [...engines].sort(), this.settings, (prefix, engine) =>
       this.weight(prefix, engine, engines.length),
     );
-    // Why several: which engines are kept for short orders changes to and fro.
-    this.assigned.delete(names);
-    this.assigned.set(names, { of: wanted, places });
-    const [oldest] = this.assigned.keys();
-    if (this.assigned.size > mostAssignments && oldest !== undefined) this.assigned.delete(oldest);
+    // Several assignments are cached because the set of engines reserved for short requests changes back and forth.
+    this.assignments.delete(names);
+    this.assignments.set(names, { of: wanted, places });
+    const [oldest] = this.assignments.keys();
+    if (this.assignments.size > maxCachedAssignments && oldest !== undefined) this.assignments.delete(oldest);
     return places;
   }
 
-  /** Why kept: places are worked out anew with every change of the demand or of the engines, and weights stay what they are. */
+  /** Weights are cached because they are constant, while places are computed again on every change of the demand or the engines. */
   private weight(prefix: string, engine: string, engines: number): number {
     const before = this.weights.get(prefix);
-    // Why anew at last: names of engines that are gone would stay for ever.
-    const known = before === undefined || before.size > 2 * engines ? new Map<string, number>() : before;
-    const weight = known.get(engine) ?? Rendezvous.weight(prefix, engine);
-    known.set(engine, weight);
-    // Why deleted first: the map is in the order of the last use, and the oldest give way.
+    // An oversized map is dropped, since it would keep the names of removed engines forever.
+    const byEngine = before === undefined || before.size > 2 * engines ? new Map<string, number>() : before;
+    const weight = byEngine.get(engine) ?? Rendezvous.weight(prefix, engine);
+    byEngine.set(engine, weight);
+    // Deleting first keeps the map in the order of the last use, so that the least recently used entry is evicted.
     this.weights.delete(prefix);
-    this.weights.set(prefix, known);
+    this.weights.set(prefix, byEngine);
     const [oldest] = this.weights.keys();
     if (this.weights.size > 2 * DemandLimits.ranked && oldest !== undefined) this.weights.delete(oldest);
     return weight;
   }
 
-  private now(): Agreed {
-    if (!this.settings.isOn) return nobody;
-    const mark = `${this.facts.changesOf('demand')}/${this.facts.changesOf('member')}`;
+  private current(): FleetDemand {
+    if (!this.settings.isOn) return noDemand;
+    const version = `${this.facts.changesOf('demand')}/${this.facts.changesOf('member')}`;
     const now = this.clock.nowMicroseconds();
-    if (this.agreed.mark === mark || now - this.agreed.atMicroseconds < standsMicroseconds) return this.agreed;
-    const said = this.facts.withPrefix('demand/').flatMap(({ value }) => {
+    if (this.fleetDemand.version === version || now - this.fleetDemand.atMicroseconds < refreshMicroseconds)
+      return this.fleetDemand;
+    const published = this.facts.withPrefix('demand/').flatMap(({ value }) => {
       if (!PrefixDemand.isFact(value)) return [];
       const member = this.facts.value<MemberFact>(FactKeys.member(value.agent));
-      // Why only of those that are there: what others were asked for is asked elsewhere by now, and counted there.
+      // Only the counts of present members are used: the requests of an absent one go to other proxies by now, and are counted there.
       return member !== undefined && MemberStates.isPresent(member) ? [value] : [];
     });
-    const wanted = PrefixDemand.ranked(said);
-    this.agreed = { mark, atMicroseconds: now, wanted, byName: new Map(wanted.map((item) => [item.name, item])) };
-    return this.agreed;
+    const wanted = PrefixDemand.ranked(published);
+    this.fleetDemand = {
+      version,
+      atMicroseconds: now,
+      wanted,
+      byName: new Map(wanted.map((item) => [item.name, item])),
+    };
+    return this.fleetDemand;
   }
 }
--- a/source/edge-proxy/edgeProxy.ts
+++ b/source/edge-proxy/edgeProxy.ts
@@ -58,16 +58,16 @@
 
 export type ProxySettings = Readonly<{
   name: string;
-  /** Where the agent of this machine listens, if there is one; other agents are found through the seeds and the news. */
+  /** Address of the agent on this machine, if there is one; other agents are found through the seeds and gossip. */
   agentAddress: string;
-  /** First contacts for a proxy that no agent feeds. */
+  /** Addresses that a proxy asks while no agent answers it. */
   seeds: readonly string[];
-  /** No address here ever belongs to another fleet, so one seed that answers is enough to find the fleet. */
+  /** No address in this network ever belongs to another fleet, so the answer of one seed is enough to find the fleet. */
   isOnlyFleet: boolean;
-  /** `listed`: something outside the fleet keeps the list of engines, and its age makes nobody refuse. */
+  /** `listed`: a system outside the fleet maintains the list of engines, and no request is refused because of its age. */
   engineList?: 'kept' | 'listed';
   freshMicroseconds: number;
-  /** Beyond this age of the blueprint no order is refused for a key or path that it does not name. */
+  /** If the blueprint is older than this, no request is refused for a key or path that it does not contain. */
   denialMicroseconds: number;
   feedMicroseconds: number;
   feedAskMicroseconds: number;
@@ -86,45 +86,48 @@
   mostSends: number;
   retryAfterSeconds: number;
   zone: string;
-  /** When an order that engines had no room for should be asked again. */
+  /** Retry-after time of a request that was refused because the engines are full. */
   busySeconds: number;
-  /** Whether a send that never reached its engine counts as none. */
+  /** Whether a send that never reached its engine is not counted as a send. */
   unsentIsFree: boolean;
-  /** Whether answers still running on weights whose time is over are cut. */
+  /** Whether responses that still run on expired weights are cut off. */
   cutsOldWeights: boolean;
-  /** An engine its steward has not seen for so long may be frozen, and what waits there under a setup that is gone is cut. */
+  /**
+   * An engine that its engine controller has not reached for so long may be frozen, and requests that wait there under an outdated
+   * configuration are cut off.
+   */
   silentMicroseconds: number;
-  /** After so long from being named no order goes to an engine on the weights before. */
+  /** Time after the naming of new weights from which no request is sent to an engine with the previous ones. */
   weightsCutMicroseconds: number;
-  /** Places of an engine that are given away, its own waiting ones included, in per mille of its places. */
+  /** Requests admitted to an engine, including those in its own queue, in per mille of its capacity. */
   roomPerMille: number;
   workPlacement: WorkPlacementSettings;
   lanes: LaneSettings;
-  /** How long an order waits for the desk's word before its proxy places it alone. */
+  /** How long a request waits for the answer of the scheduler before its proxy places it alone. */
   deskMicroseconds: number;
   moves: MoveSettings;
-  /** When an engine is left out because its answers fail. */
+  /** When an engine is ejected because its responses fail. */
   outliers: OutlierSettings;
-  /** How long a part that was read counts as kept before the holder's events say so. */
+  /** How long a prefilled part counts as cached before the events of its holder confirm it. */
   latelyMicroseconds: number;
-  /** How the fleet agrees which prefixes are most in demand, and what it does about them. */
+  /** How the demand for shared prefixes is counted, published and used. */
   demand: DemandSettings;
 }>;
 
-/** Starting value, ours: when what the feeding agent knows of the core is older than this, another is asked beside it. */
+/** If the knowledge of the selected agent about the control state is older than this, another agent is asked as well. */
 const staleMicroseconds = 1_200_000;
 
-/** Kinds of facts that a proxy has no use for: of other proxies' loads it is told the sums. */
+/** Kinds of facts that a proxy does not need: it receives the loads of other proxies as sums. */
 const omittedKinds = ['load', 'steward'] as const;
 
-/** An answer of an agent is taken up to so many times the limit after which the agent counts as silent. */
-const lateFeedFactor = 3;
+/** An answer of an agent is still accepted up to this multiple of the limit after which the agent counts as silent. */
+const lateAnswerFactor = 3;
 
-/** After a slow round the next one begins as much later as the round took, up to this. */
-const mostBusyPauseMicroseconds = 400_000;
+/** After a slow round the next one starts later by the duration of that round, up to this limit. */
+const maxBusyPauseMicroseconds = 400_000;
 
-/** Starting value, ours: how much longer it may take until a proxy of a large fleet is fed again. */
-const mostFeedPause = 3;
+/** Largest factor by which the interval between two rounds grows in a large fleet. */
+const maxIntervalFactor = 3;
 
 export const ProxyDefaults = {
   seeds: [],
@@ -164,10 +167,10 @@
 } as const;
 
 /**
- * What may change while a proxy runs: what those who deploy the fleet promise. Why no more: addresses, names and places
- * are what others know this proxy by, and the rest is counted on from the start.
+ * Settings that may change while a proxy runs: those that follow from the bounds that operators promise. Others may not, because
+ * addresses, names and zones are what other processes know this proxy by, and the rest is read only at the start.
  */
-const changeable = [
+const reloadable = [
   'freshMicroseconds',
   'denialMicroseconds',
   'weightsCutMicroseconds',
@@ -177,10 +180,10 @@
   'seeds',
 ] as const satisfies readonly (keyof ProxySettings)[];
 
-/** The protocols that a proxy speaks; its own where nothing is said. */
+/** The protocols of a proxy; the native ones by default. */
 export type ProxyWords = Readonly<{ backEnds: BackEndWords; dialect: Dialect }>;
 
-/** The callers' path: takes orders while it knows its setup to be current, places them, and sends each at most once. */
+/** The data plane: accepts requests while its configuration is known to be current, places them, and sends each at most once. */
 export class EdgeProxy {
   public readonly freshness: Freshness;
   public readonly metrics = new Metrics();
@@ -211,9 +214,9 @@
   private readonly log: Log;
   private readonly notice = Logs.part('proxy:notice');
   private readonly notes: NotePost;
-  private feedTookMicroseconds = 0;
-  /** Agents whose answers are awaited. */
-  private readonly openFeeds = new Set<string>();
+  private updateTookMicroseconds = 0;
+  /** Addresses of the agents whose answers are awaited. */
+  private readonly pendingAgents = new Set<string>();
 
   public constructor(
     effects: Effects,
@@ -248,7 +251,7 @@
     );
     this.demand = new DemandView(this.facts, clock, settings.demand);
     const readSpeeds = new ReadSpeeds();
-    // Why a start of a thousand: these are ratios of what a move takes to what it should, in thousandths.
+    // The initial value is 1000 because these are ratios of the measured import time to the expected one, in per mille.
     const moves = new PartMoves(this.view, new LinkSpeeds(1000, 4096), settings.moves);
     this.readSpeeds = readSpeeds;
     this.lanes = new Lanes(clock, settings.lanes);
@@ -365,12 +368,12 @@
       this.log,
       (start) => (traceLog === undefined ? undefined : new OrderTrace(clock, traceLog, start)),
     );
-    const failed = (error: unknown): void => this.log(`A step failed: ${Logs.text(error)}.`);
+    const failed = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
     this.tickers = [
       new Ticker(
         clock,
-        () => this.standstills.planned(this.feedPause()),
-        () => this.feed(),
+        () => this.standstills.planned(this.updateInterval()),
+        () => this.update(),
         failed,
       ),
       new Ticker(
@@ -401,7 +404,7 @@
     return this.fence.fresh();
   }
 
-  /** Whether it can be of use to callers: it knows its setup, and an engine for each service that has mappings. */
+  /** Whether the proxy can serve clients: its configuration is current, and each service with mappings has a usable engine. */
   public ready(): boolean {
     const blueprint = this.freshness.blueprint;
     if (blueprint === undefined || !this.fence.fresh()) return false;
@@ -409,17 +412,17 @@
     return [...services].some((service) => this.view.candidates(service).length > 0);
   }
 
-  /** The most daemons known to share the fleet with this one, itself included. */
+  /** The largest number of daemons known to have belonged to the fleet recently, this one included. */
   public daemons(): number {
     return this.view.others.everSeen();
   }
 
-  /** Entries of the index of kept prompts that are known here. */
+  /** Number of known entries of the cache directory. */
   public indexSize(): number {
     return this.shards.size;
   }
 
-  /** What should be nothing once all orders are over. */
+  /** Counters that must be zero once all requests have ended. */
   public remains(): Readonly<Record<string, number>> {
     return {
       'running sends': this.sends.count,
@@ -439,9 +442,9 @@
     this.notes.stop();
   }
 
-  /** Changed settings: what may change while it runs is in force from now on, the rest after a restart. */
-  public settingsAre(given: ProxySettings): void {
-    const change = SettingsChanges.of(this.settings, given, changeable);
+  /** Applies changed settings: those that may change at runtime take effect at once, the rest after a restart. */
+  public settingsAre(changed: ProxySettings): void {
+    const change = SettingsChanges.of(this.settings, changed, reloadable);
     this.settings = change.settings;
     this.fence.boundsAre(
       this.settings.freshMicroseconds,
@@ -471,10 +474,10 @@
   }
 
   /**
-   * News is taken in as it comes, from the agent that feeds this proxy. While that one is silent another is asked, under
-   * the same rule: what it says has an age, and the fence is no wider. So the order of stops on a machine does not matter.
+   * Runs one round of gossip with the selected agent. While that one does not answer, another is asked under the same rules: its
+   * information has an age, and the staleness guard has the same limits. So an agent and its proxy may be stopped in any order.
    */
-  private async feed(): Promise<void> {
+  private async update(): Promise<void> {
     this.standstills.began();
     this.own.sayLoad({
       engines: this.view.loads(),
@@ -484,16 +487,16 @@
       ...this.view.outliers.telling(),
     });
     this.own.sayDemand(this.demand.telling().demand);
-    const said = { proxy: this.settings.name, facts: this.own.own(), omits: omittedKinds };
+    const subscription = { proxy: this.settings.name, facts: this.own.own(), omits: omittedKinds };
     const isStale = this.freshness.ageMicroseconds() > staleMicroseconds;
     const seed = this.feeders.isLost ? this.seedContacts.next() : undefined;
     const asked = this.effects.clock.nowMicroseconds();
     await Promise.all([
-      ...this.feeders.targets(isStale).map((address) => this.feedFrom(address, said)),
-      ...(seed === undefined ? [] : [this.meet(seed)]),
+      ...this.feeders.targets(isStale).map((address) => this.updateFrom(address, subscription)),
+      ...(seed === undefined ? [] : [this.askSeed(seed)]),
     ]);
     const applied = this.freshness.revision('blueprint');
-    this.feedTookMicroseconds = this.effects.clock.nowMicroseconds() - asked;
+    this.updateTookMicroseconds = this.effects.clock.nowMicroseconds() - asked;
     this.feedWatch.looked(this.freshness.ageMicroseconds(), applied);
     this.feedWatch.applies(applied, this.freshness.wanted().find(({ key }) => key === 'blueprint')?.revision);
     const listed = this.freshness.engines?.engines;
@@ -511,51 +514,51 @@
   }
 
   /**
-   * Why longer in a large fleet: each look takes in what all others said since, a proxy has a smaller part of the work
-   * there, and what it is told of others has been on its way for longer than this.
+   * The interval between two rounds. It is longer in a large fleet because each round receives what all others published since, a
+   * proxy has a smaller share of the requests there, and information about other proxies takes longer than this to arrive anyway.
    */
-  private feedPause(): number {
-    const usual = this.settings.feedMicroseconds * FleetPace.of(this.view.proxies(), mostFeedPause);
-    return Math.max(usual, Math.min(this.feedTookMicroseconds, mostBusyPauseMicroseconds));
+  private updateInterval(): number {
+    const usual = this.settings.feedMicroseconds * FleetPace.of(this.view.proxies(), maxIntervalFactor);
+    return Math.max(usual, Math.min(this.updateTookMicroseconds, maxBusyPauseMicroseconds));
   }
 
-  private async feedFrom(address: string, extra: Readonly<Record<string, unknown>>): Promise<void> {
-    // An answer that is on its way says as much as one that would be asked for now, and comes sooner.
-    if (this.openFeeds.has(address)) return;
+  private async updateFrom(address: string, extra: Readonly<Record<string, unknown>>): Promise<void> {
+    // A pending answer is as good as the answer to a new request, and arrives sooner.
+    if (this.pendingAgents.has(address)) return;
     const { clock } = this.effects;
     const { feedAskMicroseconds } = this.settings;
     const asked = clock.nowMicroseconds();
-    let isHeard = false;
+    let isAnswered = false;
     const learn = (message: Message): void => {
-      isHeard = true;
+      isAnswered = true;
       this.feedWatch.asked(address, true, clock.nowMicroseconds() - asked);
       this.feeders.heard(address);
       this.learn(address, message, asked);
     };
-    const said = { ...extra, loads: this.receivedLoads.position(address) };
-    this.openFeeds.add(address);
-    // Why following: a proxy has no news of its own but its load, and asks many times a second.
+    const request = { ...extra, loads: this.receivedLoads.position(address) };
+    this.pendingAgents.add(address);
+    // The proxy only follows the agent: its own facts are few, and it asks many times a second.
     const exchanged = this.exchange
-      .ask(address, feedAskMicroseconds, said, learn, 'following', feedAskMicroseconds * lateFeedFactor)
+      .ask(address, feedAskMicroseconds, request, learn, 'following', feedAskMicroseconds * lateAnswerFactor)
       .catch((error: unknown) => this.log(`The answer of the agent at ${address} cannot be read: ${Logs.text(error)}.`))
-      .finally(() => this.openFeeds.delete(address));
+      .finally(() => this.pendingAgents.delete(address));
     await Promise.race([exchanged, Clocks.wait(clock, feedAskMicroseconds)]);
-    if (isHeard) return;
+    if (isAnswered) return;
     this.feedWatch.asked(address, false, clock.nowMicroseconds() - asked);
     this.feeders.unheard(address);
   }
 
   private learn(address: string, message: Message, askedMicroseconds: number): void {
     const fleet = String(message['fleet'] ?? '');
-    // Why from the own agent only: it stands on this machine, whatever became of other addresses.
+    // The fleet is learned only from the local agent: other addresses may belong to another fleet by now.
     if (address === this.settings.agentAddress) this.fleet.learn(fleet);
     if (fleet === '' || fleet !== this.fleet.name) return;
     const ownLoad = (version: FactVersion): LoadFact | undefined => this.own.loadSaidAs(version);
     this.receivedLoads.take(address, message['loads'], ownLoad, askedMicroseconds);
   }
 
-  /** A seed names the fleet, and agents that have asked it lately. */
-  private async meet(seed: string): Promise<void> {
+  /** Asks a seed, which answers with the name of the fleet and the agents that have contacted it recently. */
+  private async askSeed(seed: string): Promise<void> {
     const learn = (message: Message): void => this.seedContacts.heard(seed, String(message['fleet'] ?? ''));
     await this.exchange.ask(seed, this.settings.feedAskMicroseconds, {}, learn, 'following');
   }
@@ -574,9 +577,9 @@
   private budgetOf(service: string): RetryBudget {
     const known = this.budgets.get(service);
     if (known !== undefined) return known;
-    const made = new RetryBudget(this.effects.clock, () => this.view.others.everSeen(), this.budgetSettings());
-    this.budgets.set(service, made);
-    return made;
+    const created = new RetryBudget(this.effects.clock, () => this.view.others.everSeen(), this.budgetSettings());
+    this.budgets.set(service, created);
+    return created;
   }
 
   private budgetSettings(): BudgetSettings {
--- a/source/edge-proxy/feeding/feedWatch.ts
+++ b/source/edge-proxy/feeding/feedWatch.ts
@@ -1,24 +1,27 @@
-/** What operators must see of how a proxy learns its configuration: agents that do not answer, and knowledge that grows old. */
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { ReceivedDocument } from '../../shared/freshness/bodyParts';
 import { LimitedLogs } from '../../shared/log/limitedLog';
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 
-/** A configuration that was last confirmed so long ago is worth a sentence. */
+/** A configuration whose last confirmation is older than this is logged. */
 export const oldMicroseconds = 2_000_000;
 
-/** A newer configuration that is known for so long and not applied is worth a sentence. */
+/** A newer configuration that is known for longer than this without being applied is logged. */
 export const behindMicroseconds = 1_000_000;
 
 const milliseconds = (microseconds: number): number => Math.round(microseconds / 1000);
 
+/**
+ * Logs and counts for operators how a proxy receives its configuration: agents that do not answer, a configuration that is no
+ * longer confirmed, and one that is applied late.
+ */
 export class FeedWatch {
   private readonly answering = new Set<string>();
   private readonly notice: Log;
-  private oldestMicroseconds = 0;
-  /** Which configuration is applied while a newer one is known, since when, and whether that was told; undefined: none is. */
-  private behind: Readonly<{ applied: number; sinceMicroseconds: number; isTold: boolean }> | undefined;
+  private maxAgeMicroseconds = 0;
+  /** The revision applied while a newer one is known, since when, and whether that was logged; undefined: no newer one is known. */
+  private behind: Readonly<{ applied: number; sinceMicroseconds: number; isLogged: boolean }> | undefined;
 
   public constructor(
     private readonly clock: Clock,
@@ -28,7 +31,7 @@
     this.notice = LimitedLogs.of(log, clock);
   }
 
-  /** An agent answered, or did not within the limit, in microseconds. Silence is told of where it has answered before. */
+  /** An agent answered, or did not within the limit. A missing answer is logged only if the agent has answered before. */
   public asked(address: string, isAnswered: boolean, tookMicroseconds: number): void {
     this.metrics.count('postdrum_feed_asks_total', { outcome: isAnswered ? 'answered' : 'silent' });
     if (isAnswered) this.answering.add(address);
@@ -36,46 +39,47 @@
       this.notice(`The agent at ${address} did not answer within ${milliseconds(tookMicroseconds)} ms.`);
   }
 
-  /** Looked at after each round of asks: how long ago the applied configuration was confirmed; Infinity: there is none yet. */
+  /** Called after each round of requests with the time since the last confirmation of the configuration; Infinity: there is none. */
   public looked(ageMicroseconds: number, revision: number): void {
     if (!Number.isFinite(ageMicroseconds)) return;
-    const wasOld = this.oldestMicroseconds > 0;
+    const wasStale = this.maxAgeMicroseconds > 0;
     if (ageMicroseconds >= oldMicroseconds) {
-      if (!wasOld) this.notice(`Configuration ${revision} was last confirmed ${milliseconds(ageMicroseconds)} ms ago.`);
-      this.oldestMicroseconds = Math.max(this.oldestMicroseconds, ageMicroseconds);
-    } else if (wasOld) {
-      this.notice(`Configuration ${revision} is confirmed, after ${milliseconds(this.oldestMicroseconds)} ms without.`);
-      this.oldestMicroseconds = 0;
+      if (!wasStale)
+        this.notice(`Configuration ${revision} was last confirmed ${milliseconds(ageMicroseconds)} ms ago.`);
+      this.maxAgeMicroseconds = Math.max(this.maxAgeMicroseconds, ageMicroseconds);
+    } else if (wasStale) {
+      this.notice(`Configuration ${revision} is confirmed again, after ${milliseconds(this.maxAgeMicroseconds)} ms.`);
+      this.maxAgeMicroseconds = 0;
     }
   }
 
-  /** Looked at after each round of asks: the revision that is applied, and the one that is known to be newer, if any. */
+  /** Called after each round of requests with the applied revision and the newer one that is known, if any. */
   public applies(applied: number, newer: number | undefined): void {
     const now = this.clock.nowMicroseconds();
     const before = this.behind;
     if (before !== undefined && before.applied !== applied) {
-      if (before.isTold)
+      if (before.isLogged)
         this.notice(`Configuration ${applied} is applied, ${milliseconds(now - before.sinceMicroseconds)} ms late.`);
       this.behind = undefined;
     }
     if (newer === undefined) return;
-    const { sinceMicroseconds, isTold } = this.behind ?? { sinceMicroseconds: now, isTold: false };
+    const { sinceMicroseconds, isLogged } = this.behind ?? { sinceMicroseconds: now, isLogged: false };
     const isLate = now - sinceMicroseconds >= behindMicroseconds;
-    if (isLate && !isTold)
+    if (isLate && !isLogged)
       this.notice(
-        `Configuration ${newer} is known and has not come for ${milliseconds(now - sinceMicroseconds)} ms; ${applied} goes on.`,
+        `Configuration ${newer} is known but was not received for ${milliseconds(now - sinceMicroseconds)} ms; ${applied} stays in force.`,
       );
-    this.behind = { applied, sinceMicroseconds, isTold: isTold || isLate };
+    this.behind = { applied, sinceMicroseconds, isLogged: isLogged || isLate };
   }
 
-  /** A long document has come in parts. Told of where it took long. */
+  /** A long document was received in parts. Logged if that took long. */
   public received({ key, revision, parts, bytes, isWhole, tookMicroseconds, address }: ReceivedDocument): void {
     const form = isWhole ? 'whole' : 'delta';
     this.metrics.count('postdrum_documents_received_total', { key, form });
     this.metrics.count('postdrum_document_bytes_received_total', { key, form }, bytes);
     if (tookMicroseconds >= behindMicroseconds)
       this.notice(
-        `Document ${key} ${revision} came from ${address} in ${milliseconds(tookMicroseconds)} ms: ${parts} parts, ${bytes} bytes, ${form}.`,
+        `Document ${key} ${revision} was received from ${address} in ${milliseconds(tookMicroseconds)} ms: ${parts} parts, ${bytes} bytes, ${form}.`,
       );
   }
 }
--- a/source/edge-proxy/feeding/feeders.ts
+++ b/source/edge-proxy/feeding/feeders.ts
@@ -1,104 +1,107 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 
-/** An agent that may feed this proxy. */
+/** An agent that this proxy may subscribe to. */
 export type Feeder = Readonly<{ name: string; address: string; zone: string }>;
 
-type Silence = Readonly<{ failures: number; untilMicroseconds: number }>;
+type BackOff = Readonly<{ failures: number; untilMicroseconds: number }>;
 
-/** Starting values, ours: how long a silent agent is left alone, doubled with each time it is silent again. */
+/** How long an agent that did not answer is not asked again; doubled with each further failure. */
 const firstBackOffMicroseconds = 500_000;
 const mostBackOffMicroseconds = 8_000_000;
 
 /**
- * Which agent feeds this proxy: the one on its own machine where there is one, else one of its zone, else any. One that is
- * silent is left alone for a while, and the next in line is asked.
+ * Selects the agent that this proxy subscribes to: the one on its own machine if there is one, else one of its zone, else any.
+ * An agent that does not answer is skipped for a back-off time, and the next one is asked.
  */
 export class Feeders {
-  private readonly silences = new Map<string, Silence>();
-  private readonly own: Feeder;
-  private feeding: Feeder;
-  private line: Readonly<{ of: readonly Feeder[]; order: readonly Feeder[] }> = { of: [], order: [] };
-  private hasHeard = false;
+  private readonly backOffs = new Map<string, BackOff>();
+  private readonly local: Feeder;
+  private current: Feeder;
+  private cachedRanking: Readonly<{ of: readonly Feeder[]; order: readonly Feeder[] }> = { of: [], order: [] };
+  private hasAnswer = false;
 
   public constructor(
     self: Readonly<{ name: string; zone: string; agentAddress: string }>,
     private readonly clock: Clock,
-    /** Agents that seem to be there; the same list while none came or went. */
+    /** Agents that seem to be present; the same array as long as none joins or leaves. */
     private readonly known: () => readonly Feeder[],
   ) {
-    this.own = { name: self.name, zone: self.zone, address: self.agentAddress };
-    this.feeding = this.own;
-    this.line = { of: [], order: [this.own] };
+    this.local = { name: self.name, zone: self.zone, address: self.agentAddress };
+    this.current = this.local;
+    this.cachedRanking = { of: [], order: [this.local] };
   }
 
-  /** Whom notes and grants go through: the agent that answered last. */
+  /** Address of the agent that answered last; directory notes and grant requests are sent to it. */
   public get address(): string {
-    return this.feeding.address;
+    return this.current.address;
   }
 
   /** Name of that agent. */
   public get agent(): string {
-    return this.feeding.name;
+    return this.current.name;
   }
 
-  /** Nobody known feeds it, so that a first contact is needed. */
+  /** Whether no known agent answers, so that a seed must be asked. */
   public get isLost(): boolean {
-    return !this.hasHeard || this.order().every(({ address }) => this.isSilent(address));
+    return !this.hasAnswer || this.ranked().every(({ address }) => this.isBackedOff(address));
   }
 
   public heard(address: string): void {
-    const feeder = this.order().find((one) => one.address === address);
+    const feeder = this.ranked().find((one) => one.address === address);
     if (feeder === undefined) return;
-    this.silences.delete(address);
-    this.hasHeard = true;
-    // Why not a later one while an earlier one answers too: notes and loads go one way.
-    const order = this.order();
-    const isBehind = order.indexOf(this.feeding) >= 0 && order.indexOf(this.feeding) < order.indexOf(feeder);
-    if (!isBehind || this.silences.has(this.feeding.address)) this.feeding = feeder;
+    this.backOffs.delete(address);
+    this.hasAnswer = true;
+    // A lower-ranked agent does not replace a higher-ranked one that answers too, so that notes and loads take one path.
+    const order = this.ranked();
+    const isLowerRanked = order.indexOf(this.current) >= 0 && order.indexOf(this.current) < order.indexOf(feeder);
+    if (!isLowerRanked || this.backOffs.has(this.current.address)) this.current = feeder;
   }
 
   public unheard(address: string): void {
-    const failures = (this.silences.get(address)?.failures ?? 0) + 1;
+    const failures = (this.backOffs.get(address)?.failures ?? 0) + 1;
     const backOff = Math.min(mostBackOffMicroseconds, firstBackOffMicroseconds * 2 ** (failures - 1));
-    this.silences.set(address, { failures, untilMicroseconds: this.clock.nowMicroseconds() + backOff });
+    this.backOffs.set(address, { failures, untilMicroseconds: this.clock.nowMicroseconds() + backOff });
   }
 
   /**
-   * The agents to ask now, the best first: one, and beside it the one that answered last, so that trying another leaves no
-   * gap; a further one where what the first knows has grown old.
+   * The agents to ask now, the best first: the best one, the one that answered last, so that trying another agent leaves no gap,
+   * and a further one if the knowledge of the first is stale.
    */
   public targets(isStale: boolean): readonly string[] {
-    const order = this.order();
-    const able = order.filter(({ address }) => !this.isSilent(address));
-    const first = able[0] ?? this.soonest(order);
-    const last = able.find(({ address }) => address === this.feeding.address);
-    const further = isStale ? able[1] : undefined;
+    const order = this.ranked();
+    const available = order.filter(({ address }) => !this.isBackedOff(address));
+    const first = available[0] ?? this.earliestRetry(order);
+    const last = available.find(({ address }) => address === this.current.address);
+    const further = isStale ? available[1] : undefined;
     return [...new Set([first, last, further].flatMap((feeder) => feeder?.address ?? []))];
   }
 
-  private isSilent(address: string): boolean {
-    const silence = this.silences.get(address);
-    return silence !== undefined && this.clock.nowMicroseconds() < silence.untilMicroseconds;
+  private isBackedOff(address: string): boolean {
+    const backOff = this.backOffs.get(address);
+    return backOff !== undefined && this.clock.nowMicroseconds() < backOff.untilMicroseconds;
   }
 
-  private soonest(order: readonly Feeder[]): Feeder | undefined {
-    const until = ({ address }: Feeder): number => this.silences.get(address)?.untilMicroseconds ?? 0;
+  private earliestRetry(order: readonly Feeder[]): Feeder | undefined {
+    const until = ({ address }: Feeder): number => this.backOffs.get(address)?.untilMicroseconds ?? 0;
     return [...order].sort((left, right) => until(left) - until(right))[0];
   }
 
-  /** Why by rendezvous: the proxies of a zone spread over its agents, and those of a silent one over the others. */
-  private order(): readonly Feeder[] {
+  /**
+   * Ranked by rendezvous hashing: the proxies of a zone spread over its agents, and those of an agent that does not answer spread
+   * over the others.
+   */
+  private ranked(): readonly Feeder[] {
     const known = this.known();
-    if (this.line.of === known) return this.line.order;
-    const others = new Map(known.filter(({ address }) => address !== this.own.address).map((one) => [one.name, one]));
-    const ranked = Rendezvous.order(`feeder/${this.own.name}`, [...others.keys()]);
+    if (this.cachedRanking.of === known) return this.cachedRanking.order;
+    const others = new Map(known.filter(({ address }) => address !== this.local.address).map((one) => [one.name, one]));
+    const ranked = Rendezvous.order(`feeder/${this.local.name}`, [...others.keys()]);
     const feeders = ranked.flatMap((name) => others.get(name) ?? []);
-    const near = feeders.filter(({ zone }) => zone === this.own.zone);
-    const far = feeders.filter(({ zone }) => zone !== this.own.zone);
-    this.line = { of: known, order: [this.own, ...near, ...far] };
-    for (const address of this.silences.keys())
-      if (!this.line.order.some((one) => one.address === address)) this.silences.delete(address);
-    return this.line.order;
+    const sameZone = feeders.filter(({ zone }) => zone === this.local.zone);
+    const otherZones = feeders.filter(({ zone }) => zone !== this.local.zone);
+    this.cachedRanking = { of: known, order: [this.local, ...sameZone, ...otherZones] };
+    for (const address of this.backOffs.keys())
+      if (!this.cachedRanking.order.some((one) => one.address === address)) this.backOffs.delete(address);
+    return this.cachedRanking.order;
   }
 }
--- a/source/edge-proxy/feeding/notePost.ts
+++ b/source/edge-proxy/feeding/notePost.ts
@@ -2,23 +2,23 @@
 import type { Cancel, Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
 
-/** Starting values, ours: how often a note of the directory is passed on, and how many may wait. */
-const noteTries = 20;
-const mostNotes = 4096;
+/** How often a directory note is sent at most, and how many notes may wait. */
+const maxAttempts = 20;
+const maxPendingNotes = 4096;
 
 export type NotePostSettings = Readonly<{
-  /** How long notes are gathered, from the first one on. */
+  /** How long notes are batched, starting with the first one. */
   notesMicroseconds: number;
   feedAskMicroseconds: number;
 }>;
 
 /**
- * Passes notes of the directory to an agent, gathered for a moment. Notes that reached nobody are passed again, a bounded
- * number of times: they say nothing new when heard twice. Where nothing is noted nothing wakes up.
+ * Sends directory notes to an agent in batches. Notes that were not delivered are retried a bounded number of times, which is
+ * safe because they are idempotent. No timer runs while no note waits.
  */
 export class NotePost {
-  private notes: readonly Readonly<{ note: DirectoryNote; tries: number }>[] = [];
-  private state: 'resting' | 'gathering' | 'passing' | 'stopped' = 'resting';
+  private notes: readonly Readonly<{ note: DirectoryNote; attempts: number }>[] = [];
+  private state: 'idle' | 'batching' | 'sending' | 'stopped' = 'idle';
   private cancel: Cancel = () => undefined;
 
   public constructor(
@@ -34,8 +34,8 @@
 
   public tell(notes: readonly DirectoryNote[]): void {
     if (notes.length === 0) return;
-    this.notes = [...this.notes, ...notes.map((note) => ({ note, tries: 1 }))].slice(-mostNotes);
-    this.gather();
+    this.notes = [...this.notes, ...notes.map((note) => ({ note, attempts: 1 }))].slice(-maxPendingNotes);
+    this.scheduleBatch();
   }
 
   public stop(): void {
@@ -43,25 +43,27 @@
     this.cancel();
   }
 
-  private gather(): void {
-    if (this.state !== 'resting') return;
-    this.state = 'gathering';
-    this.cancel = this.clock.after(this.settings.notesMicroseconds, () => void this.pass());
+  private scheduleBatch(): void {
+    if (this.state !== 'idle') return;
+    this.state = 'batching';
+    this.cancel = this.clock.after(this.settings.notesMicroseconds, () => void this.sendBatch());
   }
 
-  private async pass(): Promise<void> {
-    this.state = 'passing';
-    const passed = this.notes;
+  private async sendBatch(): Promise<void> {
+    this.state = 'sending';
+    const sent = this.notes;
     this.notes = [];
-    const message = { kind: 'notes', notes: passed.map(({ note }) => note) };
+    const message = { kind: 'notes', notes: sent.map(({ note }) => note) };
     const answer = await this.transport.ask(this.address(), message, this.settings.feedAskMicroseconds);
-    const heard = answer.kind === 'answered' && answer.message.kind === 'heard';
-    const missed = heard && Array.isArray(answer.message['missed']) ? (answer.message['missed'] as unknown[]) : [];
-    const again = heard ? passed.filter((_, index) => missed.includes(index)) : passed;
-    const kept = again.filter(({ tries }) => tries < noteTries).map(({ note, tries }) => ({ note, tries: tries + 1 }));
-    this.notes = [...kept, ...this.notes].slice(-mostNotes);
-    if (this.state !== 'passing') return;
-    this.state = 'resting';
-    if (this.notes.length > 0) this.gather();
+    const isHeard = answer.kind === 'answered' && answer.message.kind === 'heard';
+    const missed = isHeard && Array.isArray(answer.message['missed']) ? (answer.message['missed'] as unknown[]) : [];
+    const undelivered = isHeard ? sent.filter((_, index) => missed.includes(index)) : sent;
+    const retried = undelivered
+      .filter(({ attempts }) => attempts < maxAttempts)
+      .map(({ note, attempts }) => ({ note, attempts: attempts + 1 }));
+    this.notes = [...retried, ...this.notes].slice(-maxPendingNotes);
+    if (this.state !== 'sending') return;
+    this.state = 'idle';
+    if (this.notes.length > 0) this.scheduleBatch();
   }
 }
--- a/source/edge-proxy/feeding/proxyFacts.ts
+++ b/source/edge-proxy/feeding/proxyFacts.ts
@@ -6,71 +6,72 @@
 
 export type ProxyLoad = Omit<LoadFact, 'agent' | 'isSilent'>;
 
-/** Starting values, ours: up to so many proxies each says its load at once; how much longer one stands with each as many more. */
-const promptProxies = 16;
-const pauseMicroseconds = 120_000;
+/** Up to this many proxies publish each change of load at once; the shortest interval grows by this much with each as many more. */
+const smallFleetProxies = 16;
+const intervalStepMicroseconds = 120_000;
 
-/** Own loads that are remembered, since an agent may have counted the one before the last. */
-const mostKeptLoads = 6;
+/** Number of this proxy's published loads that are remembered, since an agent may have counted an earlier one than the last. */
+const maxRememberedLoads = 6;
 
-type SaidLoad = Readonly<{ version: FactVersion; load: LoadFact }>;
+type PublishedLoad = Readonly<{ version: FactVersion; load: LoadFact }>;
 
 /**
- * What a proxy says of itself to the fleet, through whichever agent feeds it. The proxy is the only author of these facts but
- * for agents that call it silent: a higher incarnation refutes them, and what an earlier life of it said.
+ * Publishes the facts of a proxy about itself through the agent that it subscribes to. The proxy is the only author of these
+ * facts, except that agents may report it as silent: a higher incarnation refutes such reports and the facts of an earlier
+ * process of the same proxy.
  */
 export class ProxyFacts {
   private incarnation = 1;
   private sequence = 0;
-  private saidMicroseconds = -Infinity;
-  private said = '';
-  private keptLoads: readonly SaidLoad[] = [];
-  private readonly demand: DemandTeller;
+  private publishedMicroseconds = -Infinity;
+  private publishedText = '';
+  private rememberedLoads: readonly PublishedLoad[] = [];
+  private readonly demandPublisher: DemandTeller;
 
   public constructor(
     private readonly name: string,
     private readonly facts: FactBook,
     private readonly clock: Clock,
-    /** Proxies that seem to be there. */
+    /** Number of proxies that seem to be present. */
     private readonly proxies: () => number,
-    /** Name of the agent through which it is said. */
+    /** Name of the agent through which facts are published. */
     private readonly agent: () => string,
   ) {
-    this.demand = new DemandTeller(name, facts, clock, () => this.incarnation, proxies, agent);
+    this.demandPublisher = new DemandTeller(name, facts, clock, () => this.incarnation, proxies, agent);
   }
 
-  /** Says what runs here now. A load that is as it was, or that comes too soon after the last one, is not said. */
-  public sayLoad(given: ProxyLoad): void {
-    const isRefuted = this.defend();
-    const load: LoadFact = { agent: this.agent(), ...given };
+  /** Publishes the present load, unless it is unchanged or comes too soon after the last one. */
+  public sayLoad(proxyLoad: ProxyLoad): void {
+    const isRefuted = this.refute();
+    const load: LoadFact = { agent: this.agent(), ...proxyLoad };
     const text = JSON.stringify(load);
     const now = this.clock.nowMicroseconds();
-    if (!isRefuted && (now - this.saidMicroseconds < this.pause() || text === this.said)) return;
-    this.saidMicroseconds = now;
-    this.said = text;
+    if (!isRefuted && (now - this.publishedMicroseconds < this.interval() || text === this.publishedText)) return;
+    this.publishedMicroseconds = now;
+    this.publishedText = text;
     this.sequence += 1;
     const version: FactVersion = [this.incarnation, this.sequence];
     this.facts.put({ key: FactKeys.load(this.name), version, value: load });
-    this.keptLoads = [...this.keptLoads, { version, load }].slice(-mostKeptLoads);
+    this.rememberedLoads = [...this.rememberedLoads, { version, load }].slice(-maxRememberedLoads);
   }
 
-  /** The load that was said under a version; undefined: none, or too long ago. */
+  /** The load published under a version; undefined: none, or it is no longer remembered. */
   public loadSaidAs(version: FactVersion): LoadFact | undefined {
-    return this.keptLoads.find((said) => FactVersions.compare(said.version, version) === 0)?.load;
+    return this.rememberedLoads.find((published) => FactVersions.compare(published.version, version) === 0)?.load;
   }
 
-  /** Says what is asked for most here, if it is time to. */
+  /** Publishes the prefixes most requested at this proxy, if the interval since the last publication has passed. */
   public sayDemand(counted: Omit<DemandFact, 'agent'> | undefined): void {
-    if (counted !== undefined) this.demand.hear(counted);
+    if (counted !== undefined) this.demandPublisher.hear(counted);
   }
 
-  /** What an agent is to know of this proxy. */
+  /** The facts of this proxy that are sent to its agent. */
   public own(): readonly Fact[] {
     return [FactKeys.load(this.name), FactKeys.demand(this.name)].flatMap((key) => this.facts.get(key) ?? []);
   }
 
-  /** Whether somebody else has said something of this proxy under a later version; then its incarnation rises above it. */
-  private defend(): boolean {
+  /** Whether another author has published a fact of this proxy under a later version; if so, raises the incarnation above it. */
+  private refute(): boolean {
     const loads = this.facts.get(FactKeys.load(this.name))?.version ?? [0, 0];
     const demands = this.facts.get(FactKeys.demand(this.name))?.version ?? [0, 0];
     const isForeign = loads[0] > this.incarnation || loads[1] > this.sequence || demands[0] > this.incarnation;
@@ -78,8 +79,8 @@
     return isForeign;
   }
 
-  /** Why longer in a large fleet: all loads together travel with each exchange, and what they count is soon over. */
-  private pause(): number {
-    return pauseMicroseconds * Math.max(0, this.proxies() / promptProxies - 1);
+  /** The interval grows with the fleet because all loads travel with each gossip exchange, and the sends they count soon end. */
+  private interval(): number {
+    return intervalStepMicroseconds * Math.max(0, this.proxies() / smallFleetProxies - 1);
   }
 }
--- a/source/edge-proxy/feeding/seedContacts.ts
+++ b/source/edge-proxy/feeding/seedContacts.ts
@@ -1,20 +1,20 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import { FleetVotes, type FleetName } from '../../shared/fleet/fleetName';
 
-/** Starting value, ours: how often a proxy that nobody feeds asks a seed. */
-const pauseMicroseconds = 200_000;
+/** Shortest interval between requests to seeds while no agent answers. */
+const requestIntervalMicroseconds = 200_000;
 
 export type SeedContactsSettings = Readonly<{
   seeds: readonly string[];
-  /** No address here ever belongs to another fleet, so one seed that answers is enough to find the fleet. */
+  /** No address in this network ever belongs to another fleet, so the answer of one seed is enough to find the fleet. */
   isOnlyFleet: boolean;
 }>;
 
-/** The first contacts of a proxy without an agent of its own: one after the other, and which fleet they lead to. */
+/** The seeds of a proxy that no agent answers: asks them in turn and determines the fleet from their answers. */
 export class SeedContacts {
-  private readonly said = new Map<string, string>();
+  private readonly fleetBySeed = new Map<string, string>();
   private seeds: readonly string[];
-  private turn = 0;
+  private nextIndex = 0;
   private askedMicroseconds = -Infinity;
 
   public constructor(
@@ -25,24 +25,24 @@
     this.seeds = settings.seeds;
   }
 
-  /** Other first contacts than those that were told at the start. */
+  /** Replaces the seeds given at the start. */
   public seedsAre(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
-  /** The seed to ask now; undefined: there is none, or one was asked a moment ago. */
+  /** The seed to ask now; undefined: there is none, or the interval since the last request has not passed. */
   public next(): string | undefined {
     const now = this.clock.nowMicroseconds();
-    if (now - this.askedMicroseconds < pauseMicroseconds) return undefined;
+    if (now - this.askedMicroseconds < requestIntervalMicroseconds) return undefined;
     this.askedMicroseconds = now;
-    this.turn += 1;
-    return this.seeds[this.turn % Math.max(1, this.seeds.length)];
+    this.nextIndex += 1;
+    return this.seeds[this.nextIndex % Math.max(1, this.seeds.length)];
   }
 
-  /** A seed said which fleet it leads to; empty: it does not know. */
+  /** A seed answered with the name of its fleet; empty: it does not know it. */
   public heard(seed: string, fleet: string): void {
-    this.said.set(seed, fleet);
-    const names = [...this.said].filter(([one]) => this.seeds.includes(one)).map(([, name]) => name);
+    this.fleetBySeed.set(seed, fleet);
+    const names = [...this.fleetBySeed].filter(([one]) => this.seeds.includes(one)).map(([, name]) => name);
     const chosen = this.settings.isOnlyFleet ? FleetVotes.judgeOnly(names) : FleetVotes.judge(names, this.seeds.length);
     if (chosen !== '') this.fleet.learn(chosen);
   }
--- a/source/edge-proxy/fetch/fetchPlanner.ts
+++ b/source/edge-proxy/fetch/fetchPlanner.ts
@@ -12,22 +12,22 @@
 import type { Move } from './partMoves';
 import type { PartsPlanner } from './partsPlanner';
 
-/** What an order tells its engine of kept prompts, and what the directory must be told of the order. */
+/** The cache instructions that a request gives its engine, and the notes that the cache directory receives about the request. */
 export type FetchPlan = Readonly<{
   target: CacheTarget | undefined;
   source: (CacheSource & Readonly<{ holder: string }>) | undefined;
-  /** The engine's shard when it was planned; it must still be the present one when the order is sent. */
+  /** The engine's shard at planning; it must still be the present one when the request is sent. */
   under: ShardHead | undefined;
-  /** Said when the send begins, at the first event of its answer, and when it ends without one. */
+  /** Notes for the start of the send, for the first event of its response, for an end without a response, and for no send. */
   began: readonly DirectoryNote[];
   attested: readonly DirectoryNote[];
   abandoned: readonly DirectoryNote[];
   notSent: readonly DirectoryNote[];
-  /** What the order's parts are kept under; empty where they have one-off names. */
+  /** Cache salt of the request's parts; empty if the blocks have names that are used only once. */
   salt: string;
-  /** The import of named parts, as it was reckoned. */
+  /** The planned import of named parts, with its expected cost. */
   move?: Move | undefined;
-  /** Names of the parts that the engine will keep because of this order. */
+  /** Names of the parts that the engine will cache because of this request. */
   fills: readonly string[];
 }>;
 
@@ -55,7 +55,7 @@
   fills: [],
 };
 
-type Better = Readonly<{ holder: string; matched: number; bootEpoch: string; epoch: number }>;
+type ImportSource = Readonly<{ holder: string; matched: number; bootEpoch: string; epoch: number }>;
 type Fill = Readonly<{
   holder: string;
   name: string;
@@ -64,6 +64,7 @@
   register: DirectoryNote | undefined;
 }>;
 
+/** Plans which cached blocks a request uses, imports from another holder, and writes to a cache store. */
 export class FetchPlanner {
   public constructor(
     private readonly view: EngineView,
@@ -82,8 +83,8 @@
       apply: async (context) => {
         const { keys, placed, lookUp, order, resolved } = context;
         if (keys === undefined || placed === undefined || lookUp === undefined || resolved === undefined)
-          throw new Error('nothing placed');
-        // Why no waiting here: names of parts are derived, so nobody has to be asked for a grant.
+          throw new Error('planFetch runs before a request is resolved and placed');
+        // Nothing is awaited here: the names of parts are derived from their contents, so no grant is needed.
         if (order.parts !== undefined)
           return {
             kind: 'onward',
@@ -98,19 +99,19 @@
     };
   }
 
-  /** Right before the send: whether the names planned with may still be used. */
+  /** Called right before the send: whether the block names of the plan are still valid. */
   public stillGood({ under }: FetchPlan): boolean {
     if (under === undefined) return true;
-    const now = this.shards.get(under.holder)?.present;
+    const present = this.shards.get(under.holder)?.present;
     return (
-      now !== undefined &&
-      now.term === under.term &&
-      now.epoch === under.epoch &&
+      present !== undefined &&
+      present.term === under.term &&
+      present.epoch === under.epoch &&
       this.pulses.fresh(under.holder, under.term, under.epoch)
     );
   }
 
-  /** Whether an import pays: blocks not read anew against the time the link needs for them. */
+  /** Whether an import is worthwhile: the prefill time saved against the time the link takes for the blocks. */
   public pays(from: string, to: string, blocks: number): boolean {
     const gain = blocks * this.settings.prefillMicrosecondsPerBlock;
     const cost = this.settings.importFixedMicroseconds + blocks * this.speeds.blockMicroseconds(from, to);
@@ -120,7 +121,7 @@
   private async plan(fill: string, placed: Placed, keys: readonly BlockKey[], lookUp: LookUp): Promise<FetchPlan> {
     const shard = this.shards.get(placed.engine);
     const head = shard?.present;
-    // Why nothing at all: any doubt about whom the names belong to is a clean miss and a fresh prefill.
+    // Any doubt about which engine process the names belong to is treated as a cache miss with a full prefill.
     if (
       shard === undefined ||
       head === undefined ||
@@ -129,17 +130,17 @@
       !this.pulses.fresh(placed.engine, head.term, head.epoch)
     )
       return noFetch;
-    const fresh = HashChains.named(keys, fill);
-    const kept = shard.names(keys.map(({ physical }) => physical));
-    const better = this.better(placed.engine, kept.length, lookUp);
-    const moved = better === undefined ? [] : fresh.slice(kept.length, better.matched);
+    const newKeys = HashChains.named(keys, fill);
+    const cached = shard.names(keys.map(({ physical }) => physical));
+    const importSource = this.bestSource(placed.engine, cached.length, lookUp);
+    const imported = importSource === undefined ? [] : newKeys.slice(cached.length, importSource.matched);
     const source =
-      better !== undefined && moved.length > 0
-        ? await this.sourceOf(placed.engine, fill, head.epoch, better, kept.length, keys, moved)
+      importSource !== undefined && imported.length > 0
+        ? await this.sourceOf(placed.engine, fill, head.epoch, importSource, cached.length, keys, imported)
         : undefined;
-    const made = fresh.slice(kept.length + (source === undefined ? 0 : moved.length));
+    const computed = newKeys.slice(cached.length + (source === undefined ? 0 : imported.length));
     const fills: Fill[] = [];
-    if (made.length > 0)
+    if (computed.length > 0)
       fills.push({
         holder: placed.engine,
         name: `${fill}.new`,
@@ -151,7 +152,7 @@
           epoch: head.epoch,
           fill: `${fill}.new`,
           moves: false,
-          keys: made,
+          keys: computed,
         },
       });
     if (source !== undefined)
@@ -162,7 +163,7 @@
         weights: placed.weights,
         register: undefined,
       });
-    const names = [...kept, ...fresh.slice(kept.length).map(({ name }) => name)];
+    const names = [...cached, ...newKeys.slice(cached.length).map(({ name }) => name)];
     const store = this.storeFill(
       fill,
       keys.map((key, index) => ({ ...key, name: names[index] ?? '' })),
@@ -190,22 +191,24 @@
     engine: string,
     fill: string,
     epoch: number,
-    better: Better,
+    importSource: ImportSource,
     at: number,
     keys: readonly BlockKey[],
-    moved: readonly NamedKey[],
+    imported: readonly NamedKey[],
   ): Promise<FetchPlan['source']> {
-    const address = this.view.addressOf(better.holder);
+    const address = this.view.addressOf(importSource.holder);
     const names =
-      this.shards.get(better.holder)?.names(keys.slice(0, better.matched).map(({ physical }) => physical)) ?? [];
-    if (address === undefined || names.length < better.matched) return undefined;
-    const answer = await this.grants.grant(engine, fill, epoch, moved);
+      this.shards
+        .get(importSource.holder)
+        ?.names(keys.slice(0, importSource.matched).map(({ physical }) => physical)) ?? [];
+    if (address === undefined || names.length < importSource.matched) return undefined;
+    const answer = await this.grants.grant(engine, fill, epoch, imported);
     this.metrics.count('postdrum_grants_total', {
       answer: answer.kind,
       ...(answer.kind === 'refused' ? { reason: answer.reason } : {}),
     });
     return answer.kind === 'granted'
-      ? { holder: better.holder, address, bootEpoch: better.bootEpoch, at, keys: names.slice(at) }
+      ? { holder: importSource.holder, address, bootEpoch: importSource.bootEpoch, at, keys: names.slice(at) }
       : undefined;
   }
 
@@ -235,15 +238,15 @@
     };
   }
 
-  private better(engine: string, matched: number, lookUp: LookUp): Better | undefined {
+  private bestSource(engine: string, matched: number, lookUp: LookUp): ImportSource | undefined {
     if (!this.settings.imports || lookUp.kind === 'miss') return undefined;
-    const paying = lookUp.found.filter(
+    const worthwhile = lookUp.found.filter(
       (item) =>
         item.holder !== engine && item.matched > matched && this.pays(item.holder, engine, item.matched - matched),
     );
-    const cost = (item: Better): number =>
+    const cost = (item: ImportSource): number =>
       (item.matched - matched) *
       (this.speeds.blockMicroseconds(item.holder, engine) - this.settings.prefillMicrosecondsPerBlock);
-    return paying.sort((left, right) => cost(left) - cost(right))[0];
+    return worthwhile.sort((left, right) => cost(left) - cost(right))[0];
   }
 }
--- a/source/edge-proxy/fetch/linkSpeeds.ts
+++ b/source/edge-proxy/fetch/linkSpeeds.ts
@@ -1,21 +1,21 @@
-/** How long one block takes from one holder to one engine, measured by the answers of imports. */
+/** Transfer time of one block from one holder to one engine, averaged from the imports of that pair. */
 export class LinkSpeeds {
   private readonly perBlock = new Map<string, number>();
 
   public constructor(
-    private readonly startMicroseconds: number,
-    private readonly most: number,
+    private readonly initialMicroseconds: number,
+    private readonly maxPairs: number,
   ) {}
 
   public blockMicroseconds(from: string, to: string): number {
-    return this.perBlock.get(`${from}>${to}`) ?? this.startMicroseconds;
+    return this.perBlock.get(`${from}>${to}`) ?? this.initialMicroseconds;
   }
 
   public measured(from: string, to: string, microsecondsPerBlock: number): void {
     const pair = `${from}>${to}`;
     const before = this.perBlock.get(pair);
-    if (before === undefined && this.perBlock.size >= this.most) this.perBlock.clear();
-    // Why quick to rise: one slow import costs a caller's time, one fast one proves little.
+    if (before === undefined && this.perBlock.size >= this.maxPairs) this.perBlock.clear();
+    // A rise is weighted more: one slow import costs a client's time, while one fast import proves little.
     const weight = before !== undefined && microsecondsPerBlock > before ? 0.7 : 0.3;
     this.perBlock.set(
       pair,
@@ -23,9 +23,9 @@
     );
   }
 
-  /** Now and then a slow pair is trusted a little more, or it would never be measured again. */
+  /** Called periodically: moves slow pairs towards the initial value, or they would never be used and measured again. */
   public fade(): void {
     for (const [pair, value] of this.perBlock)
-      if (value > this.startMicroseconds) this.perBlock.set(pair, Math.max(this.startMicroseconds, value * 0.98));
+      if (value > this.initialMicroseconds) this.perBlock.set(pair, Math.max(this.initialMicroseconds, value * 0.98));
   }
 }
--- a/source/edge-proxy/fetch/partMoves.ts
+++ b/source/edge-proxy/fetch/partMoves.ts
@@ -6,19 +6,19 @@
 
 export type MoveSettings = Readonly<{
   imports: boolean;
-  /** Whether a source is named where nobody is known to keep the parts, and one besides where the engine itself is. */
+  /** Whether a source is named if no holder is known to cache the parts, and whether a fallback source is named if the engine does. */
   guesses: boolean;
   spares: boolean;
-  /** What any import costs, found or not. */
+  /** Fixed cost of an import, whether the source has the parts or not. */
   setupMicroseconds: number;
-  /** Where nobody says how fast links are. */
+  /** Assumed link speed if the configuration states none. */
   linkBytesPerSecond: number;
   tokenBytes: number;
-  /** How many times as long a move takes between zones. */
+  /** Factor by which an import between zones takes longer. */
   zoneFactor: number;
-  /** What reading a thousand tokens again is worth beyond its own time, which moving them saves. */
+  /** Cost of prefilling a thousand tokens again beyond the prefill time itself, which an import saves. */
   rereadMicrosecondsPerThousand: number;
-  /** How often, in thousandths, a holder has dropped the parts by the time they are asked for, and they are read again. */
+  /** How often, per mille, a holder has evicted the parts by the time they are requested, so that they are prefilled again. */
   engineDropsPerMille: number;
   storeDropsPerMille: number;
 }>;
@@ -38,7 +38,7 @@
   } satisfies MoveSettings,
 } as const;
 
-/** An import that pays: parts from `at` up to `matched` come from there. */
+/** A worthwhile import: the parts from `at` up to `matched` are copied from the holder. */
 export type Move = Readonly<{
   holder: string;
   address: string;
@@ -55,9 +55,9 @@
   return tokens;
 };
 
-/** Whether parts had better come from another holder than be read, and from which. Any doubt is a fresh prefill. */
+/** Decides whether parts are imported from another holder or prefilled, and from which holder. Any doubt means a full prefill. */
 export class PartMoves {
-  /** `ratios` tells by how much moves between two holders have been slower than they should be, in thousandths. */
+  /** `ratios`: measured import time between two holders relative to the expected time, per mille. */
   public constructor(
     private readonly view: EngineView,
     private readonly ratios: LinkSpeeds,
@@ -79,9 +79,9 @@
       if (address === undefined) continue;
       const tokens = tokensIn(keys, matched, found.matched);
       const microseconds = this.moveMicroseconds(found.holder, engine, pool, tokens);
-      const again = (tokens * this.settings.rereadMicrosecondsPerThousand) / 1000;
-      const saved = (tokens * 1000) / engine.tokensPerMillisecond + again;
-      const gain = (saved * (1000 - this.dropsPerMille(found.holder))) / 1000 - microseconds;
+      const rereadMicroseconds = (tokens * this.settings.rereadMicrosecondsPerThousand) / 1000;
+      const savedMicroseconds = (tokens * 1000) / engine.tokensPerMillisecond + rereadMicroseconds;
+      const gain = (savedMicroseconds * (1000 - this.dropsPerMille(found.holder))) / 1000 - microseconds;
       if (gain <= 0) continue;
       if (best !== undefined && best.gain >= gain) continue;
       const { holder, bootEpoch } = found;
@@ -93,7 +93,7 @@
     return best?.move;
   }
 
-  /** How long so many tokens take between two engines of the pool in one zone, where nothing is in the way. */
+  /** Expected import time of a number of tokens between two engines of the pool in one zone, without congestion. */
   public usualMicroseconds(pool: Service, tokens: number): number {
     const shape = pool.kind === 'pool' ? pool.shape : undefined;
     const bytes = tokens * (shape?.tokenBytes || this.settings.tokenBytes);
@@ -103,7 +103,7 @@
     );
   }
 
-  /** An answer whose order had an import: how long that seems to have taken. */
+  /** Records the time that the import of a request took. */
   public measured(engine: string, move: Move, microseconds: number): void {
     const { setupMicroseconds } = this.settings;
     const expected = setupMicroseconds + (move.microseconds - setupMicroseconds) / this.ratio(move.holder, engine);
@@ -126,10 +126,12 @@
     tokens: number,
   ): number {
     const store = this.view.storeShape(holder);
-    const own = pool.shape?.linkBytesPerSecond || this.settings.linkBytesPerSecond;
-    const link = Math.min(own, store?.linkBytesPerSecond || own);
+    const poolLink = pool.shape?.linkBytesPerSecond || this.settings.linkBytesPerSecond;
+    const link = Math.min(poolLink, store?.linkBytesPerSecond || poolLink);
     const bytes = tokens * (pool.shape?.tokenBytes || this.settings.tokenBytes);
-    const zones = this.view.zoneOf(holder) === engine.zone ? 1 : this.settings.zoneFactor;
-    return this.settings.setupMicroseconds + ((bytes * zones * 1_000_000) / link) * this.ratio(holder, engine.name);
+    const zoneFactor = this.view.zoneOf(holder) === engine.zone ? 1 : this.settings.zoneFactor;
+    return (
+      this.settings.setupMicroseconds + ((bytes * zoneFactor * 1_000_000) / link) * this.ratio(holder, engine.name)
+    );
   }
 }
--- a/source/edge-proxy/fetch/partsPlanner.ts
+++ b/source/edge-proxy/fetch/partsPlanner.ts
@@ -13,11 +13,15 @@
 import type { PartMoves } from './partMoves';
 
 /**
- * What an order of named parts tells its engine. Its parts are kept under a salt that carries wall and weights, so a
- * plan made under wrong news finds nothing and does no harm; there is nothing to register and nothing to grant.
+ * Plans the cache instructions of a request whose prompt has named parts. The parts are cached under a salt that contains the trust
+ * domain and the weights, so a plan made from outdated information finds nothing and does no harm; nothing has to be registered or
+ * granted.
  */
 export class PartsPlanner {
-  private readonly told = new Map<string, Readonly<{ mark: string; salts: ReadonlySet<string>; tokens: number }>>();
+  private readonly knownTokens = new Map<
+    string,
+    Readonly<{ version: string; salts: ReadonlySet<string>; tokens: number }>
+  >();
 
   public constructor(
     private readonly view: EngineView,
@@ -66,8 +70,8 @@
   }
 
   /**
-   * Where parts that nobody is known to keep may be all the same. Why guess: news of a part comes after it was read,
-   * some never comes, and a guess that is wrong costs a millisecond where reading costs hundreds.
+   * A holder that may cache the parts although none is known to. A guess is made because the event about a part arrives after it
+   * was prefilled, some events never arrive, and a wrong guess costs a millisecond where a prefill costs hundreds.
    */
   private guess(
     placed: Placed,
@@ -75,29 +79,29 @@
     store: Store | undefined,
     lookUp: LookUp,
   ): FetchPlan['source'] {
-    const isKept = placed.matched >= parts.length - 1;
-    if (!(isKept ? this.moves.settings.spares : this.moves.settings.guesses)) return undefined;
-    const holder = isKept ? this.spare(placed, parts, store, lookUp) : this.unknown(placed, store);
+    const isCached = placed.matched >= parts.length - 1;
+    if (!(isCached ? this.moves.settings.spares : this.moves.settings.guesses)) return undefined;
+    const holder = isCached ? this.fallbackSource(placed, parts, store, lookUp) : this.guessedSource(placed, store);
     const address = holder === undefined ? undefined : this.view.addressOf(holder);
     if (address === undefined || holder === undefined || holder === placed.engine) return undefined;
-    this.metrics.count('postdrum_imports_total', { from: isKept ? 'spare' : 'guess' });
-    const at = isKept ? 0 : placed.matched;
+    this.metrics.count('postdrum_imports_total', { from: isCached ? 'spare' : 'guess' });
+    const at = isCached ? 0 : placed.matched;
     return { holder, address, bootEpoch: '', at, keys: parts.slice(at, -1).map(({ name }) => name) };
   }
 
-  private unknown({ home, engine }: Placed, store: Store | undefined): string | undefined {
-    // Why the store first where nothing is known of it: it outlives a restart of all daemons, and has what was ever read.
-    const byStore =
+  private guessedSource({ home, engine }: Placed, store: Store | undefined): string | undefined {
+    // The store is preferred if nothing is known about it: it survives a restart of all daemons and may have any earlier prefix.
+    const usesStore =
       store !== undefined && (home === undefined || home === engine || this.shards.get(store.name) === undefined);
-    return byStore ? store.name : home;
+    return usesStore ? store.name : home;
   }
 
   /**
-   * Where the engine would take its parts from if it had dropped them. Why name one although it keeps them: an engine
-   * drops what was used longest ago as soon as it needs room, and word of that comes after the order has gone. What it
-   * still keeps it does not take again.
+   * The source of the parts in case the engine has evicted them. One is named although the engine is known to cache them, because
+   * an engine evicts the least recently used parts when it needs room, and the event about that may arrive after the request was
+   * sent. The engine does not import parts that it still has.
    */
-  private spare(
+  private fallbackSource(
     { engine }: Placed,
     parts: readonly PartKey[],
     store: Store | undefined,
@@ -110,8 +114,9 @@
   }
 
   /**
-   * Whether the store had better keep these parts. Why not all: it drops what was used longest ago, and what is asked for once
-   * pushes out what is asked for again and again. A part that somebody keeps already has been asked for before.
+   * Whether the parts are worth writing to the store. It does not receive all parts, because it evicts the least recently used
+   * ones, so that parts requested once would push out parts requested repeatedly. A part that some holder already caches has been
+   * requested before.
    */
   private mayFill(
     { name }: Store,
@@ -121,8 +126,8 @@
     salts: () => ReadonlySet<string>,
   ): boolean {
     const { settings } = this.demand;
-    const room = ((this.view.storeShape(name)?.keptTokens ?? 0) * settings.storeRoomPerMille) / 1000;
-    if (!settings.isOn || room === 0 || this.toldTokens(name, salts()) < room) return true;
+    const fillLimitTokens = ((this.view.storeShape(name)?.keptTokens ?? 0) * settings.storeRoomPerMille) / 1000;
+    if (!settings.isOn || fillLimitTokens === 0 || this.cachedTokens(name, salts()) < fillLimitTokens) return true;
     const isAskedAgain = matched > 0 || (lookUp.kind !== 'miss' && lookUp.found.length > 0);
     const fills = isAskedAgain || this.demand.isWanted(keys.prefix());
     this.metrics.count('postdrum_store_fills_total', { fill: fills ? 'wanted' : 'spared' });
@@ -130,20 +135,20 @@
   }
 
   /**
-   * Tokens of the parts that the holder is known to keep and that may be asked for. Why without the others: parts of the weights
-   * before are the first that make room. Why kept by the version: a store has thousands of them.
+   * Tokens of the parts that the holder is known to cache and that may still be requested. Parts of earlier weights are left out
+   * because they are evicted first. The result is cached for each version of the shard because a store has thousands of parts.
    */
-  private toldTokens(holder: string, salts: ReadonlySet<string>): number {
+  private cachedTokens(holder: string, salts: ReadonlySet<string>): number {
     const shard = this.shards.get(holder);
     if (shard === undefined) return 0;
     const { term, epoch, version } = shard.present;
-    const mark = `${term}/${epoch}/${version}`;
-    const known = this.told.get(holder);
-    if (known?.mark === mark && known.salts === salts) return known.tokens;
+    const shardVersion = `${term}/${epoch}/${version}`;
+    const known = this.knownTokens.get(holder);
+    if (known?.version === shardVersion && known.salts === salts) return known.tokens;
     const tokens = shard
       .entries()
       .reduce((sum, { name, size = 0 }) => (salts.has(name.slice(0, name.lastIndexOf('/'))) ? sum + size : sum), 0);
-    this.told.set(holder, { mark, salts, tokens });
+    this.knownTokens.set(holder, { version: shardVersion, salts, tokens });
     return tokens;
   }
 
@@ -157,12 +162,12 @@
     return this.view.storeShape(holder) === undefined ? 'engine' : 'store';
   }
 
-  /** The store that keeps the shared parts of such an order. */
+  /** The store that caches the shared parts of the request. */
   private storeFor(parts: readonly PartKey[]): Store | undefined {
     const stores = this.view.stores();
     const first = parts[0];
     if (first === undefined || stores.length === 0) return undefined;
-    // Why by rendezvous: every daemon names the same store for the same parts, and none holds them twice.
+    // Rendezvous hashing makes every proxy choose the same store for the same parts, so that no part is stored twice.
     const name = Rendezvous.first(
       first.name,
       stores.map((store) => store.name),
--- a/source/edge-proxy/fleetBounds.ts
+++ b/source/edge-proxy/fleetBounds.ts
@@ -1,49 +1,53 @@
 import { ProxyDefaults, type ProxySettings } from './edgeProxy';
 
-/** What those who deploy a fleet promise their callers; every time in whole microseconds. */
+/** The service levels that operators promise for a fleet; all times in whole microseconds. */
 export type FleetBounds = Readonly<{
-  /** A proxy out of touch with the core may go on for so long on what it knows; undefined: as long as it is. */
+  /** How long a proxy without contact to the control nodes may serve with its last known configuration; undefined: without limit. */
   outOfTouchMicroseconds: number | undefined;
-  /** A confirmed change of the configuration is in force everywhere within so long. */
+  /** Time within which a confirmed configuration change is in force everywhere. */
   changeMicroseconds: number;
-  /** After so long from being named no order begins on the weights before. */
+  /** Time after the naming of new weights from which no request starts on the previous ones. */
   weightsMicroseconds: number;
-  /** Sends past the first of each order, as a part of the orders in any window, and so many besides. */
+  /** Retries in any window: at most this share of the requests in it, plus a constant number. */
   retryRatio: number;
   retrySlack: number;
   retryWindowMicroseconds: number;
 }>;
 
-/** Starting values, ours: what is left unused of each bound, since news and answers take their time. */
-const outOfTouchMargin = 500_000;
-const weightsMargin = 2_000_000;
-const ratioUsed = 0.9;
-const slackUsed = 0.4;
-/** An engine takes as many orders again as it has places, and lets them in by their urgency. */
+/** Margins kept to each bound, because gossip and responses take time to arrive. */
+const outOfTouchMarginMicroseconds = 500_000;
+const weightsMarginMicroseconds = 2_000_000;
+const usedRatioShare = 0.9;
+const usedSlackShare = 0.4;
+/** An engine queues as many requests again as it has slots, and admits them by urgency. */
 const roomPerMille = 2000;
 const busySeconds = 0.05;
 
 export const FleetBounds = {
-  /** How a proxy keeps to them, in front of engines that queue by themselves. */
+  /** Proxy settings that satisfy the bounds in front of engines that queue requests themselves. */
   settings: (bounds: FleetBounds, name: string, agentAddress: string): ProxySettings => ({
     ...ProxyDefaults,
     name,
     agentAddress,
-    // Why open where nothing is promised: a fleet that refuses all because its core is away costs its callers more.
+    // Without a promised bound the proxy keeps serving: refusing all requests while the control nodes are unreachable harms clients
+    // more.
     freshMicroseconds:
       bounds.outOfTouchMicroseconds === undefined
         ? Infinity
-        : Math.max(0, bounds.outOfTouchMicroseconds - outOfTouchMargin),
+        : Math.max(0, bounds.outOfTouchMicroseconds - outOfTouchMarginMicroseconds),
     denialMicroseconds: bounds.changeMicroseconds,
-    weightsCutMicroseconds: Math.max(bounds.weightsMicroseconds / 2, bounds.weightsMicroseconds - weightsMargin),
-    retryPerMille: Math.floor(bounds.retryRatio * 1000 * ratioUsed),
-    // Why less than half: in one window a part kept for later and the part that comes in may both be spent.
-    retryFleetAllowance: Math.floor(bounds.retrySlack * slackUsed),
+    weightsCutMicroseconds: Math.max(
+      bounds.weightsMicroseconds / 2,
+      bounds.weightsMicroseconds - weightsMarginMicroseconds,
+    ),
+    retryPerMille: Math.floor(bounds.retryRatio * 1000 * usedRatioShare),
+    // Less than half is used because the saved allowance and the new allowance may both be spent in one window.
+    retryFleetAllowance: Math.floor(bounds.retrySlack * usedSlackShare),
     retryAllowanceMicroseconds: bounds.retryWindowMicroseconds,
     busySeconds,
     unsentIsFree: true,
     cutsOldWeights: false,
-    // Why never: such engines drop an order whose caller is gone, and a drained one still answers what it has.
+    // There is no limit because such engines drop a request whose client has disconnected, and a draining one finishes its requests.
     silentMicroseconds: Infinity,
     roomPerMille,
   }),
--- a/source/edge-proxy/mechanisms.ts
+++ b/source/edge-proxy/mechanisms.ts
@@ -1,44 +1,44 @@
 import { DemandSettings } from './demand/demandView';
 import type { ProxySettings } from './edgeProxy';
 
-/** What switching one mechanism off changes in the settings; everything else stays as it is. */
-const switches = {
-  /** Engines kept for short requests. */
+/** For each mechanism, the settings with it switched off; all other settings are unchanged. */
+const disable = {
+  /** Engines reserved for short requests. */
   lanes: (settings) => ({ ...settings, lanes: { ...settings.lanes, headroomPerMille: 0 } }),
-  /** Long requests placed one after the other by one agent for all. */
+  /** Long requests placed one after the other by a single scheduler for all proxies. */
   desk: (settings) => ({ ...settings, deskMicroseconds: 0 }),
-  /** One engine for all proxies that reads a part nobody keeps. */
+  /** A default engine, the same for all proxies, that prefills a part no holder caches. */
   homes: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, homeMicroseconds: 0 } }),
-  /** Parts moved from an engine or a store that is known to keep them. */
+  /** Imports of parts from an engine or a store that is known to cache them. */
   imports: (settings) => ({ ...settings, moves: { ...settings.moves, imports: false } }),
-  /** Parts asked for where they may be, though nobody is known to keep them. */
+  /** Imports from a holder that may cache the parts although none is known to. */
   guesses: (settings) => ({ ...settings, moves: { ...settings.moves, guesses: false } }),
-  /** A source named besides, in case the engine has dropped what it is known to keep. */
+  /** A fallback source in case the engine has evicted the parts that it is known to cache. */
   spares: (settings) => ({ ...settings, moves: { ...settings.moves, spares: false } }),
-  /** Engines left out because their answers fail. */
+  /** Ejection of engines whose responses fail. */
   ejection: (settings) => ({ ...settings, outliers: { ...settings.outliers, ejectPerMille: 0 } }),
-  /** Prefixes counted, agreed on, and copied by demand. */
+  /** Counting of requested prefixes, and copies of them by demand. */
   demand: (settings) => ({ ...settings, demand: DemandSettings.off(settings.demand) }),
-  /** Chance among engines that look alike, more of it among many proxies. */
+  /** Random choice among engines of similar cost, with a wider range among many proxies. */
   chance: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, chanceMicroseconds: 0 } }),
-  /** Engines preferred that a kept connection waits for. */
+  /** Preference for engines with an idle kept-alive connection. */
   connections: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, connectionMicroseconds: 0 } }),
-  /** Other engines preferred to those that are about to change their weights. */
+  /** Preference against engines that are about to change their weights. */
   changesSoon: (settings) => ({
     ...settings,
     workPlacement: { ...settings.workPlacement, longChangesSoonMicroseconds: 0, shortChangesSoonMicroseconds: 0 },
   }),
 } as const satisfies Readonly<Record<string, (settings: ProxySettings) => ProxySettings>>;
 
-export type MechanismName = keyof typeof switches;
+export type MechanismName = keyof typeof disable;
 
-const names = Object.keys(switches) as readonly MechanismName[];
+const names = Object.keys(disable) as readonly MechanismName[];
 
 /** Mechanisms of a proxy that can be switched off one by one, to measure what each is worth. */
 export const Mechanisms = {
   names,
 
-  /** The names in a list with commas between them. Throws a sentence where one is no mechanism. */
+  /** Parses a comma-separated list of names. Throws an error for an unknown name. */
   parse: (text: string): readonly MechanismName[] =>
     text
       .split(',')
@@ -51,5 +51,5 @@
 
   /** The same settings with these mechanisms switched off. */
   without: (settings: ProxySettings, off: readonly MechanismName[]): ProxySettings =>
-    off.reduce<ProxySettings>((changed, name) => switches[name](changed), settings),
+    off.reduce<ProxySettings>((changed, name) => disable[name](changed), settings),
 } as const;
--- a/source/edge-proxy/outliers/answerCounts.ts
+++ b/source/edge-proxy/outliers/answerCounts.ts
@@ -1,38 +1,42 @@
-/** What became of orders at one engine: answers that ended whole, and those that failed. */
+/** Outcomes of requests at one engine: complete responses, and failed ones. */
 export type AnswerCount = Readonly<{ good: number; failed: number }>;
 
-type Halves = { half: number; readonly now: [good: number, failed: number]; readonly before: [number, number] };
+type HalfWindows = {
+  half: number;
+  readonly current: [good: number, failed: number];
+  readonly previous: [good: number, failed: number];
+};
 
-const none: AnswerCount = { good: 0, failed: 0 };
+const noAnswers: AnswerCount = { good: 0, failed: 0 };
 
-/** Answers of each engine in the present half window and the one before it. Work and room for one answer are constant. */
+/** Counts the responses of each engine in the current and the previous half window, in constant time and space per response. */
 export class AnswerCounts {
-  private readonly engines = new Map<string, Halves>();
-  private failedHalf = -Infinity;
+  private readonly engines = new Map<string, HalfWindows>();
+  private lastFailureHalf = -Infinity;
 
   public constructor(private readonly halfMicroseconds: number) {}
 
   public count(engine: string, isGood: boolean, nowMicroseconds: number): void {
-    const halves = this.turned(engine, nowMicroseconds) ?? {
+    const halves = this.shiftToNow(engine, nowMicroseconds) ?? {
       half: this.halfOf(nowMicroseconds),
-      now: [0, 0],
-      before: [0, 0],
+      current: [0, 0],
+      previous: [0, 0],
     };
     this.engines.set(engine, halves);
-    halves.now[isGood ? 0 : 1] += 1;
-    if (!isGood) this.failedHalf = halves.half;
+    halves.current[isGood ? 0 : 1] += 1;
+    if (!isGood) this.lastFailureHalf = halves.half;
   }
 
   public of(engine: string, nowMicroseconds: number): AnswerCount {
-    const halves = this.turned(engine, nowMicroseconds);
+    const halves = this.shiftToNow(engine, nowMicroseconds);
     return halves === undefined
-      ? none
-      : { good: halves.now[0] + halves.before[0], failed: halves.now[1] + halves.before[1] };
+      ? noAnswers
+      : { good: halves.current[0] + halves.previous[0], failed: halves.current[1] + halves.previous[1] };
   }
 
-  /** Whether any engine failed within the window; the usual answer is no, and costs nothing. */
+  /** Whether any engine failed within the window; a cheap check, since the result is usually no. */
   public hasFailures(nowMicroseconds: number): boolean {
-    return this.halfOf(nowMicroseconds) - this.failedHalf <= 1;
+    return this.halfOf(nowMicroseconds) - this.lastFailureHalf <= 1;
   }
 
   public failing(nowMicroseconds: number): Readonly<Record<string, readonly [failed: number, good: number]>> {
@@ -53,13 +57,17 @@
     return Math.floor(microseconds / this.halfMicroseconds);
   }
 
-  private turned(engine: string, nowMicroseconds: number): Halves | undefined {
+  private shiftToNow(engine: string, nowMicroseconds: number): HalfWindows | undefined {
     const halves = this.engines.get(engine);
     if (halves === undefined) return undefined;
-    const passed = this.halfOf(nowMicroseconds) - halves.half;
-    if (passed <= 0) return halves;
-    const turned: Halves = { half: halves.half + passed, now: [0, 0], before: passed === 1 ? halves.now : [0, 0] };
-    this.engines.set(engine, turned);
-    return turned;
+    const elapsedHalves = this.halfOf(nowMicroseconds) - halves.half;
+    if (elapsedHalves <= 0) return halves;
+    const shifted: HalfWindows = {
+      half: halves.half + elapsedHalves,
+      current: [0, 0],
+      previous: elapsedHalves === 1 ? halves.current : [0, 0],
+    };
+    this.engines.set(engine, shifted);
+    return shifted;
   }
 }
--- a/source/edge-proxy/outliers/ejectionBound.ts
+++ b/source/edge-proxy/outliers/ejectionBound.ts
@@ -9,19 +9,19 @@
 }>;
 
 /**
- * Which of those that should be out really are. Never more than a part of the pool, and only while the others have
- * places to spare: an engine that answers part of its orders is better than none.
+ * Limits how many of the engines that should be ejected really are: never more than a share of the pool, and only while the others
+ * have free capacity, since an engine that answers some of its requests is better than none.
  */
 export const EjectionBound = {
   out: (pool: readonly PoolMember[], settings: OutlierSettings): ReadonlySet<string> => {
-    const most = Math.floor((pool.length * settings.ejectPerMille) / 1000);
+    const maxEjected = Math.floor((pool.length * settings.ejectPerMille) / 1000);
     const out = new Set<string>();
-    // Why by offences and then by name: all proxies that know the same choose the same.
-    const wanted = pool
+    // Sorted by offences and then by name, so that all proxies with the same information choose the same engines.
+    const candidates = pool
       .filter(({ isOut }) => isOut)
       .sort((one, two) => two.offences - one.offences || (one.name < two.name ? -1 : 1));
-    for (const { name } of wanted) {
-      if (out.size >= most) break;
+    for (const { name } of candidates) {
+      if (out.size >= maxEjected) break;
       const rest = pool.filter((member) => member.name !== name && !out.has(member.name));
       const places = rest.reduce((sum, { capacity }) => sum + capacity, 0);
       const free = rest.reduce((sum, { capacity, inFlight }) => sum + Math.max(0, capacity - inFlight), 0);
--- a/source/edge-proxy/outliers/outlierDetector.ts
+++ b/source/edge-proxy/outliers/outlierDetector.ts
@@ -8,33 +8,33 @@
 import { OutlierStates, type OutlierEvent, type OutlierState } from './outlierStates';
 import { OutlierVerdicts, type Evidence } from './outlierVerdicts';
 
-/** How an engine stands that may get work: missing, as any other; the others go first; or on probation. */
+/** Status of an engine that may receive requests: `suspected`, other engines are preferred, or `probation`; a missing entry: normal. */
 export type Standing = 'suspected' | 'probation';
 
-/** What an ended send says of its engine. `silent`: given up without a word from it. */
+/** How a send to an engine ended. `silent`: it was given up without any response data from the engine. */
 export type AnswerEnd = 'good' | 'failed' | 'silent';
 
-type Told = Readonly<{ good: number; failed: number; tellers: number }>;
-type Tellings = Readonly<{ engines: ReadonlyMap<string, Told>; answering: ReadonlySet<string> }>;
+type ReportedCounts = Readonly<{ good: number; failed: number; reporters: number }>;
+type Reports = Readonly<{ engines: ReadonlyMap<string, ReportedCounts>; answering: ReadonlySet<string> }>;
 type Pool = Readonly<{ names: readonly string[]; daemons: readonly string[] }>;
-type Member = Readonly<{ name: string; capacity: number; inFlight: number }>;
+type EngineCapacity = Readonly<{ name: string; capacity: number; inFlight: number }>;
 
-const untold: Told = { good: 0, failed: 0, tellers: 0 };
+const noReports: ReportedCounts = { good: 0, failed: 0, reporters: 0 };
 
 /**
- * Outlier detection: what answers tell of engines, and which ones are left out for it. It has no timer: counts are kept
- * as answers end, and everything else happens when the proxy is fed. Where nothing fails, nothing is worked out or told.
+ * Outlier detection: ejects engines by the outcomes of their responses. It has no timer: outcomes are counted as responses end, and
+ * everything else runs when gossip arrives. Without failures nothing is computed or published.
  */
 export class OutlierDetector {
-  /** Only of engines that do not stand as any other. */
+  /** States of the engines that are not in the initial state. */
   private readonly states = new Map<string, OutlierState>();
   private readonly counts: AnswerCounts;
   private readonly goodAt = new Map<string, number>();
-  /** When an order last failed there, or did not come through at all. */
+  /** When a request last failed at an engine, or did not reach it at all. */
   private readonly missedAt = new Map<string, number>();
   private readonly silentSince = new Map<string, Readonly<{ version: string; at: number }>>();
   private readonly fitAt = new Map<string, number>();
-  private told: (Tellings & Readonly<{ of: readonly LoadFact[] }>) | undefined;
+  private reports: (Reports & Readonly<{ of: readonly LoadFact[] }>) | undefined;
   private changeCount = 0;
 
   public constructor(
@@ -46,12 +46,12 @@
     this.counts = new AnswerCounts(settings.halfWindowMicroseconds);
   }
 
-  /** Rises whenever an engine stands otherwise than before. */
+  /** Incremented whenever the state of an engine changes. */
   public get changes(): number {
     return this.changeCount;
   }
 
-  /** Whether any engine stands otherwise than all. */
+  /** Whether any engine is not in the initial state. */
   public get hasAny(): boolean {
     return this.states.size > 0;
   }
@@ -60,7 +60,7 @@
     return this.states.get(engine) ?? OutlierStates.start;
   }
 
-  /** How many engines are in each state but good. */
+  /** Number of engines in each state except good. */
   public countsByState(): readonly (readonly [OutlierState['kind'], number])[] {
     const kinds = [...this.states.values()].map(({ kind }) => kind);
     return (['suspected', 'ejected', 'probation'] as const).map((state) => [
@@ -69,9 +69,9 @@
     ]);
   }
 
-  /** An own order ended at the engine, `tookMicroseconds` after it was written. */
+  /** A request of this proxy ended at the engine, `tookMicroseconds` after it was written. */
   public answered(engine: string, end: AnswerEnd, tookMicroseconds = 0): void {
-    // Why: who did not wait long has not heard that the engine is silent.
+    // A send that was given up early does not show that the engine is silent.
     if (end === 'silent' && tookMicroseconds < this.settings.silentMicroseconds) return;
     const atMicroseconds = this.clock.nowMicroseconds();
     const isGood = end === 'good';
@@ -81,36 +81,36 @@
   }
 
   /**
-   * Whether the engine answers orders though its steward hears nothing of it. Why only answers from about when that word
-   * came, or later: an older one says nothing that the steward did not know. `version`: that of the steward's word.
+   * Whether the engine answers requests although its engine controller cannot reach it. Only responses from about the time of the
+   * controller's report, or later, count: an older one is no newer information than the report. `version`: that of the report.
    */
   public answersThoughSilent(engine: string, version: string): boolean {
     const now = this.clock.nowMicroseconds();
     const known = this.silentSince.get(engine);
     if (known?.version !== version) {
       this.silentSince.set(engine, { version, at: now });
-      return this.speaksFor(engine, now, now);
+      return this.answeredRecently(engine, now, now);
     }
-    // Why the others too: where many proxies share an engine, each of them seldom hears of it.
-    return this.speaksFor(engine, known.at, now) || this.isVouchedFor(engine, now);
+    // Reports of other proxies count too: if many proxies share an engine, each of them rarely gets a response from it.
+    return this.answeredRecently(engine, known.at, now) || this.isReportedAnswering(engine, now);
   }
 
-  /** A conn to the engine did not come up. It is no failure, and no answer either. */
+  /** A connection to the engine could not be opened. It counts neither as a failed response nor as a good one. */
   public unreached(engine: string): void {
     this.missedAt.set(engine, this.clock.nowMicroseconds());
   }
 
-  /** Its steward hears the engine. */
+  /** The engine controller reaches the engine again. */
   public heardOf(engine: string): void {
     if (this.silentSince.size > 0) this.silentSince.delete(engine);
   }
 
-  /** What this proxy tells the others. While no engine fails, and stewards hear all of them, nothing. */
+  /** What this proxy publishes to the others; empty while no engine fails and the engine controllers reach all engines. */
   public telling(): Pick<LoadFact, 'failing' | 'answering'> {
     const now = this.clock.nowMicroseconds();
     const failing = this.settings.ejectPerMille === 0 ? {} : this.counts.failing(now);
     const answering = [...this.silentSince].flatMap(([engine, { at }]) =>
-      this.speaksFor(engine, at, now) ? [engine] : [],
+      this.answeredRecently(engine, at, now) ? [engine] : [],
     );
     return {
       ...(Object.keys(failing).length === 0 ? {} : { failing }),
@@ -118,16 +118,16 @@
     };
   }
 
-  /** Called with news: judges the engines of each pool by all that is known. At rest it looks at two numbers. */
+  /** Called when gossip arrives: judges the engines of each pool. Without failures it returns after a few cheap checks. */
   public review(others: readonly LoadFact[], pools: () => readonly Pool[]): void {
     const atMicroseconds = this.clock.nowMicroseconds();
-    const told = this.toldBy(others).engines;
-    if (this.states.size === 0 && told.size === 0 && !this.counts.hasFailures(atMicroseconds)) return;
+    const reported = this.reportsOf(others).engines;
+    if (this.states.size === 0 && reported.size === 0 && !this.counts.hasFailures(atMicroseconds)) return;
     for (const { names, daemons } of pools()) {
-      // Why not the others: only a pool where something failed, or is made good, has anything to judge.
+      // A pool without failures and without states to leave has nothing to judge.
       if (
         !names.some(
-          (name) => this.states.has(name) || told.has(name) || this.counts.of(name, atMicroseconds).failed > 0,
+          (name) => this.states.has(name) || reported.has(name) || this.counts.of(name, atMicroseconds).failed > 0,
         )
       )
         continue;
@@ -135,29 +135,29 @@
       const evidence = inService.map((name): Evidence => ({
         name,
         own: this.counts.of(name, atMicroseconds),
-        others: told.get(name) ?? untold,
+        others: reported.get(name) ?? noReports,
       }));
       for (const [name, verdict] of OutlierVerdicts.of(evidence, daemons.length, this.settings))
         this.step(name, { kind: 'judged', atMicroseconds, verdict });
       for (const name of names) {
         const state = this.stateOf(name);
-        // Why only then: who tries first is worked out from all daemons.
+        // Checked first, because the choice of the proxies that probe first ranks all daemons.
         if (state.kind !== 'ejected' || atMicroseconds < state.untilMicroseconds) continue;
         const isProber = Rendezvous.order(`probe/${name}`, daemons)
           .slice(0, this.settings.probeProxies)
           .includes(this.self);
-        const othersFail = told.has(name);
+        const othersFail = reported.has(name);
         this.step(name, { kind: 'passed', atMicroseconds, isProber, othersFail });
       }
     }
   }
 
   /**
-   * Engines of one pool that may get work, and how they stand. `isFree`: no own order is under way there, so that one on
-   * probation may get its next.
+   * Status of the engines of one pool that are not in the good state. `isFree`: no request of this proxy is in flight at the engine,
+   * so that one on probation may receive its next.
    */
   public standingsIn(
-    pool: readonly Member[],
+    pool: readonly EngineCapacity[],
     isFree: (name: string) => boolean,
   ): ReadonlyMap<string, Standing | 'out'> {
     if (this.states.size === 0) return new Map();
@@ -172,7 +172,7 @@
     const standings = new Map<string, Standing | 'out'>();
     for (const [name, { kind }] of kinds) {
       if (kind === 'good') continue;
-      // Why suspected: it should be out and cannot be spared, so the others go first.
+      // An engine that should be ejected, but whose capacity is needed, is suspected, so that the others are preferred.
       if (kind === 'suspected' || !out.has(name)) standings.set(name, 'suspected');
       else standings.set(name, kind === 'probation' && isFree(name) ? 'probation' : 'out');
     }
@@ -180,8 +180,8 @@
   }
 
   /**
-   * Whether this order may try an engine on probation. `isFit`: little is lost where the engine fails. Why not any: one
-   * that may run once is lost then; where there are only such, they must do.
+   * Whether this request may probe an engine on probation. `isFit`: little is lost if the engine fails. Requests that may run only
+   * once are lost if it does, so they probe only if there have been no others for some time.
    */
   public mayProbe(service: string, isFit: boolean): boolean {
     const now = this.clock.nowMicroseconds();
@@ -189,12 +189,12 @@
     return isFit || now - (this.fitAt.get(service) ?? -Infinity) >= this.settings.fitMicroseconds;
   }
 
-  /** Forgets engines that are on no list any more. */
+  /** Drops the state of engines that are no longer listed. */
   public keepOnly(names: readonly string[]): void {
     const kept = new Set(names);
     this.counts.keepOnly(kept);
-    for (const book of [this.states, this.goodAt, this.missedAt, this.silentSince])
-      for (const name of book.keys()) if (!kept.has(name)) book.delete(name);
+    for (const byEngine of [this.states, this.goodAt, this.missedAt, this.silentSince])
+      for (const name of byEngine.keys()) if (!kept.has(name)) byEngine.delete(name);
   }
 
   private step(engine: string, event: OutlierEvent): void {
@@ -210,33 +210,40 @@
       this.log(`Engine ${engine} is ${after.kind}, it was ${before.kind}; ejected ${after.offences} times.`);
   }
 
-  private speaksFor(engine: string, silentAt: number, now: number): boolean {
+  private answeredRecently(engine: string, silentAt: number, now: number): boolean {
     const good = this.goodAt.get(engine) ?? -Infinity;
     const missed = this.missedAt.get(engine) ?? -Infinity;
     const { speaksMicroseconds, wordMicroseconds } = this.settings;
     return good > missed && good > silentAt - wordMicroseconds && now - good < speaksMicroseconds;
   }
 
-  /** Why not where an own order failed just now: the engine may be gone, and word of that is on its way. */
-  private isVouchedFor(engine: string, now: number): boolean {
+  /**
+   * Whether another proxy reports that the engine answers. Ignored shortly after a failure seen by this proxy: the engine may be gone,
+   * and reports of that may not have arrived yet.
+   */
+  private isReportedAnswering(engine: string, now: number): boolean {
     const missed = this.missedAt.get(engine) ?? -Infinity;
-    return this.told?.answering.has(engine) === true && now - missed >= this.settings.speaksMicroseconds;
+    return this.reports?.answering.has(engine) === true && now - missed >= this.settings.speaksMicroseconds;
   }
 
-  private toldBy(others: readonly LoadFact[]): Tellings {
-    // Why by the list itself: it is made anew with news, and only then.
-    if (this.told?.of === others) return this.told;
-    const engines = new Map<string, Told>();
-    const vouched = new Set<string>();
+  private reportsOf(others: readonly LoadFact[]): Reports {
+    // The array itself is compared because it is replaced only when gossip changes it.
+    if (this.reports?.of === others) return this.reports;
+    const engines = new Map<string, ReportedCounts>();
+    const answeringEngines = new Set<string>();
     for (const { failing, answering } of others) {
-      for (const name of answering ?? []) vouched.add(name);
+      for (const name of answering ?? []) answeringEngines.add(name);
       if (failing === undefined) continue;
-      for (const [name, [failed, good, tellers = 1]] of Object.entries(failing)) {
-        const known = engines.get(name) ?? untold;
-        engines.set(name, { failed: known.failed + failed, good: known.good + good, tellers: known.tellers + tellers });
+      for (const [name, [failed, good, reporters = 1]] of Object.entries(failing)) {
+        const known = engines.get(name) ?? noReports;
+        engines.set(name, {
+          failed: known.failed + failed,
+          good: known.good + good,
+          reporters: known.reporters + reporters,
+        });
       }
     }
-    this.told = { of: others, engines, answering: vouched };
-    return this.told;
+    this.reports = { of: others, engines, answering: answeringEngines };
+    return this.reports;
   }
 }
--- a/source/edge-proxy/outliers/outlierSettings.ts
+++ b/source/edge-proxy/outliers/outlierSettings.ts
@@ -1,40 +1,39 @@
-/** How a proxy tells engines that fail from those that do not, and how many it may take out of a pool. */
+/** Thresholds of outlier detection, and how many engines of a pool may be ejected. */
 export type OutlierSettings = Readonly<{
-  /** Most engines of a pool that are taken out at once, in per mille of those that could take work; 0: none ever. */
+  /** Maximum share of ejected engines, in per mille of those of a pool that could take requests; 0: ejection is off. */
   ejectPerMille: number;
-  /** Part of the other engines' places that must be free before one is taken out, in per mille. */
+  /** Share of the other engines' capacity that must be free before one is ejected, in per mille. */
   sparePerMille: number;
-  /** Answers are looked back at for one to two of these. */
+  /** Responses count for one to two of these half windows. */
   halfWindowMicroseconds: number;
-  /** Fewer failures of an engine than this take it out for nobody, as seen here alone and by all proxies together. */
+  /** Least number of failures for an ejection, as seen by this proxy alone and by all proxies together. */
   leastOwnFailures: number;
   leastFailures: number;
-  /** Part of its answers that must have failed, in per mille, and how many times as many as in the middle of the others. */
+  /** Share of failed responses needed for an ejection, in per mille, and as a multiple of the median of the other engines. */
   failedPerMille: number;
   timesOthers: number;
-  /** So many own answers say more about an engine than what other proxies tell. */
+  /** Number of own responses from which they count more than the reports of other proxies. */
   enoughOwnAnswers: number;
-  /** The first ejection; each one after it is twice as long, up to the longest. */
+  /** Length of the first ejection; each further one is twice as long, up to the maximum. */
   ejectMicroseconds: number;
   mostEjectMicroseconds: number;
-  /** An engine that was good for so long is no repeat offender any more. */
+  /** Time in the good state after which earlier ejections no longer lengthen the next one. */
   forgetMicroseconds: number;
-  /** Good answers in a row that end probation, and how many proxies try an engine before the others do. */
+  /** Consecutive good responses that end probation, and the number of proxies that probe an engine before the others. */
   probeAnswers: number;
   probeProxies: number;
-  /** So much later the other proxies try it. */
+  /** Delay after which the other proxies probe it. */
   laterMicroseconds: number;
-  /** Orders that may run again, and of whose prompts nothing is kept, are waited for so long before others try an engine. */
+  /** How long probing waits for requests that may run again and have no cached prompt before it uses other requests. */
   fitMicroseconds: number;
-  /** A send that was given up after less than this without a word from the engine says nothing of it. */
+  /** A send given up after less than this without response data does not count as silence of the engine. */
   silentMicroseconds: number;
-  /** So long a good answer speaks for an engine whose control side is silent. */
+  /** How long a good response keeps an engine in use while its control endpoint does not answer. */
   speaksMicroseconds: number;
-  /** A steward's word that it hears nothing is at least so old when it comes. */
+  /** Least age, on arrival, of an engine controller's report that an engine is unreachable. */
   wordMicroseconds: number;
 }>;
 
-/** Starting values, ours. */
 const usual: OutlierSettings = {
   ejectPerMille: 333,
   sparePerMille: 150,
@@ -56,18 +55,18 @@
   wordMicroseconds: 300_000,
 };
 
-/** Most that may be set: whoever takes out half of a pool has taken the pool out. */
+/** Largest value that may be configured: ejecting half of a pool is as bad as losing the pool. */
 const mostEjectPerMille = 500;
 
 export const OutlierSettings = {
   usual,
   mostEjectPerMille,
-  /** Undefined: they can be used. Otherwise one sentence on what is wrong. */
+  /** Undefined if the settings are valid, otherwise a description of the error. */
   fault: (settings: OutlierSettings): string | undefined => {
     if (Object.values(settings).some((value) => !Number.isSafeInteger(value) || value < 0))
       return 'all of them must be whole numbers';
     if (settings.ejectPerMille > mostEjectPerMille) return `at most ${mostEjectPerMille} per mille of a pool may go`;
-    // Why: counts from before an ejection would take the engine out again at once.
+    // Otherwise, failures counted before an ejection would eject the engine again at once.
     if (settings.ejectMicroseconds < 2 * settings.halfWindowMicroseconds)
       return 'an ejection must be as long as answers are looked back at';
     if (settings.mostEjectMicroseconds < settings.ejectMicroseconds)
--- a/source/edge-proxy/outliers/outlierStates.ts
+++ b/source/edge-proxy/outliers/outlierStates.ts
@@ -1,13 +1,13 @@
 import type { OutlierSettings } from './outlierSettings';
 
-/** How one proxy stands towards one engine. `offences`: ejections in a row; `atMicroseconds`: since when it stands so. */
+/** State of one engine at one proxy. `offences`: ejections in a row; `atMicroseconds`: when the state was entered. */
 export type OutlierState = Readonly<{ offences: number; atMicroseconds: number }> &
   (
     | Readonly<{ kind: 'good' }>
-    /** Others are preferred. */
+    /** Other engines are preferred. */
     | Readonly<{ kind: 'suspected' }>
     | Readonly<{ kind: 'ejected'; untilMicroseconds: number }>
-    /** It gets a few real orders, one after the other; `good` of them were answered. */
+    /** It receives a few real requests, one after the other; `good` of them succeeded. */
     | Readonly<{ kind: 'probation'; good: number }>
   );
 
@@ -16,33 +16,33 @@
 export type OutlierEvent = Readonly<{ atMicroseconds: number }> &
   (
     | Readonly<{ kind: 'judged'; verdict: OutlierVerdict }>
-    /** An own order ended there. */
+    /** A request of this proxy ended at the engine. */
     | Readonly<{ kind: 'answered'; isGood: boolean }>
-    /** Time passed. `isProber`: this proxy is one of the few that try first; `othersFail`: others tell of failures there. */
+    /** Time passed. `isProber`: this proxy is one of the few that probe first; `othersFail`: other proxies report failures there. */
     | Readonly<{ kind: 'passed'; isProber: boolean; othersFail: boolean }>
   );
 
 const eject = (state: OutlierState, at: number, settings: OutlierSettings): OutlierState => {
   const offences = state.offences + 1;
-  // Why twice as long each time: an engine that flaps is tried ever more seldom.
-  const long = settings.ejectMicroseconds * 2 ** Math.min(offences - 1, 20);
+  // The length doubles so that a flapping engine is probed less and less often.
+  const lengthMicroseconds = settings.ejectMicroseconds * 2 ** Math.min(offences - 1, 20);
   return {
     kind: 'ejected',
     offences,
     atMicroseconds: at,
-    untilMicroseconds: at + Math.min(long, settings.mostEjectMicroseconds),
+    untilMicroseconds: at + Math.min(lengthMicroseconds, settings.mostEjectMicroseconds),
   };
 };
 
 const judged = (state: OutlierState, verdict: OutlierVerdict, at: number, settings: OutlierSettings): OutlierState => {
-  // Why not on probation: counts are older than the trial, and its own answers decide.
+  // On probation the counts are ignored: they are older than the probation, whose own responses decide.
   if (state.kind === 'ejected' || state.kind === 'probation') return state;
   if (verdict === 'outlier') return eject(state, at, settings);
   if (verdict === 'doubtful')
     return state.kind === 'suspected' ? state : { ...state, kind: 'suspected', atMicroseconds: at };
   if (state.kind === 'suspected') return { kind: 'good', offences: state.offences, atMicroseconds: at };
-  const forgiven = state.offences > 0 && at - state.atMicroseconds >= settings.forgetMicroseconds;
-  return forgiven ? { ...state, offences: 0 } : state;
+  const isReset = state.offences > 0 && at - state.atMicroseconds >= settings.forgetMicroseconds;
+  return isReset ? { ...state, offences: 0 } : state;
 };
 
 const answered = (state: OutlierState, isGood: boolean, at: number, settings: OutlierSettings): OutlierState => {
@@ -62,7 +62,7 @@
   if (state.kind !== 'ejected' || at < state.untilMicroseconds) return state;
   if (!isProber) {
     if (at < state.untilMicroseconds + settings.laterMicroseconds) return state;
-    // Why no offence: nothing failed here, those who tried it told so.
+    // It does not count as an offence because no request of this proxy failed; the proxies that probed it reported failures.
     if (othersFail) return { ...state, untilMicroseconds: at + settings.ejectMicroseconds };
   }
   return { kind: 'probation', offences: state.offences, atMicroseconds: at, good: 0 };
@@ -70,7 +70,7 @@
 
 export const OutlierStates = {
   start: { kind: 'good', offences: 0, atMicroseconds: 0 } as OutlierState,
-  /** Every change of state of an engine. What does not apply leaves the state as it is, the very same value. */
+  /** The state machine of an engine. An event that does not apply returns the same object. */
   step: (state: OutlierState, event: OutlierEvent, settings: OutlierSettings): OutlierState => {
     switch (event.kind) {
       case 'judged':
--- a/source/edge-proxy/outliers/probes.ts
+++ b/source/edge-proxy/outliers/probes.ts
@@ -1,15 +1,18 @@
 import type { Standing } from './outlierDetector';
 
-/** Which engines an order may go to while some of them are on probation. */
+/** The engines that a request may be sent to while some of them are on probation. */
 export const Probes = {
-  /** Why that one alone where it may: a trial that waits for chance would last as long as the pool is large. */
+  /**
+   * A request that may probe is offered only the engine on probation: if that were left to chance, probation would take longer the
+   * larger the pool is.
+   */
   among: <Item extends Readonly<{ standing?: Standing }>>(
     offered: readonly Item[],
     mayProbe: boolean,
   ): readonly Item[] => {
-    const tried = offered.find(({ standing }) => standing === 'probation');
-    if (tried === undefined) return offered;
+    const probed = offered.find(({ standing }) => standing === 'probation');
+    if (probed === undefined) return offered;
     const others = offered.filter(({ standing }) => standing !== 'probation');
-    return mayProbe || others.length === 0 ? [tried] : others;
+    return mayProbe || others.length === 0 ? [probed] : others;
   },
 } as const;
--- a/source/edge-proxy/proxyProgram.ts
+++ b/source/edge-proxy/proxyProgram.ts
@@ -15,7 +15,7 @@
 import { EdgeProxy, type ProxySettings, type ProxyWords } from './edgeProxy';
 
 export type ProxyParts = Readonly<{
-  /** Missing: one that counts suspension. */
+  /** Default: a clock that includes the time the machine is suspended. */
   clock?: Clock;
   settings: ProxySettings;
   address: string;
@@ -24,35 +24,40 @@
   makeSender: (boundOf: (address: string) => ConnBound) => BackEndSender;
   words?: ProxyWords;
   callers?: CallerWords;
-  /** Where somebody asks whether callers may be sent here. */
+  /** Endpoint at which a load balancer asks whether it may send clients here. */
   readiness?: Readonly<{ address: string; path: string }>;
   drain?: DrainPlan;
   stopLimitMicroseconds: number;
 }>;
 
-/** Starting values, ours. */
-const noticeMicroseconds = 2_300_000;
+/**
+ * After a stop begins, the proxy listens at least so long, so that the load balancer notices the stop, and until no new connection
+ * has arrived for `quietMicroseconds`.
+ */
+const minDrainMicroseconds = 2_300_000;
 const quietMicroseconds = 1_200_000;
+/** Time kept for finishing accepted requests, and for the end of the process, before it is killed. */
 const finishMicroseconds = 3_000_000;
-const lastMicroseconds = 300_000;
-/** By then whoever sends callers here has noticed, and an order taken later has no claim on the rest of the time. */
-const lastOrdersMicroseconds = 2_500_000;
-const otherFiles = 600;
+const exitMarginMicroseconds = 300_000;
+/** By then the load balancer has noticed the stop, and a request accepted later is not entitled to the remaining time. */
+const lastRequestsMicroseconds = 2_500_000;
+/** File descriptors that are needed for connections to back ends and for files. */
+const otherFileDescriptors = 600;
 
 export const ProxyStops = {
   /**
-   * How a proxy stops where callers are sent to it by somebody who notices late, and where it is killed after a time.
-   * It listens until that one has noticed, and keeps enough of the time for finishing what was read.
+   * Plan for a graceful stop behind a load balancer that notices the stop late, in a process that is killed after the grace period.
+   * The proxy accepts requests until the load balancer has noticed, and keeps enough time for finishing them.
    */
   within: (graceMicroseconds: number): Readonly<{ drain: DrainPlan; stopLimitMicroseconds: number }> => {
-    const stopLimitMicroseconds = Math.max(graceMicroseconds - lastMicroseconds, graceMicroseconds / 2);
+    const stopLimitMicroseconds = Math.max(graceMicroseconds - exitMarginMicroseconds, graceMicroseconds / 2);
     return {
       drain: {
-        leastMicroseconds: noticeMicroseconds,
+        leastMicroseconds: minDrainMicroseconds,
         quietMicroseconds,
         mostMicroseconds: Math.max(graceMicroseconds - finishMicroseconds, graceMicroseconds / 2),
         lateMicroseconds: 1_000_000,
-        lastOrders: { afterMicroseconds: lastOrdersMicroseconds, endMicroseconds: stopLimitMicroseconds },
+        lastOrders: { afterMicroseconds: lastRequestsMicroseconds, endMicroseconds: stopLimitMicroseconds },
       },
       stopLimitMicroseconds,
     };
@@ -60,43 +65,43 @@
 } as const;
 
 export const ProxyConns = {
-  /** Callers' conns that fit beside the conns to back ends and the files a process needs. */
-  ofCallers: (files: number): number => Math.max(64, files - otherFiles),
+  /** Maximum number of client connections, given the limit of file descriptors and what else the process needs. */
+  ofCallers: (files: number): number => Math.max(64, files - otherFileDescriptors),
 } as const;
 
 export const ProxyProgram = {
-  /** One proxy on a real machine, from its start to its planned stop; the protocols it speaks are given to it. */
+  /** Runs one proxy on a real machine, from its start to its graceful stop, with the given protocols. */
   start: async (parts: ProxyParts): Promise<EdgeProxy> => {
     const { settings, words } = parts;
     const { clock = realClock } = parts;
     const transport = new TcpTransport(clock);
-    const shares = new ConnShares(
+    const connectionShares = new ConnShares(
       () => proxy.freshness.engines,
       () => proxy.freshness.blueprint,
       () => proxy.daemons(),
     );
-    const sender = parts.makeSender(shares.of);
+    const sender = parts.makeSender(connectionShares.of);
     const proxy: EdgeProxy = new EdgeProxy(
       { clock, random: realRandom, transport },
       sender,
       settings,
       ...(words === undefined ? [] : [words]),
     );
-    let stopping = false;
-    const door = await CallersDoor.open(proxy, parts.address, parts.limits, parts.bodyBytes, clock, realRandom, {
+    let isStopping = false;
+    const server = await CallersDoor.open(proxy, parts.address, parts.limits, parts.bodyBytes, clock, realRandom, {
       words: parts.callers ?? ChatCallerWords,
       limits: () => proxy.freshness.blueprint?.limits,
     });
     const readiness =
       parts.readiness === undefined
         ? undefined
-        : await ReadinessDoor.open(parts.readiness.address, parts.readiness.path, () => !stopping && proxy.ready());
+        : await ReadinessDoor.open(parts.readiness.address, parts.readiness.path, () => !isStopping && proxy.ready());
     proxy.start();
-    Logs.part('proxy:notice')(`Proxy ${settings.name} listens on ${door.address}.`);
+    Logs.part('proxy:notice')(`Proxy ${settings.name} listens on ${server.address}.`);
     Programs.onTerm(parts.stopLimitMicroseconds, async () => {
-      stopping = true;
-      // Why the door first: what was read is finished with news still coming in.
-      await door.drain(parts.drain ?? DrainPlans.atOnce);
+      isStopping = true;
+      // The listener drains first, so that accepted requests finish while gossip still arrives.
+      await server.drain(parts.drain ?? DrainPlans.atOnce);
       proxy.stop();
       if (sender instanceof KeptConnSender) sender.close();
       await readiness?.close();
--- a/tests/demand.test.ts
+++ b/tests/demand.test.ts
@@ -30,8 +30,8 @@
 const halfLife = 1_000_000;
 const stream = fc.array(fc.record({ name, pause: fc.nat(300_000) }), { minLength: 1, maxLength: 200 });
 
-describe('the sketch of the most frequent prefixes', () => {
-  test('counts lie between their bounds, memory is bounded, and what is frequent is never missing', () => {
+describe('sketch of the most frequent prefixes', () => {
+  test('counts lie within their bounds, memory is bounded, and no frequent prefix is missing', () => {
     fc.assert(
       fc.property(stream, fc.integer({ min: 1, max: 8 }), (seen, counters) => {
         const sketch = new HeavyHitters(counters, halfLife);
@@ -44,17 +44,20 @@
           sketch.saw(seenName, now);
         }
         const total = [...exact.values()].reduce((sum, count) => sum + count, 0);
-        const little = total * 1e-9;
+        const tolerance = total * 1e-9;
         assert.ok(sketch.size <= counters);
-        assert.ok(Math.abs(sketch.total(now) - total) < little);
+        assert.ok(Math.abs(sketch.total(now) - total) < tolerance);
         for (const [known, count] of exact) {
           const [least, most] = sketch.bounds(known, now);
-          assert.ok(least <= count + little && count <= most + little, `${known}: ${least} ${count} ${most}`);
-          assert.ok(most - least <= total / counters + little, 'no counter is wrong by more than its part');
-          if (count > total / counters + little)
+          assert.ok(least <= count + tolerance && count <= most + tolerance, `${known}: ${least} ${count} ${most}`);
+          assert.ok(
+            most - least <= total / counters + tolerance,
+            'the error of a counter is at most its share of the total',
+          );
+          if (count > total / counters + tolerance)
             assert.ok(
               sketch.top(counters, now).some((hitter) => hitter.name === known),
-              'it is among the top',
+              'a frequent prefix is among the top',
             );
         }
         const top = sketch.top(3, now).map(({ count }) => count);
@@ -67,7 +70,7 @@
     );
   });
 
-  test('counts fade by half in their time, for however long it goes on', () => {
+  test('counts halve with each half-life, also after a long time', () => {
     const sketch = new HeavyHitters(4, halfLife);
     for (let turn = 0; turn < 8; turn += 1) sketch.saw('a', 0);
     assert.equal(sketch.total(halfLife), 4);
@@ -77,11 +80,11 @@
     assert.deepEqual(
       sketch.top(4, 500 * halfLife).map(({ name: kept }) => kept),
       ['b'],
-      'what faded away holds no counter',
+      'a prefix that has decayed occupies no counter',
     );
   });
 
-  test('among equals the one asked for last goes first', () => {
+  test('of equal counts the most recently requested prefix ranks first', () => {
     const sketch = new HeavyHitters(4, 1e15);
     for (const [index, seen] of ['b', 'c', 'a'].entries()) sketch.saw(seen, index);
     assert.deepEqual(
@@ -97,8 +100,8 @@
   prefixes: fc.uniqueArray(fc.tuple(name, fc.nat(50)), { selector: ([first]) => first, maxLength: 12 }),
 });
 
-describe('the order that all agree on', () => {
-  test('the same facts lead to the same order, in whatever order they came', () => {
+describe('ranking of the demand of the fleet', () => {
+  test('the same facts lead to the same ranking, in whatever order they arrive', () => {
     fc.assert(
       fc.property(fc.array(fact, { maxLength: 6 }), fc.infiniteStream(fc.nat(1000)), (facts, draws) => {
         const shuffled = facts
@@ -118,7 +121,7 @@
     );
   });
 
-  test('equal counts go by name, and the order is bounded', () => {
+  test('equal counts are ranked by name, and the ranking is bounded', () => {
     const prefixes = Array.from({ length: 16 }, (_, index) => [`n${String(99 - index)}`, 1] as const);
     assert.equal(PrefixDemand.ranked([{ agent: 'p', total: 16, prefixes }])[0]?.name, 'n84');
     const facts = Array.from({ length: 20 }, (_, agent): DemandFact => ({
@@ -129,7 +132,7 @@
     assert.equal(PrefixDemand.ranked(facts).length, DemandLimits.ranked);
   });
 
-  test('nonsense is no fact', () => {
+  test('rejects malformed facts', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
         assert.equal(PrefixDemand.isFact(value), false);
@@ -161,8 +164,8 @@
   { minLength: 1, maxLength: 20 },
 );
 
-describe('where copies belong', () => {
-  test('each prefix has one place at least, as many as its share asks for, and no engine more than its part', () => {
+describe('assignment of copies to engines', () => {
+  test('each prefix has at least one engine, as many as its share of the demand requires, and no engine has too many prefixes', () => {
     fc.assert(
       fc.property(wantedList, engineNames, (wanted, engines) => {
         const given = CopyPlaces.assign(wanted, engines, places);
@@ -172,13 +175,13 @@
           const own = given.get(prefix) ?? [];
           assert.equal(own.length, CopyPlaces.copies(sharePerMille, engines.length, places));
           assert.ok(own.length >= 1 && own.length <= Math.min(4, engines.length));
-          assert.equal(new Set(own).size, own.length, 'on different engines');
+          assert.equal(new Set(own).size, own.length, 'all copies are on different engines');
           for (const engine of own) taken.set(engine, (taken.get(engine) ?? 0) + 1);
           all += own.length;
         }
         for (const [engine, count] of taken) {
           assert.ok(engines.includes(engine));
-          assert.ok(count <= Math.ceil(all / engines.length) + 4, 'none is heaped up');
+          assert.ok(count <= Math.ceil(all / engines.length) + 4, 'no engine has too many copies');
         }
         assert.deepEqual(CopyPlaces.assign(wanted, [...engines], places), given);
       }),
@@ -186,14 +189,14 @@
     );
   });
 
-  test('as many prefixes as engines, wanted alike, get an engine each', () => {
+  test('as many prefixes as engines, with equal demand, get one engine each', () => {
     const engines = ['e1', 'e2', 'e3', 'e4', 'e5'];
     const wanted = ['a', 'b', 'c', 'd', 'e'].map((prefix): Wanted => ({ name: prefix, count: 9, sharePerMille: 100 }));
     const given = CopyPlaces.assign(wanted, engines, places);
     assert.equal(new Set([...given.values()].flat()).size, 5);
   });
 
-  test('an engine that goes moves few of the places on the others', () => {
+  test('removing an engine moves few of the copies on the other engines', () => {
     const engines = Array.from({ length: 10 }, (_, index) => `e${index}`);
     const wanted = Array.from({ length: 40 }, (_, index): Wanted => ({
       name: `p${index}`,
@@ -218,13 +221,13 @@
 };
 const engines = ['e3', 'e1', 'e2'];
 
-describe('what a proxy knows of the demand', () => {
-  test('proxies that hold the same facts name the same places, whatever each was asked for itself', () => {
+describe('the demand as a proxy sees it', () => {
+  test('proxies with the same facts assign the same engines, whatever requests each has received itself', () => {
     const views = [1, 2].map((which) => {
       const facts = new FactBook();
       const clock = handClock();
       const view = new DemandView(facts, clock, DemandSettings.usual);
-      if (which === 1) view.saw('mine alone');
+      if (which === 1) view.saw('only here');
       for (const agent of which === 1 ? ['p', 'q'] : ['q', 'p']) {
         member(facts, agent);
         say(
@@ -251,20 +254,20 @@
     );
     for (const prefix of ['a', 'b', 'c', 'unknown'])
       assert.deepEqual(one?.places(prefix, engines), two?.places(prefix, [...engines].reverse()), prefix);
-    assert.equal(one?.places('a', engines).length, 3, 'most of the demand');
+    assert.equal(one?.places('a', engines).length, 3, 'the prefix has most of the demand');
     assert.equal(one?.places('unknown', engines).length, 1);
     assert.ok(one?.isWanted('b') === true && !one.isWanted('c') && !one.isWanted('unknown'));
   });
 
-  test('what a daemon told counts while it is there', () => {
+  test('the demand published by a daemon counts while the daemon is present', () => {
     const facts = new FactBook();
     const clock = handClock();
     const view = new DemandView(facts, clock, DemandSettings.usual);
     const later = (): void => void (clock.now += 1_000_000);
     say(facts, 'p', [['a', 9]]);
-    assert.deepEqual(view.wanted(), [], 'nobody knows that daemon');
+    assert.deepEqual(view.wanted(), [], 'the daemon is not a known member');
     member(facts, 'p');
-    assert.deepEqual(view.wanted(), [], 'it is not worked out with every word');
+    assert.deepEqual(view.wanted(), [], 'the ranking is not computed again with every fact');
     later();
     assert.equal(view.wanted().length, 1);
     member(facts, 'p', 'gone', 2);
@@ -276,7 +279,7 @@
     assert.deepEqual(view.wanted(), []);
   });
 
-  test('the agent is told once a second', () => {
+  test('publishes once a second', () => {
     const clock = handClock();
     const view = new DemandView(new FactBook(), clock, DemandSettings.usual);
     view.saw('a');
@@ -287,7 +290,7 @@
     assert.deepEqual(view.telling().demand?.prefixes, [['a', 2]]);
   });
 
-  test('switched off it counts nothing, tells nothing and knows nothing', () => {
+  test('counts, publishes and ranks nothing if switched off', () => {
     const facts = new FactBook();
     member(facts, 'p');
     say(facts, 'p', [['a', 9]]);
@@ -299,7 +302,9 @@
   });
 });
 
-const teller = (daemons = 9): Readonly<{ clock: ReturnType<typeof handClock>; facts: FactBook; one: DemandTeller }> => {
+const publisher = (
+  daemons = 9,
+): Readonly<{ clock: ReturnType<typeof handClock>; facts: FactBook; one: DemandTeller }> => {
   const clock = handClock();
   const facts = new FactBook();
   const one = new DemandTeller(
@@ -311,52 +316,53 @@
   );
   return { clock, facts, one };
 };
-const told = (facts: FactBook): DemandFact | undefined => facts.value(FactKeys.demand('p'));
+const published = (facts: FactBook): DemandFact | undefined => facts.value(FactKeys.demand('p'));
 
-describe('what an agent tells the fleet of it', () => {
-  test('seldom, and only what has changed', () => {
-    const { clock, facts, one } = teller();
+describe('publication of the demand of a proxy', () => {
+  test('publishes rarely, and only changes', () => {
+    const { clock, facts, one } = publisher();
     one.hear({ total: 10, prefixes: [['a', 5]] });
-    assert.equal(told(facts)?.total, 10);
+    assert.equal(published(facts)?.total, 10);
     const { changes } = facts;
     clock.now = 500_000;
     one.hear({ total: 30, prefixes: [['b', 9]] });
-    assert.equal(facts.changes, changes, 'it has just said something');
+    assert.equal(facts.changes, changes, 'it has published a moment ago');
     clock.now = 3_000_000;
     one.hear({ total: 11, prefixes: [['a', 6]] });
-    assert.equal(facts.changes, changes, 'about the same');
+    assert.equal(facts.changes, changes, 'the counts are about the same');
     one.hear({ total: 11, prefixes: [['a', 8]] });
-    assert.deepEqual(told(facts)?.prefixes, [['a', 8]]);
+    assert.deepEqual(published(facts)?.prefixes, [['a', 8]]);
     clock.now = 6_000_000;
     one.clear();
-    assert.deepEqual(told(facts), { agent: 'p', total: 0, prefixes: [] });
+    assert.deepEqual(published(facts), { agent: 'p', total: 0, prefixes: [] });
     clock.now = 9_000_000;
     const after = facts.changes;
     one.clear();
-    assert.equal(facts.changes, after, 'and once is enough');
+    assert.equal(facts.changes, after, 'the empty demand is published only once');
   });
 
-  test('a large fleet tells less each, and less often, so that all together say about as much', () => {
+  test('each proxy of a large fleet publishes fewer entries less often, so that the total stays about the same', () => {
     const prefixes = Array.from({ length: 16 }, (_, index) => [`n${index}`, 20 - index] as const);
-    const { clock, facts, one } = teller(73);
+    const { clock, facts, one } = publisher(73);
     one.hear({ total: 100, prefixes });
-    assert.equal(told(facts)?.prefixes.length, 4);
+    assert.equal(published(facts)?.prefixes.length, 4);
     clock.now = 5_000_000;
     one.hear({ total: 900, prefixes: [] });
-    assert.equal(told(facts)?.total, 100);
+    assert.equal(published(facts)?.total, 100);
     clock.now = 10_000_000;
     one.hear({ total: 900, prefixes: [] });
-    assert.equal(told(facts)?.total, 900);
+    assert.equal(published(facts)?.total, 900);
   });
 
-  test('nonsense of a proxy is told to nobody', () => {
-    const { facts, one } = teller();
-    for (const said of [undefined, null, 'x', {}, { total: 1 }, { total: 1, prefixes: [['a', -1]] }]) one.hear(said);
-    assert.equal(told(facts), undefined);
+  test('does not publish malformed demand', () => {
+    const { facts, one } = publisher();
+    for (const malformed of [undefined, null, 'x', {}, { total: 1 }, { total: 1, prefixes: [['a', -1]] }])
+      one.hear(malformed);
+    assert.equal(published(facts), undefined);
   });
 });
 
-const prefixOrder = (prefix: string, own: string): Order => ({
+const requestWithPrefix = (prefix: string, suffix: string): Order => ({
   id: 'o',
   method: 'POST',
   path: '/',
@@ -366,23 +372,23 @@
   arrivedMicroseconds: 0,
   parts: [
     { name: prefix, size: 13_000 },
-    { name: own, size: 3_000 },
+    { name: suffix, size: 3_000 },
   ],
   promptTokens: 16_000,
 });
 
-/** Three engines of one pool, `keepers` of which keep the prefix; `waits`: tokens that each reads already. */
+/** Places a request in a pool of three engines, of which `holders` cache the prefix; `waits`: tokens that each engine must prefill first. */
 const placed = async (
-  keepers: readonly string[],
-  belongs: readonly string[],
+  holders: readonly string[],
+  copyEngines: readonly string[],
   { isOn = true, waits = {} }: { isOn?: boolean; waits?: Readonly<Record<string, number>> } = {},
 ): Promise<Readonly<{ engine: string | undefined; offers: readonly DeskOffer[]; counted: Metrics }>> => {
   const clock = handClock();
-  const order = prefixOrder('rules', 'own');
+  const request = requestWithPrefix('rules', 'own');
   const shape = { linkBytesPerSecond: 137_500_000_000, tokenBytes: 163_840, keptTokens: 150_000 };
   const service = { ...pool, shape };
   const resolved = { service, trustDomain: 'shared', mapping: { service: 'pool' } } as unknown as Resolved;
-  const keys = new PromptKeys(resolved, order);
+  const keys = new PromptKeys(resolved, request);
   const view = {
     addressOf: (holder: string) => `${holder}:1`,
     zoneOf: () => 'z',
@@ -393,10 +399,10 @@
   } as unknown as EngineView;
   const demandView = {
     settings: { ...DemandSettings.usual, isOn },
-    places: () => belongs,
+    places: () => copyEngines,
   } as unknown as DemandView;
   const offers: DeskOffer[] = [];
-  const desk = {
+  const scheduler = {
     reserve: (asked: DeskOrder) => {
       offers.push(...asked.offers);
       return Promise.resolve(undefined);
@@ -410,7 +416,7 @@
     seededRandom(1),
     'z',
     new Lanes(clock, LaneSettings.usual),
-    desk,
+    scheduler,
     WorkPlacementSettings.usual,
     demandView,
     counted,
@@ -425,23 +431,27 @@
     zone: 'z',
     work: { reading: waits[engine] ?? 0, tokens: 0 },
   }));
-  const found = keepers.map((holder) => ({ holder, matched: 1, bootEpoch: 'b', epoch: 1 }));
+  const found = holders.map((holder) => ({ holder, matched: 1, bootEpoch: 'b', epoch: 1 }));
   const lookUp = (): LookUp => (found.length === 0 ? { kind: 'miss', reason: 'absent' } : { kind: 'prefixHit', found });
-  const chosen = await placer.place(candidates, order, resolved, keys, lookUp);
+  const chosen = await placer.place(candidates, request, resolved, keys, lookUp);
   return { engine: chosen?.engine, offers, counted };
 };
 
-describe('where an order goes', () => {
-  test('an engine that keeps its prefix goes before one more copy, for longer where none belongs', async () => {
+describe('placement of a request with a shared prefix', () => {
+  test('prefers an engine that caches the prefix to one more copy, more strongly if the copy is not assigned', async () => {
     const busy = { waits: { e1: 5_000 } };
     assert.equal((await placed(['e1'], ['e1'])).engine, 'e1');
-    assert.notEqual((await placed(['e1'], ['e1'], { ...busy, isOn: false })).engine, 'e1', 'nobody counts');
+    assert.notEqual((await placed(['e1'], ['e1'], { ...busy, isOn: false })).engine, 'e1', 'demand is switched off');
     assert.equal((await placed(['e1'], ['e1'], busy)).engine, 'e1', 'the copy costs more than the wait');
-    assert.equal((await placed(['e1'], ['e1', 'e3'], busy)).engine, 'e3', 'a copy belongs there');
-    assert.notEqual((await placed(['e1'], ['e1'], { waits: { e1: 50_000 } })).engine, 'e1', 'no wait is for ever');
+    assert.equal((await placed(['e1'], ['e1', 'e3'], busy)).engine, 'e3', 'a copy is assigned to e3');
+    assert.notEqual(
+      (await placed(['e1'], ['e1'], { waits: { e1: 50_000 } })).engine,
+      'e1',
+      'a long wait outweighs a copy',
+    );
   });
 
-  test('where nobody keeps it the first place reads it, and no copy costs anything', async () => {
+  test('if no engine caches the prefix, the first assigned engine prefills it, at no cost for a copy', async () => {
     for (const first of ['e1', 'e2', 'e3']) {
       const { engine, offers } = await placed([], [first]);
       assert.equal(engine, first);
@@ -449,7 +459,7 @@
     }
   });
 
-  test('the desk hears of it with each offer, and keeps to it', async () => {
+  test('each offer to the scheduler has the cost of a copy, which the scheduler takes into account', async () => {
     const { offers, counted } = await placed(['e1'], ['e1', 'e3'], { waits: { e3: 1_000 } });
     const copies = Object.fromEntries(offers.map(([engine, , , , , copy]) => [engine, copy]));
     assert.equal(copies['e1'], undefined);
@@ -457,37 +467,40 @@
     assert.ok((copies['e3'] ?? 0) < 0);
     assert.equal(counted.value('postdrum_prefix_copies_total', { copy: 'kept' }), 1);
     assert.ok(DeskMessages.isOrder({ order: 'o', prefix: 'p', offers }));
-    const desk = new WorkDesk(handClock());
+    const scheduler = new WorkDesk(handClock());
     const offer = (engine: string, copy: number): DeskOffer => [engine, 0, 250_000, 50_000, 20_000, copy];
-    assert.equal(desk.reserve({ order: 'x', prefix: 'p', offers: [offer('a', 100_000), offer('b', 0)] }).engine, 'b');
-    desk.done('b', 'x', true);
-    const joined = desk.reserve({ order: 'y', prefix: 'p', offers: [offer('a', 0), offer('b', 100_000)] });
-    assert.equal(joined.engine, 'b', 'it has just been read there, which the asker may not know');
+    assert.equal(
+      scheduler.reserve({ order: 'x', prefix: 'p', offers: [offer('a', 100_000), offer('b', 0)] }).engine,
+      'b',
+    );
+    scheduler.done('b', 'x', true);
+    const joined = scheduler.reserve({ order: 'y', prefix: 'p', offers: [offer('a', 0), offer('b', 100_000)] });
+    assert.equal(joined.engine, 'b', 'b has just prefilled the prefix, which the requesting proxy may not know');
   });
 
-  test('weights change, and the name that a prefix is counted under does not', () => {
+  test('the name that a prefix is counted under does not depend on the weights', () => {
     const one = new PromptKeys(
       { service: { ...pool, weights: '1' }, trustDomain: 'shared' } as unknown as Resolved,
-      prefixOrder('rules', 'own1'),
+      requestWithPrefix('rules', 'own1'),
     );
     const two = new PromptKeys(
       { service: { ...pool, weights: '2' }, trustDomain: 'shared' } as unknown as Resolved,
-      prefixOrder('rules', 'own2'),
+      requestWithPrefix('rules', 'own2'),
     );
     const walled = new PromptKeys(
       { service: pool, trustDomain: 'walled/a' } as unknown as Resolved,
-      prefixOrder('rules', 'own1'),
+      requestWithPrefix('rules', 'own1'),
     );
     assert.equal(one.prefix(), two.prefix());
     assert.notEqual(one.prefix(), walled.prefix());
     assert.match(one.prefix(), /^[0-9a-f]{12}$/);
     const short = new PromptKeys({ service: pool, trustDomain: 'shared' } as unknown as Resolved, {
-      ...prefixOrder('rules', 'own1'),
+      ...requestWithPrefix('rules', 'own1'),
       parts: [
         { name: 'rules', size: 90 },
         { name: 'own', size: 300 },
       ],
     });
-    assert.equal(short.prefix(), '', 'too short to be worth it');
+    assert.equal(short.prefix(), '', 'the prefix is too short to be counted');
   });
 });
--- a/tests/feed-unreadable-answer.test.ts
+++ b/tests/feed-unreadable-answer.test.ts
@@ -1,4 +1,4 @@
-/** An agent's answer that cannot be read must not end the proxy. */
+/** Guards against a proxy that exits on an uncaught error when the answer of an agent cannot be parsed. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { EdgeProxy, ProxyDefaults } from '../source/edge-proxy/edgeProxy';
@@ -8,13 +8,13 @@
 
 const fleet = 'fleet-a';
 const unreadable = { kind: 'newsBack', fleet, statements: [], pulses: [], revisions: {}, shards: [null] };
-const watchedMicroseconds = 1_000_000;
+const observedMicroseconds = 1_000_000;
 
-/** Errors that nobody caught while a proxy was fed so. */
+/** Errors that were not caught while a proxy received such answers. */
 const uncaughtErrors = async (): Promise<readonly unknown[]> => {
   const world = new World(1);
   const uncaught: unknown[] = [];
-  const note = (error: unknown): void => void uncaught.push(error);
+  const recordError = (error: unknown): void => void uncaught.push(error);
   const transport: Transport = {
     ask: () => Promise.resolve({ kind: 'answered', message: unreadable }),
     listen: () => Promise.reject(new Error('a proxy does not listen')),
@@ -22,20 +22,20 @@
   };
   const settings = { ...ProxyDefaults, name: 'edge-1', zone: 'a', agentAddress: '10.0.0.1:1', isOnlyFleet: true };
   const proxy = new EdgeProxy({ clock: world.clock, random: world.random, transport }, {} as BackEndSender, settings);
-  process.on('unhandledRejection', note);
+  process.on('unhandledRejection', recordError);
   try {
     proxy.start();
-    await world.runFor(watchedMicroseconds);
+    await world.runFor(observedMicroseconds);
     await proxy.stop();
     await new Promise((resolve) => setImmediate(resolve));
   } finally {
-    process.off('unhandledRejection', note);
+    process.off('unhandledRejection', recordError);
   }
   return uncaught;
 };
 
-describe('an agent whose answer cannot be read', () => {
-  test('no error goes uncaught, which would end the proxy', async () => {
+describe('an agent whose answer cannot be parsed', () => {
+  test('causes no uncaught error, which would end the proxy', async () => {
     assert.deepEqual(await uncaughtErrors(), []);
   });
 });
--- a/tests/feed-volume.test.ts
+++ b/tests/feed-volume.test.ts
@@ -3,15 +3,15 @@
 import { makeBusy, type Elsewhere } from './support/busyFleet';
 import { blueprintOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
-/** 7 Mbit/s: what an edge machine's link carries. */
+/** 7 Mbit/s, the link capacity of an edge machine. */
 const linkBytesPerSecond = 875_000;
-/** One zone of a fleet of 195 proxies, fed by three agents. */
+/** One zone of a fleet of 195 proxies, with three agents for its proxies. */
 const zone = { edges: 39, agents: 3 } as const;
 const elsewhere: Elsewhere = { proxies: 156, engines: 41, loadsPerSecond: 145, partsPerSecond: 215 };
 const settleMicroseconds = 3_000_000;
-/** Until an agent that is gone is known to be, and its proxies are fed by others. */
-const movedMicroseconds = 4_000_000;
-/** Within this time of its confirmation a change is in force on each machine in touch. */
+/** Time until the failure of an agent is detected and its proxies use other agents. */
+const failoverMicroseconds = 4_000_000;
+/** Time after its confirmation within which a change is in force on each connected machine. */
 const applyMicroseconds = 2_500_000;
 const routes = 350;
 const changePauseMicroseconds = 200_000;
@@ -26,8 +26,8 @@
 const agentBytes = ({ fleet }: FedFleet): readonly number[] =>
   fleet.edges.filter((edge) => fleet.hasAgent(edge)).map(({ machine }) => fleet.network.bytesFrom(machine));
 
-describe('what agents tell the proxies of a large fleet fits their links', () => {
-  test('under steady load an agent uses less than half of its link', async () => {
+describe('traffic from agents to the proxies of a large fleet', () => {
+  test('uses less than half of the link of an agent under steady load', async () => {
     const fed = await busyZone(3);
     const before = agentBytes(fed);
     await fed.world.runFor(settleMicroseconds);
@@ -38,10 +38,10 @@
   });
 
   for (const seed of [4, 5])
-    test(`two of three agents are lost: changes in quick succession are in force in time, seed ${seed}`, async () => {
+    test(`delivers changes in quick succession in time after the loss of two of three agents, seed ${seed}`, async () => {
       const fed = await busyZone(seed);
       for (const index of [0, 1]) fed.fleet.edge(index).agentProcess.kill();
-      await fed.world.runFor(movedMicroseconds);
+      await fed.world.runFor(failoverMicroseconds);
       for (const weights of ['w2', 'w3', 'w4']) {
         assert.ok((await fed.fleet.take('blueprint', blueprintOf(routes, weights))) !== undefined);
         await fed.world.runFor(changePauseMicroseconds);
--- a/tests/mechanisms.test.ts
+++ b/tests/mechanisms.test.ts
@@ -11,20 +11,20 @@
   retrySlack: 100,
   retryWindowMicroseconds: 10_000_000,
 };
-const usual = FleetBounds.settings(bounds, 'p', '10.0.0.1:1');
+const defaults = FleetBounds.settings(bounds, 'p', '10.0.0.1:1');
 
-test('each mechanism can be switched off alone, and only its own settings change', () => {
+test('switching off one mechanism changes only its own settings', () => {
   for (const name of Mechanisms.names) {
-    const changed = Mechanisms.without(usual, [name]);
-    const differing = Object.keys(usual).filter(
-      (key) => changed[key as keyof typeof usual] !== usual[key as keyof typeof usual],
+    const changed = Mechanisms.without(defaults, [name]);
+    const differing = Object.keys(defaults).filter(
+      (key) => changed[key as keyof typeof defaults] !== defaults[key as keyof typeof defaults],
     );
     assert.equal(differing.length, 1, `${name}: ${differing.join(', ')}`);
   }
-  assert.deepEqual(Mechanisms.without(usual, []), usual);
+  assert.deepEqual(Mechanisms.without(defaults, []), defaults);
 });
 
-test('names are read from a list, and one that is no mechanism is refused with a sentence', () => {
+test('parses a list of names, and rejects an unknown name with an error message', () => {
   assert.deepEqual(Mechanisms.parse(''), []);
   assert.deepEqual(Mechanisms.parse('lanes,desk'), ['lanes', 'desk']);
   assert.throws(() => Mechanisms.parse('lanes,none'), /there is no mechanism "none"; there are lanes, /);
--- a/tests/outliers-fleet.test.ts
+++ b/tests/outliers-fleet.test.ts
@@ -8,7 +8,7 @@
 import { World } from '../source/fleet-simulator/world/world';
 import { FactKeys, type LoadFact } from '../source/shared/news/factTypes';
 
-const without: SimShape = {
+const withoutEjection: SimShape = {
   ...usualShape,
   proxy: { outliers: { ...OutlierSettings.usual, ejectPerMille: 0 } },
 };
@@ -24,7 +24,7 @@
   return { world, fleet };
 };
 
-/** Short orders, one every 12 ms, at one daemon after the other, until what is returned is called. */
+/** Sends a short request every 12 ms, to each proxy in turn, until `stop` is called. */
 const traffic = (world: World, fleet: SimFleet): Readonly<{ calls: readonly SimCall[]; stop: () => void }> => {
   const calls: SimCall[] = [];
   let stopped = false;
@@ -48,7 +48,7 @@
     (arrival) => arrival.engine === engine && arrival.atMicroseconds >= from && arrival.atMicroseconds < until,
   ).length;
 
-const failingTold = (fleet: SimFleet): boolean =>
+const hasFailureReports = (fleet: SimFleet): boolean =>
   fleet.edges.some(({ agent }) =>
     fleet.edges.some(({ name }) => {
       const load = agent.facts.value<LoadFact>(FactKeys.load(name));
@@ -56,7 +56,7 @@
     }),
   );
 
-test('of the orders in days with a grey engine, less than half as many fail as with the mechanism cut out', async () => {
+test('with ejection, less than half as many requests fail in days with a partly failing engine as without it', async () => {
   const failed = async (shape: SimShape): Promise<number> => {
     let sum = 0;
     for (let seed = 1; seed <= 4; seed += 1) {
@@ -65,28 +65,28 @@
     }
     return sum;
   };
-  const [withIt, cutOut] = [await failed(usualShape), await failed(without)];
-  assert.ok(withIt * 2 < cutOut, `${withIt} with it, ${cutOut} without`);
+  const [failedWith, failedWithout] = [await failed(usualShape), await failed(withoutEjection)];
+  assert.ok(failedWith * 2 < failedWithout, `${failedWith} with ejection, ${failedWithout} without`);
 });
 
-test('a grey engine is left out, told of while it fails, and gets its orders back when it is well', async () => {
+test('a partly failing engine is ejected, reported while it fails, and receives requests again once it recovers', async () => {
   const { world, fleet } = await started(31);
   const { stop } = traffic(world, fleet);
   await world.runFor(2_000_000);
-  assert.equal(failingTold(fleet), false, 'at rest nothing is told');
-  const ill = fleet.engineNames[2] ?? '';
-  const mend = fleet.backEnds.sicken(ill, 'fails', 500);
+  assert.equal(hasFailureReports(fleet), false, 'nothing is reported without failures');
+  const failing = fleet.engineNames[2] ?? '';
+  const recover = fleet.backEnds.sicken(failing, 'fails', 500);
   await world.runFor(3_000_000);
   const from = world.nowMicroseconds;
   await world.runFor(2_000_000);
-  assert.ok(sentTo(fleet, ill, from) <= 4, `${sentTo(fleet, ill, from)}`);
-  mend();
+  assert.ok(sentTo(fleet, failing, from) <= 4, `${sentTo(fleet, failing, from)}`);
+  recover();
   await world.runFor(16_000_000);
   const back = world.nowMicroseconds;
   await world.runFor(4_000_000);
   stop();
-  assert.ok(sentTo(fleet, ill, back) > 40, `${sentTo(fleet, ill, back)}`);
-  assert.equal(failingTold(fleet), false, 'at rest again nothing is told');
+  assert.ok(sentTo(fleet, failing, back) > 40, `${sentTo(fleet, failing, back)}`);
+  assert.equal(hasFailureReports(fleet), false, 'nothing is reported after the recovery');
   await world.runFor(3_000_000);
   assert.deepEqual(
     judgeAll(fleet).broken.filter(({ point }) => point !== 'failingServed'),
@@ -94,16 +94,21 @@
   );
 });
 
-/** As above, with an allowance of second sends that cannot run dry: an order is then sent again whenever it may run again. */
-const everRepeating: SimShape = {
-  ...without,
-  proxy: { ...without.proxy, retryPerMille: 1000, retryFleetAllowance: 10_000, retryAllowanceMicroseconds: 1_000_000 },
+/** Without ejection, and with a retry budget that cannot run out: a request is retried whenever it may run again. */
+const unlimitedRetries: SimShape = {
+  ...withoutEjection,
+  proxy: {
+    ...withoutEjection.proxy,
+    retryPerMille: 1000,
+    retryFleetAllowance: 10_000,
+    retryAllowanceMicroseconds: 1_000_000,
+  },
 };
 
-const oneGreyEngine = async (
+const runWithFailingEngine = async (
   seed: number,
   shape: SimShape,
-): Promise<Readonly<{ fleet: SimFleet; told: (resumable: boolean) => number }>> => {
+): Promise<Readonly<{ fleet: SimFleet; serverErrors: (resumable: boolean) => number }>> => {
   const { world, fleet } = await started(seed, shape);
   const { calls, stop } = traffic(world, fleet);
   await world.runFor(4_000_000);
@@ -111,33 +116,33 @@
   await world.runFor(6_000_000);
   stop();
   await world.runFor(3_000_000);
-  const told = (resumable: boolean): number =>
+  const serverErrors = (resumable: boolean): number =>
     calls.filter((call) => call.resumable === resumable && call.status === 500).length;
-  return { fleet, told };
+  return { fleet, serverErrors };
 };
 
 for (const seed of [34, 35, 36, 37, 38, 39])
-  test(`an engine's own 500 to a request that may run again goes to another engine, others get it, seed ${seed}`, async () => {
-    const { fleet, told } = await oneGreyEngine(seed, everRepeating);
-    assert.ok(told(false) >= 3, `${told(false)}`);
-    assert.equal(told(true), 0);
-    // The judge of further tries goes by the usual allowance, which is widened here.
+  test(`retries a request that may run again elsewhere after a 500 of its engine, and passes the 500 on otherwise, seed ${seed}`, async () => {
+    const { fleet, serverErrors } = await runWithFailingEngine(seed, unlimitedRetries);
+    assert.ok(serverErrors(false) >= 3, `${serverErrors(false)}`);
+    assert.equal(serverErrors(true), 0);
+    // The judge of retries checks the default budget, which is exceeded here.
     assert.deepEqual(
       judgeAll(fleet).broken.filter(({ point }) => point !== 'failingServed' && point !== 'retries'),
       [],
     );
   });
 
-test('with the usual allowance of second sends, an engine that answers 500 breaks no rule', async () => {
-  const { fleet, told } = await oneGreyEngine(34, without);
-  assert.ok(told(false) >= 3, `${told(false)}`);
+test('an engine that answers 500 causes no violation with the default retry budget', async () => {
+  const { fleet, serverErrors } = await runWithFailingEngine(34, withoutEjection);
+  assert.ok(serverErrors(false) >= 3, `${serverErrors(false)}`);
   assert.deepEqual(
     judgeAll(fleet).broken.filter(({ point }) => point !== 'failingServed'),
     [],
   );
 });
 
-test('all engines failing alike are all kept', async () => {
+test('keeps all engines if all fail alike', async () => {
   const { world, fleet } = await started(32);
   const { stop } = traffic(world, fleet);
   for (const name of fleet.engineNames) fleet.backEnds.sicken(name, 'fails', 500);
@@ -145,13 +150,13 @@
   const from = world.nowMicroseconds;
   await world.runFor(4_000_000);
   stop();
-  const got = fleet.engineNames.map((name) => sentTo(fleet, name, from));
-  const mean = got.reduce((sum, count) => sum + count, 0) / got.length;
-  assert.ok(got.filter((count) => count > mean / 3).length >= got.length - 1, got.join());
+  const sendCounts = fleet.engineNames.map((name) => sentTo(fleet, name, from));
+  const mean = sendCounts.reduce((sum, count) => sum + count, 0) / sendCounts.length;
+  assert.ok(sendCounts.filter((count) => count > mean / 3).length >= sendCounts.length - 1, sendCounts.join());
   await world.runFor(3_000_000);
 });
 
-test('an engine whose control side alone is silent goes on, and one that is dead does not', async () => {
+test('keeps using an engine of which only the control endpoint is silent, and stops using a dead one', async () => {
   const { world, fleet } = await started(33);
   const { calls, stop } = traffic(world, fleet);
   const [silent = '', dead = ''] = fleet.engineNames;
--- a/tests/outliers.test.ts
+++ b/tests/outliers.test.ts
@@ -32,7 +32,7 @@
 const someHistory = fc.array(fc.tuple(fc.integer({ min: 0, max: 20_000_000 }), someEvent), { maxLength: 60 });
 
 /** Each state with the event that led to it. */
-const walked = (
+const transitions = (
   history: readonly (readonly [number, (at: number) => OutlierEvent])[],
 ): readonly Readonly<{ before: OutlierState; event: OutlierEvent; after: OutlierState }>[] => {
   let state = OutlierStates.start;
@@ -46,8 +46,8 @@
   });
 };
 
-describe('states of an engine', () => {
-  test('the first ejection is short, each one in a row twice as long, and none is longer than the longest', () => {
+describe('state machine of an engine', () => {
+  test('each ejection in a row is twice as long as the one before, up to the maximum', () => {
     let state = OutlierStates.start;
     let at = 0;
     const lengths: number[] = [];
@@ -69,7 +69,7 @@
     );
   });
 
-  test('an engine that is good for long is no repeat offender any more', () => {
+  test('earlier ejections are reset once an engine has been good for long', () => {
     const state: OutlierState = { kind: 'good', offences: 3, atMicroseconds: 0 };
     const sound = (atMicroseconds: number): OutlierState =>
       OutlierStates.step(state, { kind: 'judged', verdict: 'sound', atMicroseconds }, settings);
@@ -77,7 +77,7 @@
     assert.equal(sound(settings.forgetMicroseconds).offences, 0);
   });
 
-  test('only those who try first end an ejection at its time; the others wait, and longer where it still fails', () => {
+  test('only the probing proxies end an ejection on time; the others wait, and longer while the engine still fails', () => {
     const state: OutlierState = { kind: 'ejected', offences: 1, atMicroseconds: 0, untilMicroseconds: 10 };
     const passed = (atMicroseconds: number, isProber: boolean, othersFail: boolean): OutlierState =>
       OutlierStates.step(state, { kind: 'passed', atMicroseconds, isProber, othersFail }, settings);
@@ -88,8 +88,8 @@
     assert.deepEqual(passed(later, false, true), { ...state, untilMicroseconds: later + settings.ejectMicroseconds });
   });
 
-  test('whatever happens: ways between states are the drawn ones, and what does not apply changes nothing', () => {
-    const ways: Readonly<Record<OutlierState['kind'], readonly OutlierState['kind'][]>> = {
+  test('any history follows only the allowed transitions, and an event that does not apply changes nothing', () => {
+    const allowed: Readonly<Record<OutlierState['kind'], readonly OutlierState['kind'][]>> = {
       good: ['good', 'suspected', 'ejected'],
       suspected: ['good', 'suspected', 'ejected'],
       ejected: ['ejected', 'probation'],
@@ -97,9 +97,9 @@
     };
     fc.assert(
       fc.property(someHistory, (history) => {
-        for (const { before, event, after } of walked(history)) {
-          assert.ok(ways[before.kind].includes(after.kind), `${before.kind} to ${after.kind}`);
-          // Why: nobody is sent to a failing engine before its time, whatever is told.
+        for (const { before, event, after } of transitions(history)) {
+          assert.ok(allowed[before.kind].includes(after.kind), `${before.kind} to ${after.kind}`);
+          // No request is sent to a failing engine before the ejection ends, whatever other proxies report.
           if (before.kind === 'ejected' && after.kind === 'probation')
             assert.ok(event.atMicroseconds >= before.untilMicroseconds);
           if (after.kind === 'ejected' && before.kind !== 'ejected') {
@@ -115,9 +115,9 @@
     );
   });
 
-  test('an engine that flaps is tried ever more seldom', () => {
+  test('a flapping engine is probed less and less often', () => {
     let state = OutlierStates.start;
-    let tries = 0;
+    let probeCount = 0;
     for (let at = 0; at < 300_000_000; at += 100_000) {
       if (state.kind === 'good')
         state = OutlierStates.step(state, { kind: 'judged', verdict: 'outlier', atMicroseconds: at }, settings);
@@ -127,12 +127,12 @@
         { kind: 'passed', isProber: true, othersFail: false, atMicroseconds: at },
         settings,
       );
-      if (before === 'ejected' && String(state.kind) === 'probation') tries += 1;
-      // Good for just as long as it is looked at, then down again.
+      if (before === 'ejected' && String(state.kind) === 'probation') probeCount += 1;
+      // The engine is good only while it is probed, then fails again.
       state = OutlierStates.step(state, { kind: 'answered', isGood: true, atMicroseconds: at }, settings);
     }
-    // 300 s of the first length alone would be 47.
-    assert.ok(tries <= 9, `${tries}`);
+    // With the length of the first ejection alone, 300 s would have 47 probes.
+    assert.ok(probeCount <= 9, `${probeCount}`);
   });
 });
 
@@ -145,8 +145,8 @@
 const named = (members: readonly Omit<PoolMember, 'name'>[]): readonly PoolMember[] =>
   members.map((member, place) => ({ ...member, name: `e${place}` }));
 
-describe('the bound on ejections', () => {
-  test('never more than its part of a pool, never so that the others lack room, never one that should stay', () => {
+describe('limit on ejections', () => {
+  test('never ejects more than its share of a pool, capacity that the others need, or an engine that should stay', () => {
     fc.assert(
       fc.property(
         fc.array(someMember, { maxLength: 12 }),
@@ -166,19 +166,19 @@
     );
   });
 
-  test('all that know the same leave out the same, in whatever order they hold it', () => {
+  test('the same information leads to the same ejections, in whatever order it is held', () => {
     fc.assert(
       fc.property(
         fc.array(someMember, { maxLength: 12 }),
         fc.infiniteStream(fc.double({ min: 0, max: 1, noNaN: true })),
         (members, draws) => {
           const pool = named(members);
-          const mixed = pool
+          const shuffled = pool
             .map((member) => ({ member, place: Number(draws.next().value) }))
             .sort((one, two) => one.place - two.place)
             .map(({ member }) => member);
           assert.deepEqual(
-            [...EjectionBound.out(mixed, settings)].sort(),
+            [...EjectionBound.out(shuffled, settings)].sort(),
             [...EjectionBound.out(pool, settings)].sort(),
           );
         },
@@ -186,7 +186,7 @@
     );
   });
 
-  test('an engine is not taken out of a pool of two, and one of three is', () => {
+  test('ejects no engine of a pool of two, and one engine of a pool of four', () => {
     const pool = (count: number): readonly PoolMember[] =>
       Array.from({ length: count }, (_, place) => ({
         name: `e${place}`,
@@ -207,13 +207,13 @@
 ): Evidence => ({
   name,
   own: { good: own[0], failed: own[1] },
-  others: { good: others[0], failed: others[1], tellers: others[2] },
+  others: { good: others[0], failed: others[1], reporters: others[2] },
 });
 const verdicts = (pool: readonly Evidence[], proxies = 4): Readonly<Record<string, string>> =>
   Object.fromEntries(OutlierVerdicts.of(pool, proxies, settings));
 
 describe('verdicts', () => {
-  test('one engine that fails a part of its orders is an outlier, the others are sound', () => {
+  test('an engine that fails some of its requests is an outlier, the others are sound', () => {
     assert.deepEqual(verdicts([item('a', [10, 4]), item('b', [15, 0]), item('c', [15, 0])]), {
       a: 'outlier',
       b: 'sound',
@@ -221,35 +221,35 @@
     });
   });
 
-  test('few failures make an engine doubtful, no more', () => {
+  test('few failures only make an engine doubtful', () => {
     assert.equal(verdicts([item('a', [8, 1]), item('b', [9, 0]), item('c', [9, 0])])['a'], 'doubtful');
   });
 
-  test('where no proxy sees enough alone, what all tell together is enough', () => {
+  test('reports of all proxies together suffice if no proxy alone has enough failures', () => {
     const pool = [item('a', [0, 1], [2, 8, 7]), item('b', [1, 0]), item('c', [1, 0]), item('d', [1, 0])];
     assert.equal(verdicts(pool, 30)['a'], 'outlier');
   });
 
-  test('one proxy whose link fails speaks for nobody', () => {
+  test('a single proxy with a failing link does not decide for others', () => {
     const pool = [item('a', [5, 0], [0, 40, 1]), item('b', [5, 0]), item('c', [5, 0])];
     assert.deepEqual(new Set(Object.values(verdicts(pool))), new Set(['sound']));
   });
 
-  test('an engine that fails for others alone keeps the orders of those it answers', () => {
+  test('an engine that fails only for other proxies stays sound for a proxy that it answers', () => {
     const pool = [item('a', [30, 0], [0, 60, 5]), item('b', [30, 0]), item('c', [30, 0])];
     assert.equal(verdicts(pool)['a'], 'sound');
   });
 
-  test('failures at all engines alike eject none, whatever their number', () => {
+  test('equal failures at all engines eject none, whatever their number', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 2, max: 42 }),
         fc.integer({ min: 1, max: 50 }),
         fc.integer({ min: 0, max: 50 }),
         fc.integer({ min: 0, max: 70 }),
-        (engines, failed, good, tellers) => {
+        (engines, failed, good, reporters) => {
           const pool = Array.from({ length: engines }, (_, place) =>
-            item(`e${place}`, [good, failed], [good, failed, tellers]),
+            item(`e${place}`, [good, failed], [good, failed, reporters]),
           );
           assert.ok(Object.values(verdicts(pool, 70)).every((verdict) => verdict === 'sound'));
         },
@@ -257,12 +257,12 @@
     );
   });
 
-  test("the own link failing: all of a proxy's orders fail, unevenly, and no engine is ejected for it", () => {
+  test('a proxy whose own link fails, so that all its requests fail unevenly, ejects no engine', () => {
     const pool = [item('a', [0, 12]), item('b', [0, 4]), item('c', [1, 3]), item('d', [0, 6])];
     assert.ok(!Object.values(verdicts(pool)).includes('outlier'));
   });
 
-  test('no failures, no doubt', () => {
+  test('engines without failures are sound', () => {
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 0, max: 99 }), { maxLength: 20 }), (goods) => {
         const pool = goods.map((good, place) => item(`e${place}`, [good, 0]));
@@ -272,7 +272,7 @@
   });
 });
 
-test('answers count for one to two half windows', () => {
+test('responses count for one to two half windows', () => {
   fc.assert(
     fc.property(
       fc.array(fc.tuple(fc.integer({ min: 0, max: 2_000_000 }), fc.boolean()), { maxLength: 40 }),
@@ -306,7 +306,7 @@
   detector: OutlierDetector;
   review: (others?: readonly LoadFact[]) => void;
   standing: (name: string, isFree?: boolean) => string | undefined;
-  calm: () => void;
+  addGoodAnswers: () => void;
 }> => {
   const clock = new HandClock();
   const detector = new OutlierDetector('p1', clock, given);
@@ -322,7 +322,7 @@
           () => isFree,
         )
         .get(name),
-    calm: () => engines.forEach((name) => Array.from({ length: 6 }, () => detector.answered(name, 'good'))),
+    addGoodAnswers: () => engines.forEach((name) => Array.from({ length: 6 }, () => detector.answered(name, 'good'))),
   };
 };
 
@@ -330,40 +330,40 @@
   for (let time = 0; time < times; time += 1) detector.answered(name, 'failed');
 };
 
-describe('the detector', () => {
-  test('at rest nothing is told and no pool is looked at', () => {
-    const { detector, calm } = setUp();
-    calm();
+describe('outlier detector', () => {
+  test('without failures nothing is reported and no pool is evaluated', () => {
+    const { detector, addGoodAnswers } = setUp();
+    addGoodAnswers();
     assert.deepEqual(detector.telling(), {});
-    detector.review([], () => assert.fail('looked at'));
+    detector.review([], () => assert.fail('pools were evaluated'));
     assert.equal(detector.standingsIn([], () => true).size, 0);
   });
 
-  test('an engine that fails is told of while it does, ejected, tried by one order at a time, and good again', () => {
-    const { clock, detector, review, standing, calm } = setUp();
-    calm();
+  test('a failing engine is reported, ejected, probed by one request at a time, and good again', () => {
+    const { clock, detector, review, standing, addGoodAnswers } = setUp();
+    addGoodAnswers();
     fail(detector, 'e2', 3);
     assert.deepEqual(detector.telling(), { failing: { e2: [3, 6] } });
     review();
     assert.equal(standing('e2'), 'out');
     clock.pass(settings.ejectMicroseconds);
-    assert.deepEqual(detector.telling(), {}, 'nothing is told of old failures');
+    assert.deepEqual(detector.telling(), {}, 'old failures are not reported');
     review();
     assert.equal(standing('e2'), 'probation');
-    assert.equal(standing('e2', false), 'out', 'one order at a time');
+    assert.equal(standing('e2', false), 'out', 'one request at a time');
     for (let time = 0; time < settings.probeAnswers; time += 1) detector.answered('e2', 'good');
     assert.equal(standing('e2'), undefined);
-    calm();
+    addGoodAnswers();
     fail(detector, 'e2', 6);
     review();
     clock.pass(settings.ejectMicroseconds);
     review();
-    assert.equal(standing('e2'), 'out', 'a repeat offender stays out for longer');
+    assert.equal(standing('e2'), 'out', 'the second ejection is longer');
   });
 
   test('a failure on probation ejects again', () => {
-    const { clock, detector, review, standing, calm } = setUp();
-    calm();
+    const { clock, detector, review, standing, addGoodAnswers } = setUp();
+    addGoodAnswers();
     fail(detector, 'e2', 3);
     review();
     clock.pass(settings.ejectMicroseconds);
@@ -372,17 +372,17 @@
     assert.equal(standing('e2'), 'out');
   });
 
-  test('with the mechanism set to nothing no engine is ever left out', () => {
-    const { detector, review, standing, calm } = setUp({ ...settings, ejectPerMille: 0 });
-    calm();
+  test('no engine is ejected if ejection is off', () => {
+    const { detector, review, standing, addGoodAnswers } = setUp({ ...settings, ejectPerMille: 0 });
+    addGoodAnswers();
     fail(detector, 'e2', 30);
     review();
     assert.equal(standing('e2'), undefined);
   });
 
-  test('what others tell counts, and a caller that left soon says nothing of the engine', () => {
-    const { detector, review, standing, calm } = setUp();
-    calm();
+  test('reports of other proxies count, and a client that disconnected early does not', () => {
+    const { detector, review, standing, addGoodAnswers } = setUp();
+    addGoodAnswers();
     detector.answered('e1', 'silent', settings.silentMicroseconds - 1);
     assert.deepEqual(detector.telling(), {});
     const load = (agent: string): LoadFact => ({
@@ -397,32 +397,36 @@
     assert.equal(standing('e3'), 'out');
   });
 
-  test('an engine its steward does not hear goes on while its answers are good, those since that word', () => {
+  test('an engine that its controller cannot reach is used while its responses since that report are good', () => {
     const { clock, detector } = setUp();
     detector.answered('e1', 'good');
     clock.pass(settings.wordMicroseconds);
-    assert.equal(detector.answersThoughSilent('e1', '1.2'), false, 'older answers say nothing new');
+    assert.equal(detector.answersThoughSilent('e1', '1.2'), false, 'older responses do not count');
     clock.pass(1000);
     detector.answered('e1', 'good');
     assert.equal(detector.answersThoughSilent('e1', '1.2'), true);
-    assert.deepEqual(detector.telling(), { answering: ['e1'] }, 'and is vouched for');
+    assert.deepEqual(detector.telling(), { answering: ['e1'] }, 'the proxy reports that the engine answers');
     clock.pass(settings.wordMicroseconds);
-    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'another word, other answers');
+    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'a new report needs new responses');
     detector.answered('e1', 'good');
     assert.equal(detector.answersThoughSilent('e1', '1.3'), true);
     clock.pass(1000);
     detector.unreached('e1');
-    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'a conn that does not come up speaks against it');
+    assert.equal(
+      detector.answersThoughSilent('e1', '1.3'),
+      false,
+      'a failed connection attempt counts against the engine',
+    );
     clock.pass(1000);
     detector.answered('e1', 'good');
     clock.pass(settings.speaksMicroseconds);
-    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'not for ever');
+    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'a good response counts only for a limited time');
     detector.answered('e1', 'good');
     detector.heardOf('e1');
-    assert.deepEqual(detector.telling(), {}, 'nothing more is told once its steward hears it');
+    assert.deepEqual(detector.telling(), {}, 'nothing is reported once the controller reaches the engine again');
   });
 
-  test('an engine its steward does not hear goes on while another proxy vouches for it', () => {
+  test('an engine that its controller cannot reach is used while another proxy reports that it answers', () => {
     const { detector, review } = setUp();
     assert.equal(detector.answersThoughSilent('e1', '1.2'), false);
     review([{ agent: 'p2', engines: {}, classes: {}, waiting: {}, tenants: {}, answering: ['e1'] }]);
@@ -431,7 +435,7 @@
     assert.equal(detector.answersThoughSilent('e1', '1.2'), false);
   });
 
-  test('orders that may run again try an engine first; others only where there are none of those', () => {
+  test('requests that may run again probe an engine; others only if there are none of those', () => {
     const { clock, detector } = setUp();
     assert.equal(detector.mayProbe('pool', false), true);
     assert.equal(detector.mayProbe('pool', true), true);
@@ -443,7 +447,7 @@
     assert.deepEqual(Probes.among(offered, false), [offered[0]]);
   });
 
-  test('settings that cannot be used are told', () => {
+  test('reports invalid settings', () => {
     assert.equal(OutlierSettings.fault(settings), undefined);
     assert.match(OutlierSettings.fault({ ...settings, ejectPerMille: 501 }) ?? '', /per mille/);
     assert.match(OutlierSettings.fault({ ...settings, ejectMicroseconds: 1 }) ?? '', /as long as/);
--- a/tests/parts-planner.test.ts
+++ b/tests/parts-planner.test.ts
@@ -18,7 +18,7 @@
 
 const under = { services: { pool }, tenants: {} };
 const resolved = { service: pool, trustDomain: 'shared', mapping: { service: 'pool' }, under } as unknown as Resolved;
-const order = {
+const request = {
   id: 'o',
   method: 'POST',
   path: '/',
@@ -33,19 +33,19 @@
 };
 const storeShape = { address: 'store:1', zone: 'z', keptTokens: 2_000_000, linkBytesPerSecond: 37_500_000_000 };
 
-/** Two engines and, where asked for, a store; `keepers` are known to keep the shared part. */
+/** Two engines and optionally a store; `holders` are known to cache the shared part. */
 const setUp = (
-  keepers: readonly string[],
+  holders: readonly string[],
   hasStore = true,
   { wanted = false, isOn = true, storeTokens = 0, weights = '1' } = {},
 ): Readonly<{ moves: PartMoves; lookUp: LookUp; keys: PromptKeys; plan: (placed: Partial<Placed>) => FetchPlan }> => {
-  const keys = new PromptKeys(resolved, order);
+  const keys = new PromptKeys(resolved, request);
   const shards = new ShardBook();
   for (const holder of ['e1', 'e2', ...(hasStore ? ['store'] : [])]) {
     const shard = new ShardNews({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 });
     shards.set(holder, shard);
     const [shared] = keys.under('1');
-    if (shared !== undefined && keepers.includes(holder)) shard.put({ ...shared, name: shared.physical, size: 13_000 });
+    if (shared !== undefined && holders.includes(holder)) shard.put({ ...shared, name: shared.physical, size: 13_000 });
   }
   const store = shards.get('store');
   const other = PromptParts.nameOf(PromptParts.salt(pool, weights, 'shared'), 'other');
@@ -67,38 +67,38 @@
   return { moves, lookUp, keys, plan: (given) => planner.plan({ ...placed, ...given }, resolved, keys, lookUp) };
 };
 
-test('an engine that keeps the parts is told where to take them from if it has dropped them by then', () => {
-  for (const [keepers, hasStore, source] of [
+test('names a fallback source to an engine that caches the parts, in case it has evicted them by then', () => {
+  for (const [holders, hasStore, source] of [
     [['e1', 'e2', 'store'], true, 'store'],
     [['e1', 'e2'], true, 'e2'],
     [['e1', 'e2'], false, 'e2'],
     [['e1'], true, 'store'],
     [['e1'], false, undefined],
   ] as const) {
-    const plan = setUp(keepers, hasStore).plan({ matched: 1 });
-    assert.equal(plan.source?.holder, source, `${keepers.join()} ${hasStore}`);
-    assert.equal(plan.source?.at ?? 0, 0, 'from the first part on');
-    assert.deepEqual(plan.fills, [], 'it is not expected to read any');
-    assert.equal(plan.move, undefined, 'and no move is counted on');
+    const plan = setUp(holders, hasStore).plan({ matched: 1 });
+    assert.equal(plan.source?.holder, source, `${holders.join()} ${hasStore}`);
+    assert.equal(plan.source?.at ?? 0, 0, 'the source has all parts from the first one');
+    assert.deepEqual(plan.fills, [], 'the engine is not expected to prefill any');
+    assert.equal(plan.move, undefined, 'no import is expected');
   }
 });
 
-test('a store is told to keep the parts only where it is not known to', () => {
+test('writes the parts to a store only if it is not known to have them', () => {
   assert.equal(setUp(['e1', 'store']).plan({ matched: 1 }).target, undefined);
   assert.equal(setUp(['e1']).plan({ matched: 1 }).target?.store, 'store:1');
 });
 
-test('where nobody is known to keep them the home is guessed, or the store where the home reads them itself', () => {
+test('if no holder is known, the default engine is guessed as the source, or the store if the default engine prefills them itself', () => {
   assert.equal(setUp([]).plan({ home: 'e2' }).source?.holder, 'e2');
   assert.equal(setUp([]).plan({ home: 'e1' }).source?.holder, 'store');
   assert.equal(setUp([]).plan({}).source?.holder, 'store');
   assert.equal(setUp([], false).plan({ home: 'e1' }).source, undefined);
 });
 
-test('the store goes before another engine, which drops what it keeps more often; an engine before reading', () => {
+test('prefers a store to another engine, which evicts more often, and another engine to prefilling', () => {
   const target = { name: 'e1', zone: 'z', tokensPerMillisecond: 60 };
-  const best = (keepers: readonly string[]): string | undefined => {
-    const { moves, keys, lookUp } = setUp(keepers);
+  const best = (holders: readonly string[]): string | undefined => {
+    const { moves, keys, lookUp } = setUp(holders);
     return moves.best(target, pool, keys.parts('1'), 0, lookUp)?.holder;
   };
   assert.equal(best(['e2', 'store']), 'store');
@@ -106,7 +106,7 @@
   assert.equal(best([]), undefined);
 });
 
-test('a move that took as long as it should leaves its link as it was, a slow one makes it dear', () => {
+test('an import in the expected time does not change the cost of its link, a slow one raises it', () => {
   const { moves, keys, lookUp } = setUp(['e2']);
   const target = { name: 'e1', zone: 'z', tokensPerMillisecond: 60 };
   const best = (): Move | undefined => moves.best(target, pool, keys.parts('1'), 0, lookUp);
@@ -118,15 +118,15 @@
   assert.ok((best()?.microseconds ?? Infinity) > first.microseconds * 5);
 });
 
-test('a store that is nearly full is sent what is wanted or asked for again, and what is asked for once only in vain', () => {
-  const target = (keepers: readonly string[], options: Parameters<typeof setUp>[2], matched = 0): boolean =>
-    setUp(keepers, true, options).plan({ matched }).target !== undefined;
+test('a nearly full store receives only parts that are in demand or requested again', () => {
+  const target = (holders: readonly string[], options: Parameters<typeof setUp>[2], matched = 0): boolean =>
+    setUp(holders, true, options).plan({ matched }).target !== undefined;
   const full = { storeTokens: 1_900_000 };
-  assert.ok(target([], { storeTokens: 1_000_000 }), 'there is room');
-  assert.ok(!target([], full), 'nobody keeps it and few ask for it');
-  assert.ok(target(['e2'], full), 'it was read before');
-  assert.ok(target([], full, 1), 'it is being read there');
-  assert.ok(target([], { ...full, wanted: true }), 'all agree that it is wanted');
-  assert.ok(target([], { ...full, isOn: false }), 'nobody counts');
-  assert.ok(target([], { ...full, weights: '0' }), 'what was made by other weights goes first');
+  assert.ok(target([], { storeTokens: 1_000_000 }), 'the store has room');
+  assert.ok(!target([], full), 'no holder caches the part and few requests use it');
+  assert.ok(target(['e2'], full), 'it was prefilled before');
+  assert.ok(target([], full, 1), 'the placed engine caches it');
+  assert.ok(target([], { ...full, wanted: true }), 'it is in demand in the fleet');
+  assert.ok(target([], { ...full, isOn: false }), 'demand is switched off');
+  assert.ok(target([], { ...full, weights: '0' }), 'parts of other weights are evicted first');
 });
