--- a/source/edge-proxy/demand/demandView.ts
+++ b/source/edge-proxy/demand/demandView.ts
@@ -40,19 +40,19 @@
 } as const;
 
 type FleetDemand = Readonly<{
-  version: string;
+  mark: string;
   atMicroseconds: number;
   wanted: readonly Wanted[];
   byName: ReadonlyMap<string, Wanted>;
 }>;
 type Assignment = Readonly<{ of: readonly Wanted[]; places: ReadonlyMap<string, readonly string[]> }>;
 
-const noDemand: FleetDemand = { version: '', atMicroseconds: -Infinity, wanted: [], byName: new Map() };
+const noDemand: FleetDemand = { mark: '', atMicroseconds: -Infinity, wanted: [], byName: new Map() };
 
 /** Shortest time between two rankings, and between two publications: gossip about demand arrives continuously. */
 const refreshMicroseconds = 1_000_000;
 
-/** Most pairs of a prefix and an engine that are weighed, and the least number of prefixes that are assignments engines. */
+/** Most pairs of a prefix and an engine that are weighed, and the least number of prefixes that are assigned to engines. */
 const maxWeighedPairs = 16_384;
 const minAssignedPrefixes = 16;
 /** Most sets of engines whose assignments are cached. */
@@ -151,9 +151,9 @@
 
   private current(): FleetDemand {
     if (!this.settings.isOn) return noDemand;
-    const version = `${this.facts.changesOf('demand')}/${this.facts.changesOf('member')}`;
+    const mark = `${this.facts.changesOf('demand')}/${this.facts.changesOf('member')}`;
     const now = this.clock.nowMicroseconds();
-    if (this.fleetDemand.version === version || now - this.fleetDemand.atMicroseconds < refreshMicroseconds)
+    if (this.fleetDemand.mark === mark || now - this.fleetDemand.atMicroseconds < refreshMicroseconds)
       return this.fleetDemand;
     const published = this.facts.withPrefix('demand/').flatMap(({ value }) => {
       if (!PrefixDemand.isFact(value)) return [];
@@ -163,7 +163,7 @@
     });
     const wanted = PrefixDemand.ranked(published);
     this.fleetDemand = {
-      version,
+      mark,
       atMicroseconds: now,
       wanted,
       byName: new Map(wanted.map((item) => [item.name, item])),
--- a/source/edge-proxy/feeding/feeders.ts
+++ b/source/edge-proxy/feeding/feeders.ts
@@ -16,7 +16,7 @@
  */
 export class Feeders {
   private readonly backOffs = new Map<string, BackOff>();
-  private readonly local: Feeder;
+  private readonly own: Feeder;
   private current: Feeder;
   private cachedRanking: Readonly<{ of: readonly Feeder[]; order: readonly Feeder[] }> = { of: [], order: [] };
   private hasAnswer = false;
@@ -27,9 +27,9 @@
     /** Agents that seem to be present; the same array as long as none joins or leaves. */
     private readonly known: () => readonly Feeder[],
   ) {
-    this.local = { name: self.name, zone: self.zone, address: self.agentAddress };
-    this.current = this.local;
-    this.cachedRanking = { of: [], order: [this.local] };
+    this.own = { name: self.name, zone: self.zone, address: self.agentAddress };
+    this.current = this.own;
+    this.cachedRanking = { of: [], order: [this.own] };
   }
 
   /** Address of the agent that answered last; directory notes and grant requests are sent to it. */
@@ -44,16 +44,16 @@
 
   /** Whether no known agent answers, so that a seed must be asked. */
   public get isLost(): boolean {
-    return !this.hasAnswer || this.ranked().every(({ address }) => this.isBackedOff(address));
+    return !this.hasAnswer || this.order().every(({ address }) => this.isSilent(address));
   }
 
   public heard(address: string): void {
-    const feeder = this.ranked().find((one) => one.address === address);
+    const feeder = this.order().find((one) => one.address === address);
     if (feeder === undefined) return;
     this.backOffs.delete(address);
     this.hasAnswer = true;
     // A lower-ranked agent does not replace a higher-ranked one that answers too, so that notes and loads take one path.
-    const order = this.ranked();
+    const order = this.order();
     const isLowerRanked = order.indexOf(this.current) >= 0 && order.indexOf(this.current) < order.indexOf(feeder);
     if (!isLowerRanked || this.backOffs.has(this.current.address)) this.current = feeder;
   }
@@ -69,15 +69,15 @@
    * and a further one if the knowledge of the first is stale.
    */
   public targets(isStale: boolean): readonly string[] {
-    const order = this.ranked();
-    const available = order.filter(({ address }) => !this.isBackedOff(address));
+    const order = this.order();
+    const available = order.filter(({ address }) => !this.isSilent(address));
     const first = available[0] ?? this.earliestRetry(order);
     const last = available.find(({ address }) => address === this.current.address);
     const further = isStale ? available[1] : undefined;
     return [...new Set([first, last, further].flatMap((feeder) => feeder?.address ?? []))];
   }
 
-  private isBackedOff(address: string): boolean {
+  private isSilent(address: string): boolean {
     const backOff = this.backOffs.get(address);
     return backOff !== undefined && this.clock.nowMicroseconds() < backOff.untilMicroseconds;
   }
@@ -91,15 +91,15 @@
    * Ranked by rendezvous hashing: the proxies of a zone spread over its agents, and those of an agent that does not answer spread
    * over the others.
    */
-  private ranked(): readonly Feeder[] {
+  private order(): readonly Feeder[] {
     const known = this.known();
     if (this.cachedRanking.of === known) return this.cachedRanking.order;
-    const others = new Map(known.filter(({ address }) => address !== this.local.address).map((one) => [one.name, one]));
-    const ranked = Rendezvous.order(`feeder/${this.local.name}`, [...others.keys()]);
+    const others = new Map(known.filter(({ address }) => address !== this.own.address).map((one) => [one.name, one]));
+    const ranked = Rendezvous.order(`feeder/${this.own.name}`, [...others.keys()]);
     const feeders = ranked.flatMap((name) => others.get(name) ?? []);
-    const sameZone = feeders.filter(({ zone }) => zone === this.local.zone);
-    const otherZones = feeders.filter(({ zone }) => zone !== this.local.zone);
-    this.cachedRanking = { of: known, order: [this.local, ...sameZone, ...otherZones] };
+    const sameZone = feeders.filter(({ zone }) => zone === this.own.zone);
+    const otherZones = feeders.filter(({ zone }) => zone !== this.own.zone);
+    this.cachedRanking = { of: known, order: [this.own, ...sameZone, ...otherZones] };
     for (const address of this.backOffs.keys())
       if (!this.cachedRanking.order.some((one) => one.address === address)) this.backOffs.delete(address);
     return this.cachedRanking.order;
--- a/source/edge-proxy/feeding/proxyFacts.ts
+++ b/source/edge-proxy/feeding/proxyFacts.ts
@@ -26,7 +26,7 @@
   private publishedMicroseconds = -Infinity;
   private publishedText = '';
   private rememberedLoads: readonly PublishedLoad[] = [];
-  private readonly demandPublisher: DemandTeller;
+  private readonly demand: DemandTeller;
 
   public constructor(
     private readonly name: string,
@@ -37,7 +37,7 @@
     /** Name of the agent through which facts are published. */
     private readonly agent: () => string,
   ) {
-    this.demandPublisher = new DemandTeller(name, facts, clock, () => this.incarnation, proxies, agent);
+    this.demand = new DemandTeller(name, facts, clock, () => this.incarnation, proxies, agent);
   }
 
   /** Publishes the present load, unless it is unchanged or comes too soon after the last one. */
@@ -62,7 +62,7 @@
 
   /** Publishes the prefixes most requested at this proxy, if the interval since the last publication has passed. */
   public sayDemand(counted: Omit<DemandFact, 'agent'> | undefined): void {
-    if (counted !== undefined) this.demandPublisher.hear(counted);
+    if (counted !== undefined) this.demand.hear(counted);
   }
 
   /** The facts of this proxy that are sent to its agent. */
--- a/source/edge-proxy/fetch/fetchPlanner.ts
+++ b/source/edge-proxy/fetch/fetchPlanner.ts
@@ -84,7 +84,7 @@
         const { keys, placed, lookUp, order, resolved } = context;
         if (keys === undefined || placed === undefined || lookUp === undefined || resolved === undefined)
           throw new Error('planFetch runs before a request is resolved and placed');
-        // Nothing is awaited here: the names of parts are derived from their contents, so no grant is needed.
+        // Nothing is awaited here: the names of parts are derived and not allocated, so no grant has to be requested.
         if (order.parts !== undefined)
           return {
             kind: 'onward',
--- a/source/edge-proxy/fetch/partsPlanner.ts
+++ b/source/edge-proxy/fetch/partsPlanner.ts
@@ -20,7 +20,7 @@
 export class PartsPlanner {
   private readonly knownTokens = new Map<
     string,
-    Readonly<{ version: string; salts: ReadonlySet<string>; tokens: number }>
+    Readonly<{ mark: string; salts: ReadonlySet<string>; tokens: number }>
   >();
 
   public constructor(
@@ -81,7 +81,7 @@
   ): FetchPlan['source'] {
     const isCached = placed.matched >= parts.length - 1;
     if (!(isCached ? this.moves.settings.spares : this.moves.settings.guesses)) return undefined;
-    const holder = isCached ? this.fallbackSource(placed, parts, store, lookUp) : this.guessedSource(placed, store);
+    const holder = isCached ? this.spare(placed, parts, store, lookUp) : this.unknown(placed, store);
     const address = holder === undefined ? undefined : this.view.addressOf(holder);
     if (address === undefined || holder === undefined || holder === placed.engine) return undefined;
     this.metrics.count('postdrum_imports_total', { from: isCached ? 'spare' : 'guess' });
@@ -89,7 +89,7 @@
     return { holder, address, bootEpoch: '', at, keys: parts.slice(at, -1).map(({ name }) => name) };
   }
 
-  private guessedSource({ home, engine }: Placed, store: Store | undefined): string | undefined {
+  private unknown({ home, engine }: Placed, store: Store | undefined): string | undefined {
     // The store is preferred if nothing is known about it: it survives a restart of all daemons and may have any earlier prefix.
     const usesStore =
       store !== undefined && (home === undefined || home === engine || this.shards.get(store.name) === undefined);
@@ -101,7 +101,7 @@
    * an engine evicts the least recently used parts when it needs room, and the event about that may arrive after the request was
    * sent. The engine does not import parts that it still has.
    */
-  private fallbackSource(
+  private spare(
     { engine }: Placed,
     parts: readonly PartKey[],
     store: Store | undefined,
@@ -142,13 +142,13 @@
     const shard = this.shards.get(holder);
     if (shard === undefined) return 0;
     const { term, epoch, version } = shard.present;
-    const shardVersion = `${term}/${epoch}/${version}`;
+    const mark = `${term}/${epoch}/${version}`;
     const known = this.knownTokens.get(holder);
-    if (known?.version === shardVersion && known.salts === salts) return known.tokens;
+    if (known?.mark === mark && known.salts === salts) return known.tokens;
     const tokens = shard
       .entries()
       .reduce((sum, { name, size = 0 }) => (salts.has(name.slice(0, name.lastIndexOf('/'))) ? sum + size : sum), 0);
-    this.knownTokens.set(holder, { version: shardVersion, salts, tokens });
+    this.knownTokens.set(holder, { mark, salts, tokens });
     return tokens;
   }
 
--- a/source/edge-proxy/outliers/outlierDetector.ts
+++ b/source/edge-proxy/outliers/outlierDetector.ts
@@ -32,7 +32,9 @@
   private readonly goodAt = new Map<string, number>();
   /** When a request last failed at an engine, or did not reach it at all. */
   private readonly missedAt = new Map<string, number>();
+  /** Engines that their controller cannot reach: the version of that report, and when this proxy first saw it. */
   private readonly silentSince = new Map<string, Readonly<{ version: string; at: number }>>();
+  /** When a service last had a request that is fit for probing. */
   private readonly fitAt = new Map<string, number>();
   private reports: (Reports & Readonly<{ of: readonly LoadFact[] }>) | undefined;
   private changeCount = 0;
@@ -124,7 +126,7 @@
     const reported = this.reportsOf(others).engines;
     if (this.states.size === 0 && reported.size === 0 && !this.counts.hasFailures(atMicroseconds)) return;
     for (const { names, daemons } of pools()) {
-      // A pool without failures and without states to leave has nothing to judge.
+      // Only a pool with failures, or with an engine that is not in the initial state, has anything to judge.
       if (
         !names.some(
           (name) => this.states.has(name) || reported.has(name) || this.counts.of(name, atMicroseconds).failed > 0,
@@ -141,7 +143,7 @@
         this.step(name, { kind: 'judged', atMicroseconds, verdict });
       for (const name of names) {
         const state = this.stateOf(name);
-        // Checked first, because the choice of the proxies that probe first ranks all daemons.
+        // The proxies that probe first are determined only for ended ejections, because that ranks all daemons.
         if (state.kind !== 'ejected' || atMicroseconds < state.untilMicroseconds) continue;
         const isProber = Rendezvous.order(`probe/${name}`, daemons)
           .slice(0, this.settings.probeProxies)
@@ -207,7 +209,9 @@
     if (after.kind === before.kind) return;
     this.changeCount += 1;
     if ((after.kind !== 'suspected' && before.kind !== 'suspected') || after.kind === 'ejected')
-      this.log(`Engine ${engine} is ${after.kind}, it was ${before.kind}; ejected ${after.offences} times.`);
+      this.log(
+        `Engine ${engine} is now ${after.kind}, previously ${before.kind}; consecutive ejections: ${after.offences}.`,
+      );
   }
 
   private answeredRecently(engine: string, silentAt: number, now: number): boolean {
--- a/source/edge-proxy/outliers/outlierVerdicts.ts
+++ b/source/edge-proxy/outliers/outlierVerdicts.ts
@@ -47,7 +47,7 @@
       const failed = own.failed + reported.failed;
       return { failed, good: Math.max(own.good + reported.good, expectedAnswers - failed) };
     };
-    const isOutlier = (
+    const exceedsThreshold = (
       item: Evidence,
       countOf: (item: Evidence) => AnswerCount,
       minFailures: number,
@@ -63,14 +63,15 @@
       const { own } = item;
       if (pool.length < 2) return 'sound';
       const trustsOwn = !isOwnLinkFailing(item);
-      if (trustsOwn && isOutlier(item, ({ own: count }) => count, settings.leastOwnFailures, 1)) return 'outlier';
+      if (trustsOwn && exceedsThreshold(item, ({ own: count }) => count, settings.leastOwnFailures, 1))
+        return 'outlier';
       const hasEnoughOwn = own.good + own.failed >= settings.enoughOwnAnswers;
       // Enough own responses outweigh the reports, since an engine may fail only for some proxies.
       const trustsReports = !hasEnoughOwn || failureRatio(own) * 2000 >= settings.failedPerMille;
-      if (trustsReports && isOutlier(item, combined, settings.leastFailures, 1)) return 'outlier';
+      if (trustsReports && exceedsThreshold(item, combined, settings.leastFailures, 1)) return 'outlier';
       const doubtful =
-        (trustsOwn && isOutlier(item, ({ own: count }) => count, 1, 2)) ||
-        (trustsReports && isOutlier(item, combined, 2, 2));
+        (trustsOwn && exceedsThreshold(item, ({ own: count }) => count, 1, 2)) ||
+        (trustsReports && exceedsThreshold(item, combined, 2, 2));
       return doubtful ? 'doubtful' : 'sound';
     };
     return new Map(pool.map((item) => [item.name, verdict(item)]));
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -323,8 +323,16 @@
     seeds: 4,
     cuts: [
       // Why both: the one that answered last would be asked besides.
-      ['edge-proxy/feeding/feeders.ts', 'const further = isStale ? available[1] : undefined;', 'const further = undefined;'],
-      ['edge-proxy/feeding/feeders.ts', 'const first = available[0] ?? this.earliestRetry(order);', 'const first = order[0];'],
+      [
+        'edge-proxy/feeding/feeders.ts',
+        'const further = isStale ? available[1] : undefined;',
+        'const further = undefined;',
+      ],
+      [
+        'edge-proxy/feeding/feeders.ts',
+        'const first = available[0] ?? this.earliestRetry(order);',
+        'const first = order[0];',
+      ],
     ],
   },
   {
