--- a/source/edge-proxy/feeding/feeders.ts
+++ b/source/edge-proxy/feeding/feeders.ts
@@ -48,14 +48,14 @@
   }
 
   public heard(address: string): void {
-    const feeder = this.order().find((one) => one.address === address);
-    if (feeder === undefined) return;
+    const agent = this.order().find((one) => one.address === address);
+    if (agent === undefined) return;
     this.backOffs.delete(address);
     this.hasAnswer = true;
     // A lower-ranked agent does not replace a higher-ranked one that answers too, so that notes and loads take one path.
     const order = this.order();
-    const isLowerRanked = order.indexOf(this.current) >= 0 && order.indexOf(this.current) < order.indexOf(feeder);
-    if (!isLowerRanked || this.backOffs.has(this.current.address)) this.current = feeder;
+    const isLowerRanked = order.indexOf(this.current) >= 0 && order.indexOf(this.current) < order.indexOf(agent);
+    if (!isLowerRanked || this.backOffs.has(this.current.address)) this.current = agent;
   }
 
   public unheard(address: string): void {
@@ -74,7 +74,7 @@
     const first = available[0] ?? this.earliestRetry(order);
     const last = available.find(({ address }) => address === this.current.address);
     const further = isStale ? available[1] : undefined;
-    return [...new Set([first, last, further].flatMap((feeder) => feeder?.address ?? []))];
+    return [...new Set([first, last, further].flatMap((agent) => agent?.address ?? []))];
   }
 
   private isSilent(address: string): boolean {
@@ -96,9 +96,9 @@
     if (this.cachedRanking.of === known) return this.cachedRanking.order;
     const others = new Map(known.filter(({ address }) => address !== this.own.address).map((one) => [one.name, one]));
     const ranked = Rendezvous.order(`feeder/${this.own.name}`, [...others.keys()]);
-    const feeders = ranked.flatMap((name) => others.get(name) ?? []);
-    const sameZone = feeders.filter(({ zone }) => zone === this.own.zone);
-    const otherZones = feeders.filter(({ zone }) => zone !== this.own.zone);
+    const agents = ranked.flatMap((name) => others.get(name) ?? []);
+    const sameZone = agents.filter(({ zone }) => zone === this.own.zone);
+    const otherZones = agents.filter(({ zone }) => zone !== this.own.zone);
     this.cachedRanking = { of: known, order: [this.own, ...sameZone, ...otherZones] };
     for (const address of this.backOffs.keys())
       if (!this.cachedRanking.order.some((one) => one.address === address)) this.backOffs.delete(address);
--- a/source/edge-proxy/outliers/outlierDetector.ts
+++ b/source/edge-proxy/outliers/outlierDetector.ts
@@ -210,7 +210,7 @@
     this.changeCount += 1;
     if ((after.kind !== 'suspected' && before.kind !== 'suspected') || after.kind === 'ejected')
       this.log(
-        `Engine ${engine} is now ${after.kind}, previously ${before.kind}; consecutive ejections: ${after.offences}.`,
+        `Engine ${engine} is now ${after.kind}, previously ${before.kind}; ${after.offences} ejections in a row.`,
       );
   }
 
