--- a/source/edge-proxy/edgeProxy.ts
+++ b/source/edge-proxy/edgeProxy.ts
@@ -255,7 +255,7 @@
     const moves = new PartMoves(this.view, new LinkSpeeds(1000, 4096), settings.moves);
     this.readSpeeds = readSpeeds;
     this.lanes = new Lanes(clock, settings.lanes);
-    const scheduler = new DeskLink(
+    const desk = new DeskLink(
       this.effects.transport,
       clock,
       () => this.view.others.listHolder()?.address,
@@ -309,7 +309,7 @@
       words: backEnds,
       moves,
       readSpeeds,
-      desk: scheduler,
+      desk,
       cutsOldWeights: settings.cutsOldWeights,
       silentMicroseconds: settings.silentMicroseconds,
       urgencyOf: ({ resolved }) => this.freshness.blueprint?.classes[resolved?.mapping.class ?? '']?.rank,
@@ -354,7 +354,7 @@
             random,
             settings.zone,
             this.lanes,
-            scheduler,
+            desk,
             settings.workPlacement,
             this.demand,
             this.metrics,
--- a/source/edge-proxy/fetch/partMoves.ts
+++ b/source/edge-proxy/fetch/partMoves.ts
@@ -129,9 +129,7 @@
     const poolLink = pool.shape?.linkBytesPerSecond || this.settings.linkBytesPerSecond;
     const link = Math.min(poolLink, store?.linkBytesPerSecond || poolLink);
     const bytes = tokens * (pool.shape?.tokenBytes || this.settings.tokenBytes);
-    const zoneMultiplier = this.view.zoneOf(holder) === engine.zone ? 1 : this.settings.zoneFactor;
-    return (
-      this.settings.setupMicroseconds + ((bytes * zoneMultiplier * 1_000_000) / link) * this.ratio(holder, engine.name)
-    );
+    const factor = this.view.zoneOf(holder) === engine.zone ? 1 : this.settings.zoneFactor;
+    return this.settings.setupMicroseconds + ((bytes * factor * 1_000_000) / link) * this.ratio(holder, engine.name);
   }
 }
