--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -1,4 +1,4 @@
-/** What control nodes answer to reads of the configuration: in trouble, with full disks, and with a large document. */
+/** Reads of the configuration from control nodes: under faults, with full disks, and with a large document. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
@@ -7,7 +7,7 @@
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
 
-const five = { membersWanted: 5 };
+const fiveMembers = { membersWanted: 5 };
 const seeds = Number(process.env['POSTDRUM_TEST_SEEDS'] ?? 6);
 
 const orderOf = (text: string, ifMatch: number, form: ChangeOrder['form'] = 'whole'): ChangeOrder => ({
@@ -24,22 +24,22 @@
   return document === '' ? 0 : (JSON.parse(document) as { version: number }).version;
 };
 
-type Mend = () => void;
+type Heal = () => void;
 
-/** Each link between two groups of nodes, both ways or one way. */
+/** Cuts each link between two groups of nodes, in both directions or one. */
 const cutBetween = (
   fleet: ControlFleet,
   first: readonly ControlMachine[],
   second: readonly ControlMachine[],
   ways: 'both' | 'one',
-): Mend => {
-  const mends = first.flatMap((one) =>
+): Heal => {
+  const heals = first.flatMap((one) =>
     second.flatMap((two) => [
       fleet.network.cut(one.machine, two.machine),
       ...(ways === 'both' ? [fleet.network.cut(two.machine, one.machine)] : []),
     ]),
   );
-  return () => mends.forEach((mend) => mend());
+  return () => heals.forEach((heal) => heal());
 };
 
 const shuffled = (fleet: ControlFleet): readonly ControlMachine[] =>
@@ -48,7 +48,7 @@
     .sort((left, right) => left.at - right.at)
     .map(({ machine }) => machine);
 
-const troubles: readonly ((fleet: ControlFleet) => Mend)[] = [
+const faults: readonly ((fleet: ControlFleet) => Heal)[] = [
   (fleet) => {
     const order = shuffled(fleet);
     return cutBetween(fleet, order.slice(0, 2), order.slice(2), 'both');
@@ -80,10 +80,10 @@
   },
 ];
 
-type Tally = { readonly older: string[]; answered: number; asked: number };
+type Tally = { readonly stale: string[]; answered: number; asked: number };
 
-/** Asks every node; what is answered must be no older than what was confirmed when it was asked. */
-const askAll = (fleet: ControlFleet, confirmed: Readonly<{ version: number }>, tally: Tally): void => {
+/** Reads at every node; each answer must be at least as new as the last change confirmed when the read began. */
+const readAll = (fleet: ControlFleet, confirmed: Readonly<{ version: number }>, tally: Tally): void => {
   for (const machine of fleet.machines) {
     if (!machine.process.alive || machine.keeper === undefined) continue;
     const { version } = confirmed;
@@ -94,29 +94,29 @@
         void keeper.read('blueprint', 900_000).then((read) => {
           if (read.kind !== 'read') return;
           tally.answered += 1;
-          if (versionIn(read.text) < version) tally.older.push(`${name}: ${versionIn(read.text)} for ${version}`);
+          if (versionIn(read.text) < version) tally.stale.push(`${name}: ${versionIn(read.text)} for ${version}`);
         }),
     );
   }
 };
 
-describe('a read is never older than what was confirmed before it was asked for', () => {
+describe('a read is never older than the last change confirmed before it began', () => {
   for (let seed = 1; seed <= seeds; seed += 1)
-    test(`halves, one-way cuts, kills and disks in trouble, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+    test(`under partitions, one-way cuts, kills and disk faults, seed ${seed}`, async () => {
+      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       const confirmed = { version: 0 };
-      const tally: Tally = { older: [], answered: 0, asked: 0 };
+      const tally: Tally = { stale: [], answered: 0, asked: 0 };
       let isOver = false;
       const ask = (): void => {
         if (isOver) return;
-        askAll(fleet, confirmed, tally);
+        readAll(fleet, confirmed, tally);
         fleet.world.clock.after(150_000, ask);
       };
       ask();
       for (let round = 0; round < 8; round += 1) {
-        const trouble = troubles[Math.floor(fleet.world.random.fraction() * troubles.length)];
-        const mend = trouble?.(fleet);
+        const fault = faults[Math.floor(fleet.world.random.fraction() * faults.length)];
+        const heal = fault?.(fleet);
         for (let change = 0; change < 2; change += 1) {
           const next = confirmed.version + 1;
           const outcome = await fleet.persist(put(next, confirmed.version), 12_000_000);
@@ -124,13 +124,13 @@
           confirmed.version = next;
           await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 600_000));
         }
-        mend?.();
+        heal?.();
         await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 2_000_000));
       }
       await fleet.world.runFor(2_000_000);
       isOver = true;
       await fleet.world.runFor(1_500_000);
-      assert.deepEqual(tally.older, []);
+      assert.deepEqual(tally.stale, []);
       assert.ok(tally.answered > tally.asked / 2, `${tally.answered} of ${tally.asked} reads were answered`);
     });
 });
@@ -138,7 +138,7 @@
 describe('full disks', () => {
   for (const seed of [1, 2, 3])
     test(`the leader's disk is full: changes are confirmed and every node answers reads, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
@@ -161,8 +161,8 @@
       assert.equal(read?.kind === 'read' ? versionIn(read.text) : read?.kind, 4);
     });
 
-  test('all are full: changes are refused as not possible now, reads go on, and the same change is taken later', async () => {
-    const fleet = new ControlFleet(7, platformDialect, five);
+  test('all disks are full: changes are refused temporarily, reads are answered, and the same change is accepted later', async () => {
+    const fleet = new ControlFleet(7, platformDialect, fiveMembers);
     assert.ok(await fleet.begin(5));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     for (const { disk } of fleet.machines) disk.faults.full = true;
@@ -193,8 +193,8 @@
   };
 
   for (const seed of [1, 2])
-    test(`put, changed by one route and read back at each node within the bounds, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+    test(`is put, changed by one route and read at each node within the time limits, seed ${seed}`, async () => {
+      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.begin(5));
       fleet.network.linkBytesPerSecond = 15_000_000;
       const timed = async (order: ChangeOrder, machine: ControlMachine): Promise<void> => {
