--- a/source/edge-proxy/mechanisms.ts
+++ b/source/edge-proxy/mechanisms.ts
@@ -20,7 +20,7 @@
   /** Counting of requested prefixes, and copies of them by demand. */
   demand: (settings) => ({ ...settings, demand: DemandSettings.off(settings.demand) }),
   /** Random choice among engines of similar cost, with a wider range among many proxies. */
-  chance: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, chanceMicroseconds: 0 } }),
+  chance: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, jitterMicroseconds: 0 } }),
   /** Preference for engines with an idle kept-alive connection. */
   connections: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, connectionMicroseconds: 0 } }),
   /** Preference against engines that are about to change their weights. */
