--- a/source/core-keeper/leases/leaseVoter.ts
+++ b/source/core-keeper/leases/leaseVoter.ts
@@ -56,7 +56,9 @@
   }
 
   /** The granted leases by duty, with the time left of each. */
-  public grantedLeases(): Readonly<Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>> {
+  public grantedLeases(): Readonly<
+    Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>
+  > {
     const now = this.clock.steadyMicroseconds();
     return Object.fromEntries(
       [...this.leases].map(([duty, lease]) => [
--- a/source/core-keeper/membership/leaderTracker.ts
+++ b/source/core-keeper/membership/leaderTracker.ts
@@ -72,7 +72,12 @@
     return promise !== undefined && promise.candidate !== candidate && this.isRecent(promise.atMicroseconds);
   }
 
-  private recordContact(key: DocumentKey, leader: string, epoch: Epoch, announced: LeaderStatement | undefined): boolean {
+  private recordContact(
+    key: DocumentKey,
+    leader: string,
+    epoch: Epoch,
+    announced: LeaderStatement | undefined,
+  ): boolean {
     const known = this.contacts.get(key);
     if (known !== undefined && Epochs.compare(known.epoch, epoch) > 0) return false;
     const isSame = known?.leader === leader;
--- a/source/core-keeper/messages/messageHandler.ts
+++ b/source/core-keeper/messages/messageHandler.ts
@@ -102,7 +102,9 @@
       case 'relayChange':
         return this.changeResponse(this.parts.changeRouter.changeFromMember(request.order));
       case 'passChange':
-        return this.parts.core.votes() ? this.changeResponse(this.parts.changeRouter.change(request.order)) : noVoteResponse;
+        return this.parts.core.votes()
+          ? this.changeResponse(this.parts.changeRouter.change(request.order))
+          : noVoteResponse;
       case 'entry':
         return this.parts.entryTransfer.acceptRequestFor(request.key);
       case 'replace':
@@ -115,7 +117,11 @@
         return this.preVote(request);
       case 'silentMembers':
         return this.parts.core.votes()
-          ? { kind: 'silentMembers', silent: this.parts.memberWatch.silentMembers(), fleet: this.parts.core.state.fleet }
+          ? {
+              kind: 'silentMembers',
+              silent: this.parts.memberWatch.silentMembers(),
+              fleet: this.parts.core.state.fleet,
+            }
           : noVoteResponse;
       case 'news':
         // A control node responds to gossip because an agent that has it as a seed finds the first other agents through it.
--- a/source/core-keeper/register/quorumReader.ts
+++ b/source/core-keeper/register/quorumReader.ts
@@ -80,7 +80,9 @@
     deadlineMicroseconds: number,
   ): Promise<RoundResult> {
     const ownAnswer = this.node.ownAnswer();
-    const answers = new Map<string, StatementsAnswer>(ownAnswer === undefined ? [] : [[ownAnswer.stamp.keeper, ownAnswer]]);
+    const answers = new Map<string, StatementsAnswer>(
+      ownAnswer === undefined ? [] : [[ownAnswer.stamp.keeper, ownAnswer]],
+    );
     const addresses = this.addresses(newerView);
     return new Promise((resolve) => {
       let pendingCount = addresses.length;
--- a/source/edge-proxy/fetch/fetchPlanner.ts
+++ b/source/edge-proxy/fetch/fetchPlanner.ts
@@ -118,7 +118,12 @@
     return gain > cost * this.settings.margin;
   }
 
-  private async plan(fill: string, placed: PlacedRequest, keys: readonly BlockKey[], lookUp: LookUp): Promise<FetchPlan> {
+  private async plan(
+    fill: string,
+    placed: PlacedRequest,
+    keys: readonly BlockKey[],
+    lookUp: LookUp,
+  ): Promise<FetchPlan> {
     const shard = this.shards.get(placed.engine);
     const head = shard?.present;
     // Any doubt about which engine process the names belong to is treated as a cache miss with a full prefill.
--- a/source/edge-proxy/sends/sendPolicy.ts
+++ b/source/edge-proxy/sends/sendPolicy.ts
@@ -43,7 +43,11 @@
   }
 
   /** Undefined: it may go. Otherwise what becomes of an order of which nothing has been written. */
-  private lastLook(context: RequestContext, resolved: ResolvedRequest, placed: PlacedRequest): PolicyResult | undefined {
+  private lastLook(
+    context: RequestContext,
+    resolved: ResolvedRequest,
+    placed: PlacedRequest,
+  ): PolicyResult | undefined {
     const { fence, identifier } = this.parts;
     // Why again here: the process may have been frozen since the order was taken.
     if (!fence.isFresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
--- a/tests/control-measurements.test.ts
+++ b/tests/control-measurements.test.ts
@@ -22,7 +22,9 @@
 };
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
-  const found = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
+  const found = fleet.machines.find(
+    ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
+  );
   assert.ok(found !== undefined, 'there is a leader');
   return found;
 };
--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -141,7 +141,9 @@
       const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
       assert.ok(await fleet.startAll(5));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(
+        ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
+      );
       assert.ok(leader !== undefined);
       leader.disk.faults.full = true;
       for (const version of [2, 3, 4]) {
--- a/tests/control-unreachable-leader.test.ts
+++ b/tests/control-unreachable-leader.test.ts
@@ -17,7 +17,9 @@
 };
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
-  const found = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
+  const found = fleet.machines.find(
+    ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
+  );
   assert.ok(found !== undefined, 'there is a leader');
   return found;
 };
--- a/tests/parts-planner.test.ts
+++ b/tests/parts-planner.test.ts
@@ -17,7 +17,12 @@
 import { pool } from './support/pool';
 
 const under = { services: { pool }, tenants: {} };
-const resolved = { service: pool, trustDomain: 'shared', mapping: { service: 'pool' }, under } as unknown as ResolvedRequest;
+const resolved = {
+  service: pool,
+  trustDomain: 'shared',
+  mapping: { service: 'pool' },
+  resolvedWith: under,
+} as unknown as ResolvedRequest;
 const request = {
   id: 'o',
   method: 'POST',
@@ -38,7 +43,12 @@
   holders: readonly string[],
   hasStore = true,
   { wanted = false, isOn = true, storeTokens = 0, weights = '1' } = {},
-): Readonly<{ moves: PartMoves; lookUp: LookUp; keys: PromptKeys; plan: (placed: Partial<PlacedRequest>) => FetchPlan }> => {
+): Readonly<{
+  moves: PartMoves;
+  lookUp: LookUp;
+  keys: PromptKeys;
+  plan: (placed: Partial<PlacedRequest>) => FetchPlan;
+}> => {
   const keys = new PromptKeys(resolved, request);
   const shards = new ShardBook();
   for (const holder of ['e1', 'e2', ...(hasStore ? ['store'] : [])]) {
--- a/tests/support/httpControlNodes.ts
+++ b/tests/support/httpControlNodes.ts
@@ -86,7 +86,12 @@
   }
 
   /** One HTTP call with a time limit of a second, after which operators count a call as failed. */
-  public call(name: string, method: string, headers: Readonly<Record<string, string>>, body = ''): Promise<HttpResponse> {
+  public call(
+    name: string,
+    method: string,
+    headers: Readonly<Record<string, string>>,
+    body = '',
+  ): Promise<HttpResponse> {
     const [host, port] = this.member(name).operatorsAddress.split(':');
     return new Promise((resolve) => {
       const none = (): void => resolve({ status: 0, body: '' });
--- a/tests/support/sendStage.ts
+++ b/tests/support/sendStage.ts
@@ -1,6 +1,11 @@
 import { PlatformBackEndWords } from '../../platform/back-ends/words';
 import { noFetch } from '../../source/edge-proxy/fetch/fetchPlanner';
-import type { ResponseHead, ResponseSink, RequestContext, PolicyResult } from '../../source/edge-proxy/pipeline/request';
+import type {
+  ResponseHead,
+  ResponseSink,
+  RequestContext,
+  PolicyResult,
+} from '../../source/edge-proxy/pipeline/request';
 import type { SendParts } from '../../source/edge-proxy/sends/runningSend';
 import { SendPolicy } from '../../source/edge-proxy/sends/sendPolicy';
 import { World } from '../../source/fleet-simulator/world/world';
@@ -112,7 +117,7 @@
       fetch: noFetch,
       sends: 0,
       rounds: 0,
-      avoided: [],
+      avoidedEngines: [],
       mayHaveRun: false,
     } as unknown as RequestContext;
     void policy.apply(context).then((step) => {
--- a/tests/unused-duties-pruned.test.ts
+++ b/tests/unused-duties-pruned.test.ts
@@ -2,7 +2,11 @@
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
 import { LeaseVoter, type LeaseVote } from '../source/core-keeper/leases/leaseVoter';
-import { ReplicaStates, type ReplicaEvent, type ReplicaState } from '../source/core-keeper/write-ahead-log/replicaState';
+import {
+  ReplicaStates,
+  type ReplicaEvent,
+  type ReplicaState,
+} from '../source/core-keeper/write-ahead-log/replicaState';
 import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
 import { ReplicaCore } from '../source/core-keeper/register/replicaCore';
 import type { ControlLink } from '../source/edge-agent/control-link/controlLink';
@@ -25,7 +29,8 @@
       fc.record({ act: fc.constant('wipe' as const), keeper: fc.nat(2) }),
       fc.record({ act: fc.constant('rewrite' as const), keeper: fc.nat(2) }),
     );
-    const terms = (state: ReplicaState): readonly number[] => duties.map((duty) => ReplicaStates.dutyTerm(state, duty).term);
+    const terms = (state: ReplicaState): readonly number[] =>
+      duties.map((duty) => ReplicaStates.dutyTerm(state, duty).term);
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40, size: 'max' }), (steps) => {
         const keepers = [ReplicaStates.initial, ReplicaStates.initial, ReplicaStates.initial];
@@ -71,7 +76,10 @@
     assert.equal(dutyFloor, 0);
     const joined = ReplicaStates.apply(ReplicaStates.initial, { kind: 'joined', frames: [earlier] });
     assert.deepEqual([joined.dutyFloor, joined.duties['engine/a']?.term], [0, 4]);
-    const read = ReplicaStates.apply(ReplicaStates.initial, { kind: 'whole', state: earlier as unknown as ReplicaState });
+    const read = ReplicaStates.apply(ReplicaStates.initial, {
+      kind: 'whole',
+      state: earlier as unknown as ReplicaState,
+    });
     assert.equal(ReplicaStates.dutyTerm(read, 'engine/b').term, 0);
   });
 
@@ -176,8 +184,8 @@
     });
     const member = { address: '10.1.0.1:1', operatorsAddress: '10.1.0.1:2', zone: '' };
     const link = {
-      keepers: () => ({ k: member }),
-      sets: () => [['k']],
+      controlNodes: () => ({ k: member }),
+      memberSets: () => [['k']],
       membersRevision: () => 0,
     } as unknown as ControlLink;
     const agent = new SimProcess(world, 'a', '10.2.0.1');
