--- a/source/shared/back-end/httpBackEnds.ts
+++ b/source/shared/back-end/httpBackEnds.ts
@@ -12,18 +12,21 @@
   type SendSink,
 } from './protocol';
 
-const boundedJson = async (body: Dispatcher.ResponseData['body']): Promise<unknown> => {
+const readJsonWithinLimit = async (body: Dispatcher.ResponseData['body']): Promise<unknown> => {
   const chunks: Buffer[] = [];
   let length = 0;
   for await (const chunk of body as AsyncIterable<Buffer>) {
     length += chunk.length;
-    if (length > BackEndLimits.answerBytes) throw new Error('answer too long');
+    if (length > BackEndLimits.answerBytes) throw new Error('response exceeds the size limit');
     chunks.push(chunk);
   }
   return JSON.parse(Buffer.concat(chunks).toString('utf8'));
 };
 
-/** The control side over HTTP. Every failure is undefined: a steward never guesses. */
+/**
+ * Client of the control endpoints of back ends, over HTTP. Every failure is reported as undefined, so that an engine
+ * controller never acts on a guess.
+ */
 export class HttpBackEndDoor implements BackEndDoor {
   private readonly agent = new Agent({
     connections: 2,
@@ -62,7 +65,7 @@
         headers: { 'content-type': 'application/json' },
         signal: AbortSignal.timeout(Math.ceil(limitMicroseconds / 1000)),
       });
-      await boundedJson(body);
+      await readJsonWithinLimit(body);
       return statusCode === 200 ? 'done' : statusCode === 409 ? 'oldTerm' : 'failed';
     } catch {
       return 'failed';
@@ -79,7 +82,7 @@
         dispatcher: this.agent,
         signal: AbortSignal.timeout(Math.ceil(limitMicroseconds / 1000)),
       });
-      const value = await boundedJson(body);
+      const value = await readJsonWithinLimit(body);
       return statusCode === 200 ? value : undefined;
     } catch {
       return undefined;
@@ -88,70 +91,72 @@
 }
 
 /**
- * One conn a send. Why not reused ones: a back end may close an idle conn just as an order is written,
- * and nobody could then say whether the order ran. A fresh conn that was not made has certainly not run.
+ * Opens a new connection for each request. A back end may close an idle connection just as a request is written to it,
+ * and the sender cannot tell then whether the request ran. If a new connection fails to open, the request has certainly
+ * not run.
  */
 export class HttpBackEndSender implements BackEndSender {
   public constructor(private readonly connectMicroseconds: number) {}
 
-  public readonly send = (order: SendOrder, sink: SendSink): Readonly<{ cut: () => void }> => {
+  public readonly send = (backEndRequest: SendOrder, sink: SendSink): Readonly<{ cut: () => void }> => {
     let socket: net.Socket | undefined;
-    const client = new Client(`http://${order.address}`, {
+    const client = new Client(`http://${backEndRequest.address}`, {
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
       maxHeaderSize: 16_384,
       connect: (_options, callback) => {
-        const { host, port } = Addresses.split(order.address);
-        const made = net.connect({ host, port, noDelay: true });
-        socket = made;
+        const { host, port } = Addresses.split(backEndRequest.address);
+        const connecting = net.connect({ host, port, noDelay: true });
+        socket = connecting;
         const timer = setTimeout(
-          () => made.destroy(new Error('conn not made in time')),
+          () => connecting.destroy(new Error('connection timed out')),
           Math.ceil(this.connectMicroseconds / 1000),
         );
         const failed = (error: Error): void => {
           clearTimeout(timer);
           callback(error, null);
         };
-        made.once('error', failed);
-        made.once('connect', () => {
+        connecting.once('error', failed);
+        connecting.once('connect', () => {
           clearTimeout(timer);
-          made.removeListener('error', failed);
-          callback(null, made);
+          connecting.removeListener('error', failed);
+          callback(null, connecting);
         });
       },
     });
-    let begun = false;
-    let over = false;
+    let writeStarted = false;
+    let finished = false;
     let controller: Dispatcher.DispatchController | undefined;
     const close = (): void => void client.destroy().catch(() => undefined);
     const fail = (text: string): void => {
-      if (over) return;
-      over = true;
+      if (finished) return;
+      finished = true;
       close();
-      sink.failed({ kind: begun ? 'mayHaveRun' : 'notRun', text });
+      sink.failed({ kind: writeStarted ? 'mayHaveRun' : 'notRun', text });
     };
     client.dispatch(
       {
-        method: order.method as Dispatcher.HttpMethod,
-        path: order.path,
-        headers: { ...order.headers },
-        body: order.body === '' ? null : order.body,
+        method: backEndRequest.method as Dispatcher.HttpMethod,
+        path: backEndRequest.path,
+        headers: { ...backEndRequest.headers },
+        body: backEndRequest.body === '' ? null : backEndRequest.body,
       },
       {
-        onRequestStart: (given) => {
-          // Why here: undici calls this with the conn made, right before it writes the head. Making the conn took time.
-          if (over || !sink.mayGo()) {
-            given.abort(new Error('not sent'));
+        onRequestStart: (dispatchController) => {
+          // This is the last check before the first byte: undici calls it once the connection is open, right before it writes
+          // the request head. The request may have been cancelled while the connection was being opened.
+          if (finished || !sink.mayGo()) {
+            dispatchController.abort(new Error('request cancelled before it was sent'));
             return;
           }
-          // From now on bytes may have left.
-          begun = true;
-          controller = given;
+          // From here on bytes of the request may have been sent.
+          writeStarted = true;
+          controller = dispatchController;
         },
-        onResponseStart: (_given, status, headers) => {
-          if (over || status < 200) return;
-          const flat = Object.fromEntries(
+        onResponseStart: (_controller, status, headers) => {
+          if (finished || status < 200) return;
+          const flatHeaders = Object.fromEntries(
             Object.entries(headers).map(([name, value]) => [
               name.toLowerCase(),
               Array.isArray(value) ? value.join(', ') : String(value ?? ''),
@@ -159,38 +164,39 @@
           );
           sink.head({
             status,
-            headers: flat,
-            framed: flat['content-length'] !== undefined || flat['transfer-encoding'] !== undefined,
+            headers: flatHeaders,
+            framed: flatHeaders['content-length'] !== undefined || flatHeaders['transfer-encoding'] !== undefined,
           });
         },
-        onResponseData: (given, chunk) => {
-          // Why pass over empty ones: undici gives one for each resume at the end of a broken answer, and pausing on it
-          // again would turn the loop for ever.
-          if (over || chunk.length === 0) return;
-          const held = sink.part(chunk);
-          if (held === undefined) return;
-          given.pause();
-          held.then(
-            () => given.resume(),
-            (error: unknown) => given.abort(error instanceof Error ? error : new Error(Logs.text(error))),
+        onResponseData: (dispatchController, chunk) => {
+          // Empty chunks are skipped: at the end of a broken response undici emits one for each resume, and pausing again
+          // on each of them would loop forever.
+          if (finished || chunk.length === 0) return;
+          const backPressure = sink.part(chunk);
+          if (backPressure === undefined) return;
+          dispatchController.pause();
+          backPressure.then(
+            () => dispatchController.resume(),
+            (error: unknown) => dispatchController.abort(error instanceof Error ? error : new Error(Logs.text(error))),
           );
         },
         onResponseEnd: () => {
-          if (over) return;
-          over = true;
+          if (finished) return;
+          finished = true;
           close();
           sink.end();
         },
-        onResponseError: (_given, error) => fail(Logs.text(error)),
+        onResponseError: (_controller, error) => fail(Logs.text(error)),
       },
     );
     return {
       cut: () => {
-        if (over) return;
-        over = true;
-        // Why a reset: what a frozen back end has not read yet is then thrown away by its machine, and never run.
+        if (finished) return;
+        finished = true;
+        // The connection is reset so that the machine of a frozen back end discards the bytes that it has not read yet,
+        // and the request never runs.
         socket?.resetAndDestroy();
-        controller?.abort(new Error('cut'));
+        controller?.abort(new Error('request cancelled'));
         close();
       },
     };
--- a/source/shared/back-end/keptConns/answerReader.ts
+++ b/source/shared/back-end/keptConns/answerReader.ts
@@ -1,14 +1,15 @@
 import { KeepAlive } from './keepAlive';
 import type { SendHead } from '../protocol';
 
-export type AnswerEvent =
+/** An element of a response in the order of the bytes. */
+export type ResponseEvent =
   | Readonly<{ kind: 'head'; head: SendHead }>
   | Readonly<{ kind: 'part'; bytes: Uint8Array }>
-  /** `keepMicroseconds`: how long the conn may wait for its next order; undefined: no hint; 0: not at all. */
+  /** `keepMicroseconds`: how long the connection may be idle; undefined: not stated; 0: it must not be reused. */
   | Readonly<{ kind: 'end'; keepMicroseconds: number | undefined }>
   | Readonly<{ kind: 'broken'; text: string }>;
 
-type Place =
+type ParserState =
   | Readonly<{ kind: 'head' }>
   | Readonly<{ kind: 'counted'; left: number }>
   | Readonly<{ kind: 'chunkSize' }>
@@ -22,53 +23,53 @@
 const statusLine = /^HTTP\/1\.([01]) ([1-9]\d\d)(?: [\t\x20-\x7e\x80-\xff]*)?$/;
 const headerLine = /^([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[\t ]*([\t\x20-\x7e\x80-\xff]*)$/;
 const chunkLine = /^([0-9A-Fa-f]{1,8})[\t ]*(?:;[\t\x20-\x7e\x80-\xff]*)?$/;
-const chunkLineMost = 1024;
-/** The worth of each letter as a hex digit; -1: it is none. */
-const hexDigits: readonly number[] = Array.from({ length: 256 }, (_, letter) => {
-  const text = String.fromCharCode(letter);
+const maxChunkLineBytes = 1024;
+/** Value of each byte as a hex digit; -1: not a hex digit. */
+const hexDigits: readonly number[] = Array.from({ length: 256 }, (_, byte) => {
+  const text = String.fromCharCode(byte);
   return /[0-9A-Fa-f]/.test(text) ? Number.parseInt(text, 16) : -1;
 });
-/** Heads that come before the answer's own; more of them are no answer. */
-const interimMost = 8;
+/** Most interim (1xx) heads before the final one; with more of them the response is invalid. */
+const maxInterimHeads = 8;
 const lineEnd = Buffer.from('\r\n');
 const headEnd = Buffer.from('\r\n\r\n');
 
-type HeadRead =
+type ParsedHead =
   | Readonly<{ kind: 'read'; version: number; status: number; headers: Readonly<Record<string, string>> }>
   | Readonly<{ kind: 'broken'; text: string }>;
 
-const readHead = (text: string): HeadRead => {
+const parseHead = (text: string): ParsedHead => {
   const [first = '', ...lines] = text.split('\r\n');
   const status = statusLine.exec(first);
-  if (status === null) return { kind: 'broken', text: 'the first line is no status' };
-  // Why without a prototype: a header may have any name.
+  if (status === null) return { kind: 'broken', text: 'invalid status line' };
+  // The object has no prototype because a header may have any name.
   const headers = Object.create(null) as Record<string, string>;
   for (const line of lines) {
     const found = headerLine.exec(line);
-    if (found === null) return { kind: 'broken', text: 'a header is no header' };
+    if (found === null) return { kind: 'broken', text: 'invalid header line' };
     const name = (found[1] ?? '').toLowerCase();
     const value = (found[2] ?? '').trimEnd();
-    const before = headers[name];
-    headers[name] = before === undefined ? value : `${before}, ${value}`;
+    const existing = headers[name];
+    headers[name] = existing === undefined ? value : `${existing}, ${value}`;
   }
   return { kind: 'read', version: Number(status[1]), status: Number(status[2]), headers: { ...headers } };
 };
 
-/** The length that a head tells; several equal ones are one. */
-const lengthIn = (header: string): number | undefined => {
+/** Parses a Content-Length header. Repeated equal values count as one; differing values are invalid. */
+const parseContentLength = (header: string): number | undefined => {
   const lengths = new Set(header.split(',').map((length) => length.trim()));
   const [only = ''] = lengths;
   return lengths.size === 1 && /^\d{1,15}$/.test(only) ? Number(only) : undefined;
 };
 
 /**
- * Reads one answer of a back end, strictly: whatever could be read in two ways is broken. It knows no conn and no time;
- * bytes are put in, events are taken out one by one, so that a slow reader can leave the rest where it is.
+ * Parses one HTTP/1 response of a back end, strictly: anything ambiguous is broken. It depends on neither socket nor
+ * clock. Bytes are pushed in and events are pulled out one by one, so that a slow consumer can leave the rest buffered.
  */
-export class AnswerReader {
-  private place: Place = { kind: 'head' };
+export class ResponseParser {
+  private state: ParserState = { kind: 'head' };
   private bytes: Buffer = Buffer.alloc(0);
-  private interim = 0;
+  private interimHeads = 0;
   private keepMicroseconds: number | undefined;
 
   public constructor(
@@ -80,97 +81,100 @@
     this.bytes = this.bytes.length === 0 ? bytes : Buffer.concat([this.bytes, bytes]);
   }
 
-  /** Bytes that were put in and not yet taken out. */
+  /** Number of buffered bytes. */
   public get left(): number {
     return this.bytes.length;
   }
 
-  /** The conn's end was seen. Call it only when `next` gives nothing more. */
-  public close(): AnswerEvent | undefined {
-    if (this.place.kind === 'over') return undefined;
-    const whole = this.place.kind === 'untilClose';
-    this.place = { kind: 'over' };
-    return whole
+  /** Handles the end of the connection. Must be called only when `next` returns undefined. */
+  public close(): ResponseEvent | undefined {
+    if (this.state.kind === 'over') return undefined;
+    const isComplete = this.state.kind === 'untilClose';
+    this.state = { kind: 'over' };
+    return isComplete
       ? { kind: 'end', keepMicroseconds: 0 }
-      : { kind: 'broken', text: 'the conn closed before the answer was whole' };
+      : { kind: 'broken', text: 'the connection closed before the response was complete' };
   }
 
-  public next(): AnswerEvent | undefined {
+  public next(): ResponseEvent | undefined {
     for (;;) {
-      const { place } = this;
-      switch (place.kind) {
+      const { state } = this;
+      switch (state.kind) {
         case 'over':
           return undefined;
         case 'ended':
-          this.place = { kind: 'over' };
+          this.state = { kind: 'over' };
           return { kind: 'end', keepMicroseconds: this.keepMicroseconds };
         case 'untilClose':
-          return this.part(this.bytes.length);
+          return this.takeBodyBytes(this.bytes.length);
         case 'counted': {
-          const event = this.part(place.left);
+          const event = this.takeBodyBytes(state.left);
           if (event !== undefined) {
-            const left = place.left - event.bytes.length;
-            this.place = left === 0 ? { kind: 'ended' } : { kind: 'counted', left };
+            const left = state.left - event.bytes.length;
+            this.state = left === 0 ? { kind: 'ended' } : { kind: 'counted', left };
           }
           return event;
         }
         case 'chunk': {
-          const event = this.part(place.left);
+          const event = this.takeBodyBytes(state.left);
           if (event !== undefined) {
-            const left = place.left - event.bytes.length;
-            this.place = left === 0 ? { kind: 'chunkEnd' } : { kind: 'chunk', left };
+            const left = state.left - event.bytes.length;
+            this.state = left === 0 ? { kind: 'chunkEnd' } : { kind: 'chunk', left };
           }
           return event;
         }
         case 'head': {
           const event = this.head();
-          if (event !== undefined || this.place === place) return event;
+          if (event !== undefined || this.state === state) return event;
           break;
         }
         case 'chunkSize': {
-          const plain = this.plainSize();
+          const plain = this.takePlainChunkSize();
           if (plain !== undefined) {
-            this.place = plain === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: plain };
+            this.state = plain === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: plain };
             break;
           }
-          const line = this.line(chunkLineMost);
+          const line = this.takeLine(maxChunkLineBytes);
           if (line.kind === 'more') return undefined;
           const found = line.kind === 'line' ? chunkLine.exec(line.text) : null;
-          if (found === null) return this.broken('a chunk has no size');
+          if (found === null) return this.fail('invalid chunk size');
           const size = Number.parseInt(found[1] ?? '', 16);
-          this.place = size === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: size };
+          this.state = size === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: size };
           break;
         }
         case 'chunkEnd': {
           if (this.bytes.length < 2) return undefined;
-          if (this.bytes[0] !== 13 || this.bytes[1] !== 10) return this.broken('a chunk is longer than its size');
+          if (this.bytes[0] !== 13 || this.bytes[1] !== 10) return this.fail('chunk is longer than its size');
           this.bytes = this.bytes.subarray(2);
-          this.place = { kind: 'chunkSize' };
+          this.state = { kind: 'chunkSize' };
           break;
         }
         case 'trailers': {
-          const line = this.line(this.headBytes - place.bytes);
+          const line = this.takeLine(this.headBytes - state.bytes);
           if (line.kind === 'more') return undefined;
-          if (line.kind === 'tooLong') return this.broken('the trailers are too long');
-          if (line.text === '') this.place = { kind: 'ended' };
-          else if (!headerLine.test(line.text)) return this.broken('a trailer is no header');
-          else this.place = { kind: 'trailers', bytes: place.bytes + line.text.length + 2 };
+          if (line.kind === 'tooLong') return this.fail('trailers exceed the size limit');
+          if (line.text === '') this.state = { kind: 'ended' };
+          else if (!headerLine.test(line.text)) return this.fail('invalid trailer line');
+          else this.state = { kind: 'trailers', bytes: state.bytes + line.text.length + 2 };
           break;
         }
       }
     }
   }
 
-  /** The size alone, as nearly all chunks have it; undefined: it is not so simple, or not all there. */
-  private plainSize(): number | undefined {
+  /**
+   * Fast path for a chunk size without an extension, which nearly all chunks have. Undefined: the line has another form
+   * or is incomplete.
+   */
+  private takePlainChunkSize(): number | undefined {
     const { bytes } = this;
     let size = 0;
     for (let at = 0; at < 8; at += 1) {
-      const letter = bytes[at] ?? 0;
-      const digit = hexDigits[letter] ?? -1;
+      const byte = bytes[at] ?? 0;
+      const digit = hexDigits[byte] ?? -1;
       if (digit >= 0) size = size * 16 + digit;
       else {
-        if (at === 0 || letter !== 13 || bytes[at + 1] !== 10) return undefined;
+        if (at === 0 || byte !== 13 || bytes[at + 1] !== 10) return undefined;
         this.bytes = bytes.subarray(at + 2);
         return size;
       }
@@ -178,62 +182,62 @@
     return undefined;
   }
 
-  private part(most: number): Extract<AnswerEvent, { kind: 'part' }> | undefined {
+  private takeBodyBytes(maxBytes: number): Extract<ResponseEvent, { kind: 'part' }> | undefined {
     if (this.bytes.length === 0) return undefined;
-    const bytes = this.bytes.subarray(0, most);
+    const bytes = this.bytes.subarray(0, maxBytes);
     this.bytes = this.bytes.subarray(bytes.length);
     return { kind: 'part', bytes };
   }
 
-  private line(
-    most: number,
+  private takeLine(
+    maxBytes: number,
   ): Readonly<{ kind: 'line'; text: string }> | Readonly<{ kind: 'more' }> | Readonly<{ kind: 'tooLong' }> {
     const end = this.bytes.indexOf(lineEnd);
-    if (end > most || (end < 0 && this.bytes.length > most)) return { kind: 'tooLong' };
+    if (end > maxBytes || (end < 0 && this.bytes.length > maxBytes)) return { kind: 'tooLong' };
     if (end < 0) return { kind: 'more' };
     const text = this.bytes.toString('latin1', 0, end);
     this.bytes = this.bytes.subarray(end + 2);
     return { kind: 'line', text };
   }
 
-  private broken(text: string): AnswerEvent {
-    this.place = { kind: 'over' };
+  private fail(text: string): ResponseEvent {
+    this.state = { kind: 'over' };
     return { kind: 'broken', text };
   }
 
-  private head(): AnswerEvent | undefined {
+  private head(): ResponseEvent | undefined {
     const end = this.bytes.indexOf(headEnd);
     if (end > this.headBytes || (end < 0 && this.bytes.length > this.headBytes))
-      return this.broken('the head is too long');
+      return this.fail('head exceeds the size limit');
     if (end < 0) {
-      // Why at once: garbage may never have an end, and the caller waits.
+      // An invalid start is rejected at once: garbage may never contain the end of a head, and the client is waiting.
       const start = this.bytes.toString('latin1', 0, Math.min(5, this.bytes.length));
-      return 'HTTP/'.startsWith(start) ? undefined : this.broken('the first line is no status');
+      return 'HTTP/'.startsWith(start) ? undefined : this.fail('invalid status line');
     }
-    const read = readHead(this.bytes.toString('latin1', 0, end));
+    const parsed = parseHead(this.bytes.toString('latin1', 0, end));
     this.bytes = this.bytes.subarray(end + 4);
-    if (read.kind === 'broken') return this.broken(read.text);
-    const { status, headers, version } = read;
+    if (parsed.kind === 'broken') return this.fail(parsed.text);
+    const { status, headers, version } = parsed;
     if (status < 200) {
-      this.interim += 1;
-      // Why: nobody asked to go on or to change the protocol, and what comes next could be anything.
-      if (status === 100 || status === 101 || this.interim > interimMost)
-        return this.broken(`an answer ${status} that nobody asked for`);
-      this.place = { kind: 'head' };
+      this.interimHeads += 1;
+      // The request asked for neither 100 Continue nor a protocol switch, so the bytes that follow cannot be trusted.
+      if (status === 100 || status === 101 || this.interimHeads > maxInterimHeads)
+        return this.fail(`unexpected interim response ${status}`);
+      this.state = { kind: 'head' };
       return undefined;
     }
     const length = headers['content-length'];
     const coding = headers['transfer-encoding'];
-    const counted = length === undefined ? undefined : lengthIn(length);
-    if (length !== undefined && counted === undefined) return this.broken('the length is no length');
+    const contentLength = length === undefined ? undefined : parseContentLength(length);
+    if (length !== undefined && contentLength === undefined) return this.fail('invalid content length');
     if (coding !== undefined && (length !== undefined || version === 0 || coding.toLowerCase() !== 'chunked'))
-      return this.broken('the coding cannot be read');
+      return this.fail('unsupported transfer encoding');
     const empty = this.method === 'HEAD' || status === 204 || status === 304;
-    const framed = empty || counted !== undefined || coding !== undefined;
+    const framed = empty || contentLength !== undefined || coding !== undefined;
     this.keepMicroseconds = framed ? KeepAlive.microseconds(version, headers) : 0;
-    if (empty || counted === 0) this.place = { kind: 'ended' };
-    else if (counted !== undefined) this.place = { kind: 'counted', left: counted };
-    else this.place = { kind: coding === undefined ? 'untilClose' : 'chunkSize' };
+    if (empty || contentLength === 0) this.state = { kind: 'ended' };
+    else if (contentLength !== undefined) this.state = { kind: 'counted', left: contentLength };
+    else this.state = { kind: coding === undefined ? 'untilClose' : 'chunkSize' };
     return { kind: 'head', head: { status, headers, framed } };
   }
 }
--- a/source/shared/back-end/keptConns/idleLimits.ts
+++ b/source/shared/back-end/keptConns/idleLimits.ts
@@ -1,36 +1,43 @@
+/** When a reset counts as a connection that the back end dropped while idle, and how long that is remembered. */
 export type IdleLimitSettings = Readonly<{
-  /** A conn that was idle for less than this was not forgotten; what resets it is something else. */
-  leastForgottenMicroseconds: number;
-  /** A conn that was forgotten is reset within this time of the first byte. */
-  resetWithinMicroseconds: number;
-  /** After so long without another such reset conns are kept twice as long again. */
-  doubleMicroseconds: number;
+  /** A reset of a connection that was idle for less than this has another cause. */
+  minDroppedIdleMicroseconds: number;
+  /** A dropped connection is reset within this time after the first byte is written. */
+  maxResetDelayMicroseconds: number;
+  /** The idle limit doubles each time this period passes without another such reset. */
+  doublingMicroseconds: number;
 }>;
 
-/** Starting values, ours. */
 export const IdleLimitDefaults: IdleLimitSettings = {
-  leastForgottenMicroseconds: 200_000,
-  resetWithinMicroseconds: 150_000,
-  doubleMicroseconds: 10_000_000,
+  minDroppedIdleMicroseconds: 200_000,
+  maxResetDelayMicroseconds: 150_000,
+  doublingMicroseconds: 10_000_000,
 };
 
-type Lesson = Readonly<{ limitMicroseconds: number; atMicroseconds: number }>;
+type LearnedLimit = Readonly<{ limitMicroseconds: number; atMicroseconds: number }>;
 
-/** How long conns to each address may be idle, learned from those that turned out to be forgotten. Missing: no bound. */
-export type IdleLimitsState = Readonly<Record<string, Lesson>>;
+/** Idle limit of each address, learned from connections that the back end had dropped. Missing: no limit. */
+export type IdleLimitsState = Readonly<Record<string, LearnedLimit>>;
 
+/** Learns how long connections to a back end can be idle before the back end drops them without notice. */
 export const IdleLimits = {
   start: {} as IdleLimitsState,
 
-  /** What is believed of an address now. Why it rises again: back ends forget early for a time, and new conns are dear. */
+  /**
+   * The current idle limit of an address. It grows again over time because back ends drop connections early only for a
+   * while, and opening new ones is expensive.
+   */
   of: (state: IdleLimitsState, address: string, now: number, settings: IdleLimitSettings): number => {
-    const lesson = state[address];
-    if (lesson === undefined) return Infinity;
-    const doubled = Math.floor((now - lesson.atMicroseconds) / settings.doubleMicroseconds);
-    return lesson.limitMicroseconds * 2 ** doubled;
+    const learned = state[address];
+    if (learned === undefined) return Infinity;
+    const doubled = Math.floor((now - learned.atMicroseconds) / settings.doublingMicroseconds);
+    return learned.limitMicroseconds * 2 ** doubled;
   },
 
-  /** A conn was forgotten after so long. Why half: it was forgotten at some moment before that. */
+  /**
+   * Records that the back end had dropped a connection that was idle for this time. The new limit is half of it because
+   * the back end dropped the connection at some earlier moment.
+   */
   forgotten: (
     state: IdleLimitsState,
     address: string,
@@ -40,15 +47,20 @@
   ): IdleLimitsState => {
     const before = IdleLimits.of(state, address, now, settings);
     const limitMicroseconds = Math.max(
-      settings.leastForgottenMicroseconds,
+      settings.minDroppedIdleMicroseconds,
       Math.floor(Math.min(before, idleMicroseconds) / 2),
     );
     return { ...state, [address]: { limitMicroseconds, atMicroseconds: now } };
   },
 
-  /** Without what is no bound any more. */
-  tidy: (state: IdleLimitsState, now: number, mostMicroseconds: number, settings: IdleLimitSettings): IdleLimitsState =>
+  /** Removes limits that have grown to `maxMicroseconds` or more. */
+  removeExpired: (
+    state: IdleLimitsState,
+    now: number,
+    maxMicroseconds: number,
+    settings: IdleLimitSettings,
+  ): IdleLimitsState =>
     Object.fromEntries(
-      Object.entries(state).filter(([address]) => IdleLimits.of(state, address, now, settings) < mostMicroseconds),
+      Object.entries(state).filter(([address]) => IdleLimits.of(state, address, now, settings) < maxMicroseconds),
     ),
 } as const;
--- a/source/shared/back-end/keptConns/keepAlive.ts
+++ b/source/shared/back-end/keptConns/keepAlive.ts
@@ -1,12 +1,12 @@
 const tokens = (header: string | undefined): readonly string[] =>
   (header ?? '').split(',').map((token) => token.trim().toLowerCase());
 
-/** What a head says about the next order on its conn. */
+/** Determines from a response head whether and for how long its connection can be reused. */
 export const KeepAlive = {
-  /** 0: the conn ends with this answer. Undefined: it may be kept, and no time is named. */
+  /** 0: the connection ends with this response. Undefined: it may be reused, and no timeout is stated. */
   microseconds: (version: number, headers: Readonly<Record<string, string>>): number | undefined => {
-    const said = tokens(headers['connection']);
-    if (said.includes('close') || (version === 0 && !said.includes('keep-alive'))) return 0;
+    const connectionTokens = tokens(headers['connection']);
+    if (connectionTokens.includes('close') || (version === 0 && !connectionTokens.includes('keep-alive'))) return 0;
     const fields = (headers['keep-alive'] ?? '').toLowerCase();
     if (/(?:^|[,;\s])max\s*=\s*"?0+"?(?:$|[,;\s])/.test(fields)) return 0;
     const found = /(?:^|[,;\s])timeout\s*=\s*"?(\d{1,6})/.exec(fields);
@@ -14,11 +14,12 @@
   },
 
   /**
-   * How long an idle conn is used: less than its back end says, since the answer took time to come and the next order
-   * takes time to go. Where the margin is as long as the time itself, half of it.
+   * How long an idle connection is usable. It is shorter than the timeout that the back end states, because the response
+   * took time to arrive and the next request takes time to get there. If the margin is at least as long as the timeout,
+   * it is half of the timeout.
    */
-  usableMicroseconds: (hint: number | undefined, marginMicroseconds: number, mostMicroseconds: number): number =>
+  usableMicroseconds: (hint: number | undefined, marginMicroseconds: number, maxMicroseconds: number): number =>
     hint === undefined
-      ? mostMicroseconds
-      : Math.min(mostMicroseconds, hint > marginMicroseconds ? hint - marginMicroseconds : Math.floor(hint / 2)),
+      ? maxMicroseconds
+      : Math.min(maxMicroseconds, hint > marginMicroseconds ? hint - marginMicroseconds : Math.floor(hint / 2)),
 } as const;
--- a/source/shared/back-end/keptConns/keptConn.ts
+++ b/source/shared/back-end/keptConns/keptConn.ts
@@ -3,65 +3,69 @@
 import type { Cancel, Clock } from '../../effects/clock/clock';
 import { Logs } from '../../log/log';
 import type { SendHandle, SendOrder, SendSink } from '../protocol';
-import { AnswerReader, type AnswerEvent } from './answerReader';
+import { ResponseParser, type ResponseEvent } from './answerReader';
 import type { IdleLimitSettings } from './idleLimits';
 
-export type KeptConnLimits = Readonly<{
-  /** How long making a conn may take. */
+/** Limits of a single pooled connection. */
+export type PooledConnectionLimits = Readonly<{
+  /** Timeout for opening a connection. */
   connectMicroseconds: number;
-  /** When the machine begins to probe a conn that says nothing. */
-  probeMicroseconds: number;
-  /** Most bytes of an answer's head, and of its trailers. */
+  /** Idle time after which the operating system sends TCP keep-alive probes. */
+  keepAliveProbeMicroseconds: number;
+  /** Size limit of a response head, and of its trailers. */
   headBytes: number;
-  forgetting: IdleLimitSettings;
+  idleLimit: IdleLimitSettings;
 }>;
 
-/** What becomes of a conn once its order is over. */
-export type ConnEnd =
+/** State of a connection after its request has ended: free for the next one, or closed. */
+export type ConnectionOutcome =
   | Readonly<{ kind: 'free'; keepMicroseconds: number | undefined }>
   | Readonly<{
       kind: 'closed';
-      /** The back end had forgotten it while it was idle for so long. */
-      forgottenAfterMicroseconds?: number;
+      /** The back end had dropped the connection while it was idle; the value is its idle time. */
+      droppedAfterMicroseconds?: number;
     }>;
 
-type Run = {
+type RunningRequest = {
   readonly sink: SendSink;
-  readonly reader: AnswerReader;
-  /** Parts wait for a slow reader. */
-  held: boolean;
-  /** Nobody wants the answer any more; it is read to its end for the sake of the conn. */
+  readonly reader: ResponseParser;
+  /** Reading is paused because the consumer is slow. */
+  isPaused: boolean;
+  /** The response is discarded; it is read to its end so that the connection can be reused. */
   left: boolean;
-  leftBytes: number;
-  /** How long its conn had been idle before; undefined: the first order on it. */
+  discardedBytes: number;
+  /** How long the connection had been idle before; undefined: this is its first request. */
   readonly idleMicroseconds: number | undefined;
   readonly writtenMicroseconds: number;
   answered: boolean;
 };
 
-/** Most bytes of an answer nobody wants that are read for the sake of the conn. Ours. */
-const leftMost = 65_536;
+/** Most bytes of a discarded response that are read in order to reuse the connection. */
+const maxDiscardedBytes = 65_536;
 
-/** One conn to a back end: one order at a time, the next only after the whole answer. It never dials again. */
-export class KeptConn {
+/**
+ * One connection to a back end. It carries one request at a time; the next one follows only after the complete response.
+ * It never reconnects.
+ */
+export class PooledConnection {
   public idleSinceMicroseconds = 0;
   public usableMicroseconds = 0;
-  /** The back end has said how long it keeps the conn. */
-  public isTimeNamed = false;
+  /** The back end has stated how long it keeps the connection open. */
+  public isTimeoutStated = false;
   private readonly socket: net.Socket;
-  private run: Run | undefined;
+  private run: RunningRequest | undefined;
   private over = false;
-  private hasServed = false;
-  private reason = 'the conn closed';
+  private hasCarriedRequest = false;
+  private reason = 'the connection closed';
   private cancelTimer: Cancel;
 
   public constructor(
     public readonly address: string,
     private readonly clock: Clock,
-    private readonly limits: KeptConnLimits,
-    /** Called once when the conn stands; a conn that was not made only says that it closed. */
-    private readonly onMade: () => void,
-    private readonly onEnd: (end: ConnEnd) => void,
+    private readonly limits: PooledConnectionLimits,
+    /** Called once when the connection is open. If it cannot be opened, only `onEnd` is called. */
+    private readonly onOpen: () => void,
+    private readonly onEnd: (end: ConnectionOutcome) => void,
   ) {
     const { host, port } = Addresses.split(address);
     this.socket = net.connect({
@@ -69,21 +73,21 @@
       port,
       noDelay: true,
       keepAlive: true,
-      keepAliveInitialDelay: Math.ceil(limits.probeMicroseconds / 1000),
+      keepAliveInitialDelay: Math.ceil(limits.keepAliveProbeMicroseconds / 1000),
     });
-    this.cancelTimer = clock.after(limits.connectMicroseconds, () => this.destroy('the conn was not made in time'));
+    this.cancelTimer = clock.after(limits.connectMicroseconds, () => this.destroy('connection timed out'));
     this.socket.on('connect', () => {
       this.cancelTimer();
-      this.onMade();
+      this.onOpen();
     });
     this.socket.on('data', (chunk) => this.onData(chunk));
-    this.socket.on('end', () => this.onGone('the conn closed'));
-    this.socket.on('error', (error) => this.onGone(Logs.text(error)));
-    this.socket.on('close', () => this.onGone('the conn closed'));
+    this.socket.on('end', () => this.onSocketEnd('the connection closed'));
+    this.socket.on('error', (error) => this.onSocketEnd(Logs.text(error)));
+    this.socket.on('close', () => this.onSocketEnd('the connection closed'));
   }
 
-  /** Why it is no more. */
-  public get closedBecause(): string {
+  /** Reason for which the connection was closed. */
+  public get closeReason(): string {
     return this.reason;
   }
 
@@ -91,32 +95,32 @@
     return this.over;
   }
 
-  /** Bytes of an order may leave from here on; whether they may has been asked. The handle is good for this order alone. */
-  public write(order: SendOrder, bytes: Buffer, sink: SendSink): SendHandle {
+  /** Writes a request. The caller has already checked `mayGo`. The handle is valid for this request only. */
+  public write(request: SendOrder, bytes: Buffer, sink: SendSink): SendHandle {
     this.cancelTimer();
-    const run: Run = {
+    const run: RunningRequest = {
       sink,
-      reader: new AnswerReader(order.method, this.limits.headBytes),
-      held: false,
+      reader: new ResponseParser(request.method, this.limits.headBytes),
+      isPaused: false,
       left: false,
-      leftBytes: 0,
-      idleMicroseconds: this.hasServed ? this.idleMicroseconds : undefined,
+      discardedBytes: 0,
+      idleMicroseconds: this.hasCarriedRequest ? this.idleMicroseconds : undefined,
       writtenMicroseconds: this.clock.nowMicroseconds(),
       answered: false,
     };
-    this.hasServed = true;
+    this.hasCarriedRequest = true;
     this.run = run;
     this.socket.write(bytes);
     return { cut: () => this.cut(run), leave: () => this.leave(run) };
   }
 
-  /** To be called while no order is on it: the conn waits so long for the next. */
-  public idle(usableMicroseconds: number, isTimeNamed: boolean): void {
-    this.isTimeNamed = isTimeNamed;
+  /** Makes the connection wait for its next request for this time. Must be called while no request is running on it. */
+  public markIdle(usableMicroseconds: number, isTimeoutStated: boolean): void {
+    this.isTimeoutStated = isTimeoutStated;
     this.idleSinceMicroseconds = this.clock.nowMicroseconds();
     this.usableMicroseconds = usableMicroseconds;
     this.cancelTimer();
-    this.cancelTimer = this.clock.after(usableMicroseconds, () => this.destroy('the conn was idle for long'));
+    this.cancelTimer = this.clock.after(usableMicroseconds, () => this.destroy('idle timeout'));
   }
 
   public get idleMicroseconds(): number {
@@ -131,64 +135,68 @@
     this.socket.destroy();
     const { run } = this;
     this.run = undefined;
-    const forgottenAfterMicroseconds = run === undefined ? undefined : this.forgottenAfter(run);
-    this.onEnd({ kind: 'closed', ...(forgottenAfterMicroseconds === undefined ? {} : { forgottenAfterMicroseconds }) });
+    const droppedAfterMicroseconds = run === undefined ? undefined : this.idleTimeWhenDropped(run);
+    this.onEnd({
+      kind: 'closed',
+      ...(droppedAfterMicroseconds === undefined ? {} : { droppedAfterMicroseconds }),
+    });
     if (run === undefined || run.left) return;
-    // Why still mayHaveRun: a back end that fell as it read the order looks the same from here.
+    // This is `mayHaveRun` for dropped connections too: a back end that crashes while reading the request looks the same.
     run.sink.failed({
       kind: 'mayHaveRun',
       text: reason,
-      ...(forgottenAfterMicroseconds === undefined ? {} : { forgotten: true }),
+      ...(droppedAfterMicroseconds === undefined ? {} : { forgotten: true }),
     });
   }
 
-  /** Undefined: what ended it has nothing to do with its having been idle. */
-  private forgottenAfter({ answered, idleMicroseconds, writtenMicroseconds }: Run): number | undefined {
-    const { leastForgottenMicroseconds, resetWithinMicroseconds } = this.limits.forgetting;
-    if (answered || idleMicroseconds === undefined || idleMicroseconds < leastForgottenMicroseconds) return undefined;
-    const took = this.clock.nowMicroseconds() - writtenMicroseconds;
-    return took <= resetWithinMicroseconds ? idleMicroseconds : undefined;
+  /** How long the connection was idle before the back end dropped it. Undefined: it ended for another reason. */
+  private idleTimeWhenDropped({ answered, idleMicroseconds, writtenMicroseconds }: RunningRequest): number | undefined {
+    const { minDroppedIdleMicroseconds, maxResetDelayMicroseconds } = this.limits.idleLimit;
+    if (answered || idleMicroseconds === undefined || idleMicroseconds < minDroppedIdleMicroseconds) return undefined;
+    const sinceWritten = this.clock.nowMicroseconds() - writtenMicroseconds;
+    return sinceWritten <= maxResetDelayMicroseconds ? idleMicroseconds : undefined;
   }
 
-  private cut(run: Run): void {
-    // Why look: the conn may be under another order by now.
+  private cut(run: RunningRequest): void {
+    // The connection may be running another request by now.
     if (this.run !== run) return;
     this.run = undefined;
-    // Why a reset: what a frozen back end has not read yet is then thrown away by its machine, and never run.
+    // The connection is reset so that the machine of a frozen back end discards the bytes that it has not read yet, and
+    // the request never runs.
     this.socket.resetAndDestroy();
-    this.destroy('cut');
+    this.destroy('request cancelled');
   }
 
-  private leave(run: Run): void {
+  private leave(run: RunningRequest): void {
     if (this.run !== run || run.left) return;
     run.left = true;
-    if (!run.held) return;
-    run.held = false;
+    if (!run.isPaused) return;
+    run.isPaused = false;
     this.socket.resume();
-    this.pump(run);
+    this.deliver(run);
   }
 
   private onData(chunk: Buffer): void {
     const { run } = this;
-    // Why: bytes that nobody asked for belong to no order, and what follows them could be anything.
-    if (run === undefined) return this.destroy('bytes came that no order waits for');
+    // Bytes received while no request is running cannot be assigned to one, and what follows them cannot be trusted.
+    if (run === undefined) return this.destroy('received bytes while no request was running');
     run.answered = true;
     run.reader.push(chunk);
-    if (!run.held) this.pump(run);
+    if (!run.isPaused) this.deliver(run);
   }
 
-  private onGone(reason: string): void {
+  private onSocketEnd(reason: string): void {
     if (this.over) return;
     const { run } = this;
-    // Why not while parts wait: what has come is passed on first, and the end is seen when it is taken up again.
-    if (run === undefined || run.held) return this.destroy(reason);
-    const event = reason === 'the conn closed' ? run.reader.close() : undefined;
+    // While reading is paused, the buffered bytes are delivered first; the end is handled when reading resumes.
+    if (run === undefined || run.isPaused) return this.destroy(reason);
+    const event = reason === 'the connection closed' ? run.reader.close() : undefined;
     if (event?.kind === 'end') this.ended(run, event);
     else this.destroy(event?.kind === 'broken' ? event.text : reason);
   }
 
-  private pump(run: Run): void {
-    while (this.run === run && !run.held) {
+  private deliver(run: RunningRequest): void {
+    while (this.run === run && !run.isPaused) {
       const event = run.reader.next();
       if (event === undefined) return;
       switch (event.kind) {
@@ -196,7 +204,7 @@
           if (!run.left) run.sink.head(event.head);
           break;
         case 'part':
-          this.part(run, event.bytes);
+          this.deliverBody(run, event.bytes);
           break;
         case 'end':
           this.ended(run, event);
@@ -208,36 +216,36 @@
     }
   }
 
-  private part(run: Run, bytes: Uint8Array): void {
+  private deliverBody(run: RunningRequest, bytes: Uint8Array): void {
     if (run.left) {
-      run.leftBytes += bytes.length;
-      if (run.leftBytes > leftMost) this.cut(run);
+      run.discardedBytes += bytes.length;
+      if (run.discardedBytes > maxDiscardedBytes) this.cut(run);
       return;
     }
-    const taken = run.sink.part(bytes);
-    if (taken === undefined || this.run !== run) return;
-    run.held = true;
+    const consumed = run.sink.part(bytes);
+    if (consumed === undefined || this.run !== run) return;
+    run.isPaused = true;
     this.socket.pause();
-    const goOn = (): void => {
-      if (this.run !== run || !run.held) return;
-      run.held = false;
+    const resume = (): void => {
+      if (this.run !== run || !run.isPaused) return;
+      run.isPaused = false;
       this.socket.resume();
-      this.pump(run);
+      this.deliver(run);
     };
-    taken.then(goOn, (error: unknown) => this.destroy(Logs.text(error)));
+    consumed.then(resume, (error: unknown) => this.destroy(Logs.text(error)));
   }
 
-  private ended(run: Run, { keepMicroseconds }: Extract<AnswerEvent, { kind: 'end' }>): void {
+  private ended(run: RunningRequest, { keepMicroseconds }: Extract<ResponseEvent, { kind: 'end' }>): void {
     this.run = undefined;
-    // Why these: surplus bytes, an order not wholly written, or an end that was announced leave no conn to use again.
-    const kept =
+    // The connection cannot be reused after surplus bytes, a request that is not fully written or an announced close.
+    const isReusable =
       keepMicroseconds !== 0 &&
       run.reader.left === 0 &&
       this.socket.writableLength === 0 &&
       !this.socket.readableEnded &&
       !this.socket.destroyed;
-    if (kept) this.onEnd({ kind: 'free', keepMicroseconds });
-    else this.destroy('the conn is not kept');
+    if (isReusable) this.onEnd({ kind: 'free', keepMicroseconds });
+    else this.destroy('the connection is not reusable');
     if (!run.left) run.sink.end();
   }
 }
--- a/source/shared/back-end/keptConns/keptConnSender.ts
+++ b/source/shared/back-end/keptConns/keptConnSender.ts
@@ -3,208 +3,232 @@
 import type { BackEndSender, SendHandle, SendOrder, SendSink } from '../protocol';
 import { IdleLimitDefaults, IdleLimits, type IdleLimitsState } from './idleLimits';
 import { KeepAlive } from './keepAlive';
-import { KeptConn, type KeptConnLimits } from './keptConn';
-import { OrderBytes } from './orderBytes';
+import { PooledConnection, type PooledConnectionLimits } from './keptConn';
+import { RequestBytes } from './orderBytes';
 
-export type KeptConnSettings = KeptConnLimits &
+/** Settings of the connection pool. */
+export type ConnectionPoolSettings = PooledConnectionLimits &
   Readonly<{
-    /** How long an idle conn is kept where its back end names no time. */
+    /** How long an idle connection is kept open if its back end states no timeout. */
     idleMicroseconds: number;
-    /** How much sooner than its back end says a conn is given up. */
+    /** How long before the back end's stated timeout a connection is closed. */
     marginMicroseconds: number;
-    /** An order that may run once goes only on a conn that was idle for less than this, */
-    onceIdleMicroseconds: number;
-    /** or than this where the back end has named a longer time for which it keeps the conn. */
-    onceNamedIdleMicroseconds: number;
+    /** A request that must run at most once uses only connections that were idle for less than this, */
+    maxIdleForOnceMicroseconds: number;
+    /** or less than this if the back end has stated a longer keep-alive timeout. */
+    maxStatedIdleForOnceMicroseconds: number;
   }>;
 
-/** Conns to one address: how many may be idle, and how many may stand at once. */
+/** Limits of the connections to one address: `kept` idle ones, `most` in total. */
 export type ConnBound = Readonly<{ kept: number; most: number }>;
 
-export const KeptConnDefaults: KeptConnSettings = {
+export const KeptConnDefaults: ConnectionPoolSettings = {
   connectMicroseconds: 300_000,
-  probeMicroseconds: 1_000_000,
+  keepAliveProbeMicroseconds: 1_000_000,
   headBytes: 16_384,
   idleMicroseconds: 15_000_000,
   marginMicroseconds: 1_000_000,
-  onceIdleMicroseconds: 3_000_000,
-  onceNamedIdleMicroseconds: 6_000_000,
-  forgetting: IdleLimitDefaults,
+  maxIdleForOnceMicroseconds: 3_000_000,
+  maxStatedIdleForOnceMicroseconds: 6_000_000,
+  idleLimit: IdleLimitDefaults,
 };
 
-type Book = { readonly conns: Set<KeptConn>; /** The one used last stands last. */ idle: readonly KeptConn[] };
+type AddressPool = {
+  readonly conns: Set<PooledConnection>;
+  /** In order of use: the most recently used is last. */
+  idle: readonly PooledConnection[];
+};
 
-const nothing: SendHandle = { cut: () => undefined };
+const noHandle: SendHandle = { cut: () => undefined };
 
 /**
- * Keeps conns and uses them again, the one used last first. None is made ahead, none is dialled twice for one order,
- * and an order is written once: what becomes of it after its first byte is `mayHaveRun`, on a kept conn as on a new one.
+ * A sender with a connection pool; the most recently used connection is reused first. Connections are opened on demand,
+ * and at most one is opened for a request. A request is written only once: a failure after its first byte is
+ * `mayHaveRun`, on a reused connection as on a new one.
  */
 export class KeptConnSender implements BackEndSender {
-  private readonly books = new Map<string, Book>();
+  private readonly pools = new Map<string, AddressPool>();
   private readonly log = Logs.part('conns');
   private closed = false;
   private limits: IdleLimitsState = IdleLimits.start;
 
   public constructor(
     private readonly clock: Clock,
-    private readonly settings: KeptConnSettings = KeptConnDefaults,
+    private readonly settings: ConnectionPoolSettings = KeptConnDefaults,
     private readonly boundOf: (address: string) => ConnBound = () => ({ kept: 16, most: 1024 }),
   ) {}
 
-  public readonly send = (order: SendOrder, sink: SendSink): SendHandle => {
-    const { address } = order;
-    const known = this.takeIdle(address, order.runsOnce === true);
-    if (known !== undefined) return this.writeOn(known, order, sink);
+  public readonly send = (request: SendOrder, sink: SendSink): SendHandle => {
+    const { address } = request;
+    const idleConnection = this.takeIdle(address, request.runsOnce === true);
+    if (idleConnection !== undefined) return this.writeTo(idleConnection, request, sink);
     const { most } = this.boundOf(address);
-    const { conns, idle } = this.bookOf(address);
-    // Why: it is too old for this order, and the place it takes is needed.
-    if (conns.size >= most) idle[0]?.destroy('its place is needed');
-    if (this.closed || this.bookOf(address).conns.size >= most) {
-      const text = this.closed ? 'no conns are made any more' : 'no conn is free';
+    const { conns, idle } = this.poolOf(address);
+    // The oldest idle connection has been idle too long for this request, and the limit leaves no room for a new one.
+    if (conns.size >= most) idle[0]?.destroy('replaced by a new connection at the limit');
+    if (this.closed || this.poolOf(address).conns.size >= most) {
+      const text = this.closed ? 'the connection pool is closed' : 'no connection is free';
       queueMicrotask(() => sink.failed({ kind: 'notRun', text }));
-      return nothing;
+      return noHandle;
     }
-    return this.dial(order, sink);
+    return this.connect(request, sink);
   };
 
   public readonly hasIdle = (address: string): boolean => {
-    const conn = this.books.get(address)?.idle.at(-1);
-    return conn !== undefined && conn.idleMicroseconds < conn.usableMicroseconds;
+    const connection = this.pools.get(address)?.idle.at(-1);
+    return connection !== undefined && connection.idleMicroseconds < connection.usableMicroseconds;
   };
 
-  /** Conns that stand or are being made, and those of them that are idle. */
+  /** Number of connections that are open or being opened, and how many of them are idle. */
   public counts(address: string): Readonly<{ conns: number; idle: number }> {
-    const book = this.books.get(address);
-    return { conns: book?.conns.size ?? 0, idle: book?.idle.length ?? 0 };
+    const pool = this.pools.get(address);
+    return { conns: pool?.conns.size ?? 0, idle: pool?.idle.length ?? 0 };
   }
 
-  /** Idle conns end; running orders go on. */
+  /** Closes idle connections and opens no new ones; running requests continue. */
   public close(): void {
     this.closed = true;
-    for (const book of this.books.values()) for (const conn of book.idle) conn.destroy('the program ends');
+    for (const pool of this.pools.values())
+      for (const connection of pool.idle) connection.destroy('the process is shutting down');
   }
 
-  private bookOf(address: string): Book {
-    const known = this.books.get(address);
+  private poolOf(address: string): AddressPool {
+    const known = this.pools.get(address);
     if (known !== undefined) return known;
-    const made: Book = { conns: new Set(), idle: [] };
-    this.books.set(address, made);
-    return made;
+    const created: AddressPool = { conns: new Set(), idle: [] };
+    this.pools.set(address, created);
+    return created;
   }
 
-  private takeIdle(address: string, once: boolean): KeptConn | undefined {
-    const { forgetting } = this.settings;
-    const limit = IdleLimits.of(this.limits, address, this.clock.nowMicroseconds(), forgetting);
+  private takeIdle(address: string, runsOnce: boolean): PooledConnection | undefined {
+    const { idleLimit } = this.settings;
+    const limit = IdleLimits.of(this.limits, address, this.clock.nowMicroseconds(), idleLimit);
     for (;;) {
-      const book = this.bookOf(address);
-      const conn = book.idle.at(-1);
-      if (conn === undefined) return undefined;
-      const idle = conn.idleMicroseconds;
-      // Why here besides its timer: a process that was frozen wakes up with timers that are late.
-      if (idle >= conn.usableMicroseconds) {
-        conn.destroy('the conn was idle for long');
+      const pool = this.poolOf(address);
+      const connection = pool.idle.at(-1);
+      if (connection === undefined) return undefined;
+      const idle = connection.idleMicroseconds;
+      // This is checked besides the connection's timer because timers are late after the process was frozen.
+      if (idle >= connection.usableMicroseconds) {
+        connection.destroy('idle timeout');
         continue;
       }
-      // Why given up: its back end has forgotten conns that were idle for not much longer.
+      // The back end has dropped connections that were idle for not much longer.
       if (idle >= limit) {
-        conn.destroy('its back end forgets conns sooner');
+        connection.destroy('the back end drops idle connections sooner');
         continue;
       }
-      // Why not the others: they were idle for longer.
-      const { onceIdleMicroseconds, onceNamedIdleMicroseconds } = this.settings;
-      const most = Math.min(conn.isTimeNamed ? onceNamedIdleMicroseconds : onceIdleMicroseconds, limit / 2);
-      if (once && idle >= most) return undefined;
-      book.idle = book.idle.slice(0, -1);
-      return conn;
+      // The other connections were idle for even longer.
+      const { maxIdleForOnceMicroseconds, maxStatedIdleForOnceMicroseconds } = this.settings;
+      const maxIdle = Math.min(
+        connection.isTimeoutStated ? maxStatedIdleForOnceMicroseconds : maxIdleForOnceMicroseconds,
+        limit / 2,
+      );
+      if (runsOnce && idle >= maxIdle) return undefined;
+      pool.idle = pool.idle.slice(0, -1);
+      return connection;
     }
   }
 
-  private writeOn(conn: KeptConn, order: SendOrder, sink: SendSink): SendHandle {
-    const written = OrderBytes.of(order);
-    let text = 'not sent';
-    if (written.kind === 'unwritable') text = written.text;
-    // Why last: nothing may come between this look and the first byte.
-    else if (sink.mayGo()) return conn.write(order, written.bytes, sink);
-    this.keep(conn, undefined);
-    let cut = false;
+  private writeTo(connection: PooledConnection, request: SendOrder, sink: SendSink): SendHandle {
+    const encoded = RequestBytes.of(request);
+    let text = 'request cancelled before it was sent';
+    if (encoded.kind === 'unwritable') text = encoded.text;
+    // This check is the last step before the first byte, so that nothing can happen in between.
+    else if (sink.mayGo()) return connection.write(request, encoded.bytes, sink);
+    this.keep(connection, undefined);
+    let isCancelled = false;
     queueMicrotask(() => {
-      if (!cut) sink.failed({ kind: 'notRun', text });
+      if (!isCancelled) sink.failed({ kind: 'notRun', text });
     });
-    const stop = (): void => {
-      cut = true;
+    const cancel = (): void => {
+      isCancelled = true;
     };
-    return { cut: stop, leave: stop };
+    return { cut: cancel, leave: cancel };
   }
 
-  private dial(order: SendOrder, sink: SendSink): SendHandle {
+  private connect(request: SendOrder, sink: SendSink): SendHandle {
     let running: SendHandle | undefined;
-    let state: 'dialling' | 'stands' | 'unwanted' = 'dialling';
-    const conn: KeptConn = new KeptConn(
-      order.address,
+    let state: 'connecting' | 'connected' | 'cancelled' = 'connecting';
+    const connection: PooledConnection = new PooledConnection(
+      request.address,
       this.clock,
       this.settings,
       () => {
-        if (state === 'dialling') {
-          state = 'stands';
-          running = this.writeOn(conn, order, sink);
+        if (state === 'connecting') {
+          state = 'connected';
+          running = this.writeTo(connection, request, sink);
         }
-        // Why kept though nobody wants it now: it was paid for, and nothing was written on it.
-        else this.keep(conn, undefined);
+        // The connection is kept although its request was cancelled: it is open, and nothing was written to it.
+        else this.keep(connection, undefined);
       },
       (end) => {
-        if (end.kind === 'free') return this.keep(conn, end.keepMicroseconds);
-        this.forget(conn);
-        if (end.forgottenAfterMicroseconds !== undefined) this.learn(conn.address, end.forgottenAfterMicroseconds);
-        // Why notRun: the conn never stood.
-        if (state === 'dialling') {
-          state = 'unwanted';
-          sink.failed({ kind: 'notRun', text: conn.closedBecause });
+        if (end.kind === 'free') return this.keep(connection, end.keepMicroseconds);
+        this.remove(connection);
+        if (end.droppedAfterMicroseconds !== undefined)
+          this.lowerIdleLimit(connection.address, end.droppedAfterMicroseconds);
+        // This is `notRun` because the connection never opened.
+        if (state === 'connecting') {
+          state = 'cancelled';
+          sink.failed({ kind: 'notRun', text: connection.closeReason });
         }
       },
     );
-    this.bookOf(order.address).conns.add(conn);
-    this.log(`A conn to ${order.address} is made; ${this.tell(order.address)}.`);
-    const stop = (how: 'cut' | 'leave') => (): void => {
-      if (state === 'dialling') state = 'unwanted';
+    this.poolOf(request.address).conns.add(connection);
+    this.log(`Opening a connection to ${request.address}; ${this.describe(request.address)}.`);
+    const canceller = (how: 'cut' | 'leave') => (): void => {
+      if (state === 'connecting') state = 'cancelled';
       else if (how === 'cut') running?.cut();
       else running?.leave?.();
     };
-    return { cut: stop('cut'), leave: stop('leave') };
+    return { cut: canceller('cut'), leave: canceller('leave') };
   }
 
-  private tell(address: string): string {
+  private describe(address: string): string {
     const { conns, idle } = this.counts(address);
-    return `${conns} stand, ${idle} are idle`;
+    return `${conns} open, ${idle} idle`;
   }
 
-  private forget(conn: KeptConn): void {
-    this.log(`A conn to ${conn.address} ends, because ${conn.closedBecause}; ${this.tell(conn.address)}.`);
-    const book = this.bookOf(conn.address);
-    book.conns.delete(conn);
-    book.idle = book.idle.filter((other) => other !== conn);
-    if (book.conns.size === 0) this.books.delete(conn.address);
+  private remove(connection: PooledConnection): void {
+    this.log(
+      `Closed a connection to ${connection.address} (${connection.closeReason}); ${this.describe(connection.address)}.`,
+    );
+    const pool = this.poolOf(connection.address);
+    pool.conns.delete(connection);
+    pool.idle = pool.idle.filter((other) => other !== connection);
+    if (pool.conns.size === 0) this.pools.delete(connection.address);
   }
 
-  /** Sends after this one trust idle conns to that back end for a shorter time. */
-  private learn(address: string, idleMicroseconds: number): void {
-    const { forgetting, idleMicroseconds: most } = this.settings;
+  /** Lowers the idle limit of the back end after it dropped an idle connection. */
+  private lowerIdleLimit(address: string, idleMicroseconds: number): void {
+    const { idleLimit, idleMicroseconds: maxMicroseconds } = this.settings;
     const now = this.clock.nowMicroseconds();
-    const tidied = IdleLimits.tidy(this.limits, now, most, forgetting);
-    this.limits = IdleLimits.forgotten(tidied, address, idleMicroseconds, now, forgetting);
-    this.log(`The back end at ${address} forgot a conn idle for ${Math.round(idleMicroseconds / 1000)} ms.`);
+    const remaining = IdleLimits.removeExpired(this.limits, now, maxMicroseconds, idleLimit);
+    this.limits = IdleLimits.forgotten(remaining, address, idleMicroseconds, now, idleLimit);
+    this.log(
+      `The back end at ${address} dropped a connection that was idle for ${Math.round(idleMicroseconds / 1000)} ms.`,
+    );
   }
 
-  /** A conn without an order on it goes back among the idle ones, or ends. */
-  private keep(conn: KeptConn, hint: number | undefined): void {
-    const book = this.bookOf(conn.address);
+  /** Returns a connection without a running request to the idle ones, or closes it. */
+  private keep(connection: PooledConnection, keepAliveMicroseconds: number | undefined): void {
+    const pool = this.poolOf(connection.address);
     const { marginMicroseconds, idleMicroseconds } = this.settings;
-    const usable = KeepAlive.usableMicroseconds(hint, marginMicroseconds, idleMicroseconds);
-    if (this.closed || conn.closed || book.idle.length >= this.boundOf(conn.address).kept || usable <= 0) {
-      conn.destroy('the conn is not kept');
+    const usableMicroseconds = KeepAlive.usableMicroseconds(
+      keepAliveMicroseconds,
+      marginMicroseconds,
+      idleMicroseconds,
+    );
+    if (
+      this.closed ||
+      connection.closed ||
+      pool.idle.length >= this.boundOf(connection.address).kept ||
+      usableMicroseconds <= 0
+    ) {
+      connection.destroy('the connection is not reusable');
       return;
     }
-    conn.idle(usable, hint !== undefined);
-    book.idle = [...book.idle, conn];
+    connection.markIdle(usableMicroseconds, keepAliveMicroseconds !== undefined);
+    pool.idle = [...pool.idle, connection];
   }
 }
--- a/source/shared/back-end/keptConns/orderBytes.ts
+++ b/source/shared/back-end/keptConns/orderBytes.ts
@@ -1,30 +1,38 @@
 import type { SendOrder } from '../protocol';
 
-const token = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
-const target = /^[\x21-\x7e\x80-\xff]+$/;
-const value = /^[\t\x20-\x7e\x80-\xff]*$/;
-/** Written by the sender alone: they say how the conn and the body go. */
-const own = new Set(['connection', 'content-length', 'transfer-encoding', 'keep-alive', 'expect', 'upgrade', 'te']);
-const withBody = new Set(['POST', 'PUT', 'PATCH']);
+const tokenPattern = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
+const targetPattern = /^[\x21-\x7e\x80-\xff]+$/;
+const valuePattern = /^[\t\x20-\x7e\x80-\xff]*$/;
+/** Headers that only the sender sets: they control the connection and the framing of the body. */
+const senderHeaders = new Set([
+  'connection',
+  'content-length',
+  'transfer-encoding',
+  'keep-alive',
+  'expect',
+  'upgrade',
+  'te',
+]);
+const methodsWithBody = new Set(['POST', 'PUT', 'PATCH']);
 
-export type OrderBytes = Readonly<{ kind: 'bytes'; bytes: Buffer }> | Readonly<{ kind: 'unwritable'; text: string }>;
+export type RequestBytes = Readonly<{ kind: 'bytes'; bytes: Buffer }> | Readonly<{ kind: 'unwritable'; text: string }>;
 
-export const OrderBytes = {
-  /** One order as it stands on the wire. What could be read as two orders is never written. */
-  of: (order: SendOrder): OrderBytes => {
-    if (!token.test(order.method) || !target.test(order.path))
-      return { kind: 'unwritable', text: 'the method or path cannot be written' };
-    const body = typeof order.body === 'string' ? Buffer.from(order.body, 'utf8') : order.body;
-    let head = `${order.method} ${order.path} HTTP/1.1\r\n`;
+export const RequestBytes = {
+  /** Encodes a request for HTTP/1.1. A request that could be parsed as two requests is rejected. */
+  of: (request: SendOrder): RequestBytes => {
+    if (!tokenPattern.test(request.method) || !targetPattern.test(request.path))
+      return { kind: 'unwritable', text: 'invalid method or path' };
+    const body = typeof request.body === 'string' ? Buffer.from(request.body, 'utf8') : request.body;
+    let head = `${request.method} ${request.path} HTTP/1.1\r\n`;
     let host = false;
-    for (const [name, text] of Object.entries(order.headers)) {
-      if (own.has(name.toLowerCase())) continue;
-      if (!token.test(name) || !value.test(text)) return { kind: 'unwritable', text: 'a header cannot be written' };
+    for (const [name, text] of Object.entries(request.headers)) {
+      if (senderHeaders.has(name.toLowerCase())) continue;
+      if (!tokenPattern.test(name) || !valuePattern.test(text)) return { kind: 'unwritable', text: 'invalid header' };
       host ||= name.toLowerCase() === 'host';
       head += `${name}: ${text}\r\n`;
     }
-    if (!host) head += `host: ${order.address}\r\n`;
-    if (body.length > 0 || withBody.has(order.method)) head += `content-length: ${body.length}\r\n`;
+    if (!host) head += `host: ${request.address}\r\n`;
+    if (body.length > 0 || methodsWithBody.has(request.method)) head += `content-length: ${body.length}\r\n`;
     head += 'connection: keep-alive\r\n\r\n';
     return { kind: 'bytes', bytes: Buffer.concat([Buffer.from(head, 'latin1'), body]) };
   },
--- a/source/shared/back-end/ownWords.ts
+++ b/source/shared/back-end/ownWords.ts
@@ -1,9 +1,9 @@
 import { BackEndHeaders, CacheHeaders } from './protocol';
 import type { BackEndWords } from './words';
 
-const passedHeaders = ['content-type', 'cache-control', 'content-length'] as const;
+const forwardedHeaders = ['content-type', 'cache-control', 'content-length'] as const;
 
-/** The product's own protocol. */
+/** Codec of the product's native protocol between proxies and back ends. */
 export const ownWords: BackEndWords = {
   namesInstance: true,
   closeEndsAnswer: false,
@@ -15,17 +15,17 @@
     ...(source === undefined ? {} : { [BackEndHeaders.cacheSource]: CacheHeaders.source(source) }),
   }),
   read: ({ headers }) => {
-    const took = Number(headers[BackEndHeaders.importMicroseconds] ?? Number.NaN);
+    const importDuration = Number(headers[BackEndHeaders.importMicroseconds] ?? Number.NaN);
     return {
       orderId: undefined,
-      // The instance that the answer names is looked at instead.
+      // The native protocol has no seal: callers check the instance that the response names instead.
       lacksSeal: false,
       notRun: headers[BackEndHeaders.notRun] === undefined ? undefined : 'busy',
       bootEpoch: headers[BackEndHeaders.bootEpoch],
       weights: headers[BackEndHeaders.weights],
-      importMicroseconds: Number.isFinite(took) && took > 0 ? took : undefined,
+      importMicroseconds: Number.isFinite(importDuration) && importDuration > 0 ? importDuration : undefined,
       passed: Object.fromEntries(
-        passedHeaders.flatMap((name) => (headers[name] === undefined ? [] : [[name, headers[name]]])),
+        forwardedHeaders.flatMap((name) => (headers[name] === undefined ? [] : [[name, headers[name]]])),
       ),
       events: false,
     };
--- a/source/shared/back-end/protocol.ts
+++ b/source/shared/back-end/protocol.ts
@@ -1,4 +1,7 @@
-/** All that is known of the back ends' protocol stands in this folder, since it may be refined. */
+/**
+ * Headers of the native back-end protocol. Everything that depends on this protocol is kept in this folder, because the
+ * protocol may still change.
+ */
 export const BackEndHeaders = {
   cacheTarget: 'postdrum-cache-target',
   cacheSource: 'postdrum-cache-source',
@@ -10,43 +13,51 @@
   importMicroseconds: 'postdrum-import-microseconds',
 } as const;
 
+/** Where the back end stores the cache blocks of a request, and under which keys. */
 export type CacheTarget = Readonly<{ store: string; keys: readonly string[] }>;
-/** The source's names for the blocks from place `at` of the target's list on. */
+/**
+ * A back end from which cache blocks can be imported. `keys` are its keys for the blocks that start at index `at` of the
+ * target's list of keys.
+ */
 export type CacheSource = Readonly<{ address: string; bootEpoch: string; at: number; keys: readonly string[] }>;
+/** Status that an engine reports. */
 export type EngineStatus = Readonly<{
-  /** Empty: only its events say it. */
+  /** Identifies the engine's current run. Empty: only its events carry it. */
   bootEpoch: string;
   weights: string;
-  /** 0: not said. */
+  /** 0: not reported. */
   capacity: number;
   inFlight: number;
   accepting: boolean;
-  /** The weights of each model, where an engine says so. */
+  /** The weights of each model, if the engine reports them. */
   models?: Readonly<Record<string, string>>;
-  /** A directive is under way. */
+  /** A directive is being carried out. */
   busy?: boolean;
 }>;
+/** A cache block was stored in or evicted from an engine's cache. */
 export type KvEvent = Readonly<{
   sequence: number;
   kind: 'stored' | 'evicted';
   key: string;
-  /** How much of the part is kept now; said where names are derived from the identity. */
+  /** How much of the prompt part is stored now; set if keys are derived from the cache identity. */
   size?: number;
 }>;
 export type KvEvents = Readonly<{
   bootEpoch: string;
   events: readonly KvEvent[];
   last: number;
-  /** Some events between are no longer there to be read. */
+  /** Some events after the requested sequence number are no longer available. */
   lost?: boolean;
 }>;
+/** All cache blocks that an engine stores, as of the event `sequence`. */
 export type KvList = Readonly<{
   bootEpoch: string;
   sequence: number;
   keys: readonly string[];
-  /** How much of each is kept, in the order of `keys`; said where names are derived from the identity. */
+  /** How much of each prompt part is stored, in the order of `keys`; set if keys are derived from the cache identity. */
   sizes?: readonly number[];
 }>;
+/** A command of an engine controller to an engine. `term` fences off commands of earlier controllers. */
 export type Directive =
   | Readonly<{
       kind: 'loadWeights';
@@ -54,27 +65,27 @@
       steward: string;
       weights: string;
       drainMicroseconds: number;
-      /** The model whose weights are meant; missing: the only one. */
+      /** The model whose weights to load; missing: the engine's only model. */
       model?: string;
-      /** The engine that is meant, and no other at that address. */
+      /** The engine that the directive is for; another engine at the same address must not carry it out. */
       engine?: string;
     }>
   | Readonly<{ kind: 'drain' | 'resume'; term: number; steward: string }>;
 /**
- * `done`: it holds. `begun`: it is being done. `otherUnderWay`: another one is. `failed`: nothing is known, and it may
- * have been taken.
+ * `done`: the directive is in effect. `begun`: it is in progress. `otherUnderWay`: another directive is in progress.
+ * `oldTerm`: the engine has seen a newer term. `failed`: the outcome is unknown, and the engine may have accepted it.
  */
 export type DirectiveOutcome = 'done' | 'begun' | 'otherUnderWay' | 'oldTerm' | 'failed';
 
-/** What a protocol lets a steward do. */
+/** Capabilities of a protocol that engine controllers depend on. */
 export type DoorTraits = Readonly<{
-  /** Engines can be told to take nothing more; else whoever keeps the list of engines sees to it. */
+  /** Engines accept a command to drain; otherwise the owner of the engine list drains them. */
   drains: boolean;
-  /** An events call may be held until there are some; then one follows the other, and each is also a sign of life. */
+  /** The events call supports long polling; polls follow each other without a pause, and each is a heartbeat too. */
   holdsEvents: boolean;
-  /** Kept parts have names that follow from the identity, the same ones whoever ordered them. */
+  /** Keys of stored prompt parts are derived from the cache identity, and are the same whoever sent the request. */
   derivedNames: boolean;
-  /** Holders that are no engines have a status too. */
+  /** Cache stores that are not engines report a status too. */
   storesHaveStatus: boolean;
 }>;
 export const DoorTraits = {
@@ -92,14 +103,14 @@
 export const BackEndLimits = { keys: 256, listKeys: 200_000, answerBytes: 16 * 1024 * 1024, events: 5000 } as const;
 
 const keyPattern = /^[0-9a-f]{32}$/;
-const fields = (header: string): ReadonlyMap<string, string> =>
+const parseFields = (header: string): ReadonlyMap<string, string> =>
   new Map(
     header
       .split(';')
       .map((part) => part.trim().split('=', 2))
       .filter((pair): pair is [string, string] => pair.length === 2),
   );
-const keysIn = (text: string | undefined): readonly string[] | undefined => {
+const parseKeys = (text: string | undefined): readonly string[] | undefined => {
   const keys = (text ?? '').split(',').filter((key) => key !== '');
   return keys.length <= BackEndLimits.keys && keys.every((key) => keyPattern.test(key)) ? keys : undefined;
 };
@@ -110,13 +121,13 @@
   source: (source: CacheSource): string =>
     `from=${source.address}; epoch=${source.bootEpoch}; at=${source.at}; keys=${source.keys.join(',')}`,
   readTarget: (header: string): CacheTarget | undefined => {
-    const read = fields(header);
-    const keys = keysIn(read.get('keys'));
+    const read = parseFields(header);
+    const keys = parseKeys(read.get('keys'));
     return keys === undefined ? undefined : { store: read.get('store') ?? '', keys };
   },
   readSource: (header: string): CacheSource | undefined => {
-    const read = fields(header);
-    const keys = keysIn(read.get('keys'));
+    const read = parseFields(header);
+    const keys = parseKeys(read.get('keys'));
     const address = read.get('from');
     const bootEpoch = read.get('epoch');
     const at = Number(read.get('at'));
@@ -129,14 +140,14 @@
 const isObject = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
-const isShort = (value: unknown): value is string => typeof value === 'string' && value.length <= 128;
+const isShortString = (value: unknown): value is string => typeof value === 'string' && value.length <= 128;
 
-/** Reads what a back end said; anything else than the shape is undefined, and that is a clean miss. */
+/** Validates responses of back ends. A response of any other shape is undefined, which callers treat as no response. */
 export const BackEndAnswers = {
   status: (value: unknown): EngineStatus | undefined =>
     isObject(value) &&
-    isShort(value['bootEpoch']) &&
-    isShort(value['weights']) &&
+    isShortString(value['bootEpoch']) &&
+    isShortString(value['weights']) &&
     isCount(value['capacity']) &&
     isCount(value['inFlight']) &&
     typeof value['accepting'] === 'boolean'
@@ -151,7 +162,7 @@
   events: (value: unknown): KvEvents | undefined => {
     if (
       !isObject(value) ||
-      !isShort(value['bootEpoch']) ||
+      !isShortString(value['bootEpoch']) ||
       !isCount(value['last']) ||
       !Array.isArray(value['events']) ||
       value['events'].length > BackEndLimits.events
@@ -173,7 +184,7 @@
   },
   list: (value: unknown): KvList | undefined =>
     isObject(value) &&
-    isShort(value['bootEpoch']) &&
+    isShortString(value['bootEpoch']) &&
     isCount(value['sequence']) &&
     Array.isArray(value['keys']) &&
     value['keys'].length <= BackEndLimits.listKeys &&
@@ -183,16 +194,16 @@
 } as const;
 
 /**
- * The control side of a back end, as a steward uses it. Undefined means: no sound answer within the limit. `later`: it
- * answers, and has no room for the call.
+ * Client of the control endpoints of back ends, used by engine controllers. Undefined: no valid response within the
+ * limit. `later`: the back end responds, but has no capacity for the call.
  */
 export interface BackEndDoor {
-  /** Missing: the usual ones. */
+  /** Missing: `DoorTraits.usual`. */
   readonly traits?: DoorTraits;
   readonly status: (
     address: string,
     limitMicroseconds: number,
-    /** The engine that is meant, and no other at that address; missing: whichever it is. */
+    /** The engine that the call is for; another engine at the same address must not answer. Missing: any engine. */
     engine?: string,
   ) => Promise<EngineStatus | undefined>;
   readonly events: (
@@ -200,7 +211,7 @@
     after: number,
     bootEpoch: string,
     limitMicroseconds: number,
-    /** How long the call may be held until there are events; missing: it is answered at once. */
+    /** How long the back end may hold the call until there are events; missing: it responds at once. */
     holdMicroseconds?: number,
     engine?: string,
   ) => Promise<KvEvents | 'later' | undefined>;
@@ -208,42 +219,55 @@
   readonly directive: (address: string, directive: Directive, limitMicroseconds: number) => Promise<DirectiveOutcome>;
 }
 
+/** A request to a back end. */
 export type SendOrder = Readonly<{
   address: string;
   method: string;
   path: string;
   headers: Readonly<Record<string, string>>;
   body: string | Uint8Array;
-  /** It may run at most once: it goes on no conn that may have been closed unseen. */
+  /** The request must run at most once: it is not sent on a connection that the back end may have closed already. */
   runsOnce?: boolean;
 }>;
 
+/** Head of a response. `framed`: the response has a content length or is chunked, so that its end can be detected. */
 export type SendHead = Readonly<{ status: number; headers: Readonly<Record<string, string>>; framed: boolean }>;
 
-/** What became of a send that did not come to a whole answer. */
+/** Why a request got no complete response, and whether it may have run. */
 export type SendFailure = Readonly<{
   kind: 'notRun' | 'mayHaveRun';
   text: string;
-  /** The conn was reset as the first bytes came: its back end had forgotten it while it was idle. */
+  /** The connection was reset on the first bytes: the back end had dropped it while it was idle. */
   forgotten?: true;
 }>;
 
+/** Receives the response to a request. */
 export interface SendSink {
-  /** Asked when the conn stands, right before the first byte leaves. No means: cut, and nothing was written. */
+  /**
+   * Called when the connection is open, right before the first byte is written. False cancels the request, and nothing
+   * is written.
+   */
   readonly mayGo: () => boolean;
   readonly head: (head: SendHead) => void;
-  /** Undefined: taken, more may come at once. A promise: back pressure until it resolves. */
+  /** Undefined: consumed, the next bytes may follow at once. A promise: back pressure until it resolves. */
   readonly part: (bytes: Uint8Array) => Promise<void> | undefined;
   readonly end: () => void;
   readonly failed: (failure: SendFailure) => void;
 }
 
-/** `cut` resets the conn. `leave` lets a sound answer that nobody wants run out, so that its conn can be kept. */
+/**
+ * `cut` resets the connection. `leave` discards the rest of a valid response but reads it to its end, so that the
+ * connection can be reused.
+ */
 export type SendHandle = Readonly<{ cut: () => void; leave?: () => void }>;
 
+/** Sends requests to back ends. */
 export interface BackEndSender {
-  /** Returns the way to cut the send. Exactly one of end and failed is called, at most once; none after cut or leave. */
+  /**
+   * Returns a handle to cancel the request. Exactly one of `end` and `failed` is called, once; neither is called after
+   * `cut` or `leave`.
+   */
   readonly send: (order: SendOrder, sink: SendSink) => SendHandle;
-  /** Whether a kept connection to an address waits for a send; missing: none is ever kept. */
+  /** Whether an idle connection to the address is available; missing: connections are never reused. */
   readonly hasIdle?: (address: string) => boolean;
 }
--- a/source/shared/back-end/words.ts
+++ b/source/shared/back-end/words.ts
@@ -1,60 +1,61 @@
 import type { CacheSource, CacheTarget, SendHead } from './protocol';
 
-/** Header names in lower case and their values, as they came. */
+/** Header names in lower case, with their values as received. */
 export type Headers = Readonly<Record<string, string>>;
 
-/** What one send means, in the product's words. A protocol's names for it stand in its `BackEndWords`. */
+/** A request to a back end, independent of the protocol. A `BackEndCodec` maps it to the headers of one protocol. */
 export type SendMeaning = Readonly<{
   orderId: string;
   contentType: string;
-  /** The caller's own headers that a back end may see. */
+  /** The client's headers that are forwarded to the back end. */
   passed: Headers;
-  /** The tenant's name; undefined where the order needs no key. */
+  /** The tenant's name; undefined if the request needs no API key. */
   tenant: string | undefined;
   trustDomain: string;
-  /** The back end it is meant for, and no other at that address. */
+  /** The back end that the request is for; another one at the same address must not run it. */
   engine: string;
   model: string;
-  /** The weights it must run on; empty where there are none. */
+  /** The weights that the request must run on; empty if there are none. */
   weights: string;
-  /** 0 first; undefined: the back end's own. */
+  /** 0 is the most urgent; undefined: the back end's default. */
   urgency: number | undefined;
-  /** How long an answer is still of use to the caller, in microseconds; undefined: not said. */
+  /** Time until the client's deadline, in microseconds; undefined: the client named none. */
   leftMicroseconds: number | undefined;
-  /** What parts are kept under; parts under another text are never found. Empty: none. */
+  /** Namespace under which prompt parts are stored; parts under another salt are never found. Empty: none. */
   salt: string;
   target: CacheTarget | undefined;
   source: CacheSource | undefined;
-  /** The last whole event that the caller has; the answer goes on after it. */
+  /** Id of the last event that the client has received in full; the response resumes after it. */
   after: string | undefined;
 }>;
 
-/** Why a back end did not run an order, where it says so. */
+/** Why a back end did not run a request, as the back end states it. */
 export type NotRunReason = 'busy' | 'otherInstance' | 'otherWeights';
 
+/** Content of a response head, independent of the protocol. */
 export type HeadMeaning = Readonly<{
-  /** The order that the answer says it belongs to; undefined where the protocol does not say. */
+  /** Id of the request that the response belongs to; undefined if the protocol does not carry it. */
   orderId: string | undefined;
-  /** A success without the marks that every success of a back end bears: nobody can tell whose bytes these are. */
+  /** A successful response without the seal that every back end adds: its origin is unknown. */
   lacksSeal: boolean;
-  /** Undefined: it ran, or may have. */
+  /** Undefined: the request ran, or may have run. */
   notRun: NotRunReason | undefined;
   bootEpoch: string | undefined;
   weights: string | undefined;
   importMicroseconds: number | undefined;
-  /** What the caller is shown of the head. */
+  /** The headers that are forwarded to the client. */
   passed: Headers;
-  /** A series of events whose ids rise. */
+  /** The body is a stream of events with ascending ids. */
   events: boolean;
 }>;
 
-/** How one protocol says a send, and what its answers' heads mean. Pure: names and formats, no decisions. */
+/** Maps requests and response heads to the headers of one protocol and back. It is pure: names and formats, no decisions. */
 export interface BackEndWords {
   readonly write: (meaning: SendMeaning) => Headers;
-  /** `engine`: the one that was meant, so that another instance and other weights can be told apart. */
+  /** `engine`: the intended one, to tell a response of another instance from one on other weights. */
   readonly read: (head: SendHead, model: string, engine?: string) => HeadMeaning;
-  /** Whether every answer names the instance and weights that gave it. */
+  /** Whether every response names the instance and the weights that produced it. */
   readonly namesInstance: boolean;
-  /** Whether a conn that closes, and is not reset, ends an answer without a length well. */
+  /** Whether a response without a length is complete when its connection is closed without a reset. */
   readonly closeEndsAnswer: boolean;
 }
--- a/source/shared/effects/clock/clock.ts
+++ b/source/shared/effects/clock/clock.ts
@@ -1,14 +1,23 @@
-/** Time that only goes forward, in whole microseconds since an arbitrary start. */
+/** Monotonic time in whole microseconds since an arbitrary start, and timers. */
 export interface Clock {
-  /** Never behind real time, not even after a sleep: for what must end in time, such as own rights and ages. */
+  /**
+   * Never behind real time, not even after the machine was suspended. Used for what must expire in time, such as ages and
+   * leases that this process holds.
+   */
   readonly nowMicroseconds: () => number;
-  /** Never ahead of real time: for waiting until the rights of others have ended. It stands still in a sleep. */
+  /**
+   * Never ahead of real time; it stops while the machine is suspended. Used to wait until the leases of others have
+   * expired.
+   */
   readonly steadyMicroseconds: () => number;
+  /** Calls `act` once after the delay. */
   readonly after: (delayMicroseconds: number, act: () => void) => Cancel;
 }
 
+/** Cancels a timer. */
 export type Cancel = () => void;
 
+/** Conversions to microseconds. */
 export const Micros = {
   fromMilliseconds: (milliseconds: number): number => Math.round(milliseconds * 1000),
   fromSeconds: (seconds: number): number => Math.round(seconds * 1_000_000),
@@ -20,7 +29,7 @@
       clock.after(delayMicroseconds, resolve);
     }),
 
-  /** Resolves with undefined when the limit passes first; the work itself goes on. */
+  /** Resolves with undefined if the limit passes first; the work itself is not cancelled. */
   within: async <Result>(
     clock: Clock,
     limitMicroseconds: number,
--- a/source/shared/effects/clock/realClock.ts
+++ b/source/shared/effects/clock/realClock.ts
@@ -3,20 +3,21 @@
 import type { Clock } from './clock';
 import { ElapsedTime } from './elapsedTime';
 
-let told = false;
+let hasLoggedFailure = false;
 
 const bootMicroseconds = (): number | undefined => {
   try {
     return Math.floor(os.uptime() * 1_000_000);
   } catch (error) {
-    if (!told)
+    if (!hasLoggedFailure)
       Logs.part('clock:notice')(`The boot clock cannot be read; suspension is not counted: ${Logs.text(error)}.`);
-    told = true;
+    hasLoggedFailure = true;
     return undefined;
   }
 };
 
-// Why these two: wall clocks jump, and no decision here may follow a jump; the monotonic clock alone sleeps with the machine.
+// Decisions must not follow the jumps of a wall clock, so the monotonic clock is used. It stops while the machine is
+// suspended, so the boot clock is used as well.
 const steadyMicroseconds = (): number => Number(process.hrtime.bigint() / 1000n);
 const elapsed = new ElapsedTime({ monotonicMicroseconds: steadyMicroseconds, bootMicroseconds });
 
@@ -25,10 +26,11 @@
   return () => clearTimeout(timer);
 };
 
+/** The clock of a process whose machine may be suspended. */
 export const realClock: Clock = { nowMicroseconds: elapsed.nowMicroseconds, steadyMicroseconds, after };
 
 /**
- * For machines whose monotonic clock keeps running whatever happens to them. Why at all: where the boot clock tells
- * the time of another machine than this one, it runs ahead, and all ages and leases with it.
+ * The clock for machines whose monotonic clock never stops. Where the boot clock shows the time of another machine, it
+ * runs ahead, and all ages and leases would run ahead with it.
  */
 export const steadyClock: Clock = { nowMicroseconds: steadyMicroseconds, steadyMicroseconds, after };
--- a/source/shared/effects/clock/ticker.ts
+++ b/source/shared/effects/clock/ticker.ts
@@ -1,6 +1,6 @@
 import type { Cancel, Clock } from './clock';
 
-/** Runs one piece of work again and again, never two at once, the pause counted from its end. */
+/** Runs a task periodically and never concurrently; the pause is counted from the end of a run. */
 export class Ticker {
   private cancel: Cancel = () => undefined;
   private stopped = false;
@@ -12,8 +12,8 @@
     private readonly failed: (error: unknown) => void,
   ) {}
 
-  public start(firstMicroseconds = 0): this {
-    this.cancel = this.clock.after(firstMicroseconds, () => void this.turn());
+  public start(delayMicroseconds = 0): this {
+    this.cancel = this.clock.after(delayMicroseconds, () => void this.runOnce());
     return this;
   }
 
@@ -22,14 +22,14 @@
     this.cancel();
   }
 
-  private async turn(): Promise<void> {
+  private async runOnce(): Promise<void> {
     if (this.stopped) return;
     try {
       await this.work();
     } catch (error) {
       this.failed(error);
     }
-    // Why check again: stop may have been called while the work ran.
-    if (!this.stopped) this.cancel = this.clock.after(this.pauseMicroseconds(), () => void this.turn());
+    // `stop` may have been called while the task ran.
+    if (!this.stopped) this.cancel = this.clock.after(this.pauseMicroseconds(), () => void this.runOnce());
   }
 }
--- a/source/shared/effects/disk/disk.ts
+++ b/source/shared/effects/disk/disk.ts
@@ -1,11 +1,12 @@
-/** One data folder of flat files. Nothing counts before sync has answered. */
+/** A data folder without subfolders. Written data is durable only after `sync` has resolved. */
 export interface Disk {
   readonly read: (name: string) => Promise<Uint8Array | undefined>;
   readonly open: (name: string) => Promise<DiskFile>;
-  /** Written beside, synced, renamed over, folder synced. */
+  /** Replaces a file atomically: writes a new file, syncs it, renames it over the old one and syncs the folder. */
   readonly replace: (name: string, bytes: Uint8Array) => Promise<void>;
 }
 
+/** A file that is open for appending. */
 export interface DiskFile {
   readonly append: (bytes: Uint8Array) => Promise<void>;
   readonly sync: () => Promise<void>;
@@ -13,6 +14,7 @@
   readonly close: () => Promise<void>;
 }
 
+/** `full`: the disk or quota is full. `broken`: any other I/O error. */
 export type DiskFault = Readonly<{ kind: 'full' | 'broken'; text: string }>;
 
 export const DiskFaults = {
--- a/source/shared/effects/disk/nodeDisk.ts
+++ b/source/shared/effects/disk/nodeDisk.ts
@@ -2,6 +2,7 @@
 import path from 'node:path';
 import type { Disk, DiskFile } from './disk';
 
+/** Creates the folder if needed and gives access to it on the machine's file system. */
 export const nodeDisk = async (folder: string): Promise<Disk> => {
   await mkdir(folder, { recursive: true });
   const syncFolder = async (): Promise<void> => {
@@ -23,7 +24,7 @@
     },
     open: async (name): Promise<DiskFile> => {
       const handle = await open(path.join(folder, name), 'a');
-      // Why: a new file is lost with its folder entry unless the folder is synced too.
+      // A new file can be lost with its directory entry unless the folder is synced too.
       await syncFolder();
       return {
         append: async (bytes) => {
@@ -37,15 +38,15 @@
       };
     },
     replace: async (name, bytes) => {
-      const beside = path.join(folder, `${name}.new`);
-      const handle = await open(beside, 'w');
+      const temporaryPath = path.join(folder, `${name}.new`);
+      const handle = await open(temporaryPath, 'w');
       try {
         await handle.writeFile(bytes);
         await handle.sync();
       } finally {
         await handle.close();
       }
-      await rename(beside, path.join(folder, name));
+      await rename(temporaryPath, path.join(folder, name));
       await syncFolder();
     },
   };
--- a/source/shared/effects/random/random.ts
+++ b/source/shared/effects/random/random.ts
@@ -1,30 +1,36 @@
 import { randomBytes, randomFillSync } from 'node:crypto';
 
+/** Source of randomness. */
 export interface Random {
-  /** At least 0, below 1. */
+  /** At least 0 and below 1. */
   readonly fraction: () => number;
+  /** A random hexadecimal identifier of 24 digits. */
   readonly name: () => string;
 }
 
 const words = new Uint32Array(256);
-let wordsLeft = 0;
+let remainingWords = 0;
 
-/** Why many at once: a placement draws one for each engine, and asking for each cost more than all else it does. */
+/**
+ * Random words are fetched from the system in batches: a placement draws one for each engine, and a system call for each
+ * of them cost more than the rest of the placement.
+ */
 const nextWord = (): number => {
-  if (wordsLeft === 0) {
+  if (remainingWords === 0) {
     randomFillSync(words);
-    wordsLeft = words.length;
+    remainingWords = words.length;
   }
-  wordsLeft -= 1;
-  return words[wordsLeft] ?? 0;
+  remainingWords -= 1;
+  return words[remainingWords] ?? 0;
 };
 
+/** Randomness from the operating system. */
 export const realRandom: Random = {
   fraction: () => nextWord() / 2 ** 32,
   name: () => randomBytes(12).toString('hex'),
 };
 
-/** The same seed gives the same row of numbers on every machine. */
+/** The same seed gives the same sequence on every machine. */
 export const seededRandom = (seed: number): Random => {
   let state = seed >>> 0;
   const fraction = (): number => {
@@ -42,7 +48,7 @@
 };
 
 export const Randoms = {
-  below: (random: Random, most: number): number => Math.floor(random.fraction() * most),
+  below: (random: Random, limit: number): number => Math.floor(random.fraction() * limit),
   pick: <Item>(random: Random, items: readonly Item[]): Item | undefined =>
     items[Math.floor(random.fraction() * items.length)],
   shuffled: <Item>(random: Random, items: readonly Item[]): readonly Item[] =>
--- a/source/shared/effects/transport/framing.ts
+++ b/source/shared/effects/transport/framing.ts
@@ -1,69 +1,74 @@
 import { TransportLimits } from './transport';
 
 export type FrameKind = 'ask' | 'answer';
-export type Part = Readonly<{ kind: FrameKind; last: boolean; number: number; bytes: Buffer }>;
-export type Whole = Readonly<{ kind: FrameKind; number: number; bytes: Buffer }>;
+export type Frame = Readonly<{ kind: FrameKind; last: boolean; number: number; bytes: Buffer }>;
+export type FramedMessage = Readonly<{ kind: FrameKind; number: number; bytes: Buffer }>;
 
-const headBytes = 9;
-const kindBit = 1;
-const lastBit = 2;
+const headerBytes = 9;
+const responseBit = 1;
+const lastFrameBit = 2;
 
+/**
+ * Splits messages into frames. A frame is a header of 9 bytes (length of the body, flags, number of the request) and the
+ * body.
+ */
 export const Framing = {
   split: (kind: FrameKind, number: number, bytes: Buffer): readonly Buffer[] => {
     const count = Math.max(1, Math.ceil(bytes.length / TransportLimits.partBytes));
     return Array.from({ length: count }, (_, index) => {
       const body = bytes.subarray(index * TransportLimits.partBytes, (index + 1) * TransportLimits.partBytes);
-      const head = Buffer.alloc(headBytes);
-      head.writeUInt32BE(body.length, 0);
-      head.writeUInt8((kind === 'answer' ? kindBit : 0) | (index === count - 1 ? lastBit : 0), 4);
-      head.writeUInt32BE(number, 5);
-      return Buffer.concat([head, body]);
+      const header = Buffer.alloc(headerBytes);
+      header.writeUInt32BE(body.length, 0);
+      header.writeUInt8((kind === 'answer' ? responseBit : 0) | (index === count - 1 ? lastFrameBit : 0), 4);
+      header.writeUInt32BE(number, 5);
+      return Buffer.concat([header, body]);
     });
   },
 } as const;
 
-/** Puts parts together again. Throws on anything out of bounds; the conn is then closed. */
+/** Reassembles messages from frames. It throws if a limit is exceeded; the connection is closed then. */
 export class FrameReader {
-  private rest: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
   private readonly open = new Map<string, Buffer[]>();
-  private openBytes = 0;
+  private incompleteBytes = 0;
 
-  public read(chunk: Buffer): readonly Whole[] {
-    this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    const wholes: Whole[] = [];
+  public read(chunk: Buffer): readonly FramedMessage[] {
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
+    const messages: FramedMessage[] = [];
     for (;;) {
-      if (this.rest.length < headBytes) return wholes;
-      const length = this.rest.readUInt32BE(0);
-      const flags = this.rest.readUInt8(4);
-      // Why refuse here: a stranger's bytes must not make us reserve memory.
-      if (length > TransportLimits.partBytes || flags > 3) throw new Error('part out of bounds');
-      if (this.rest.length < headBytes + length) return wholes;
-      const number = this.rest.readUInt32BE(5);
-      const body = this.rest.subarray(headBytes, headBytes + length);
-      this.rest = this.rest.subarray(headBytes + length);
-      const whole = this.join({
-        kind: (flags & kindBit) !== 0 ? 'answer' : 'ask',
-        last: (flags & lastBit) !== 0,
+      if (this.buffered.length < headerBytes) return messages;
+      const length = this.buffered.readUInt32BE(0);
+      const flags = this.buffered.readUInt8(4);
+      // The length is checked before the body is buffered, so that bytes of an untrusted peer cannot make this process
+      // allocate memory.
+      if (length > TransportLimits.partBytes || flags > 3) throw new Error('invalid frame header');
+      if (this.buffered.length < headerBytes + length) return messages;
+      const number = this.buffered.readUInt32BE(5);
+      const body = this.buffered.subarray(headerBytes, headerBytes + length);
+      this.buffered = this.buffered.subarray(headerBytes + length);
+      const message = this.addFrame({
+        kind: (flags & responseBit) !== 0 ? 'answer' : 'ask',
+        last: (flags & lastFrameBit) !== 0,
         number,
         bytes: body,
       });
-      if (whole !== undefined) wholes.push(whole);
+      if (message !== undefined) messages.push(message);
     }
   }
 
-  private join(part: Part): Whole | undefined {
-    const name = `${part.kind}${part.number}`;
-    const parts = this.open.get(name) ?? [];
-    this.openBytes += part.bytes.length;
-    if (this.openBytes > TransportLimits.messageBytes) throw new Error('message too long');
-    if (!part.last) {
-      if (this.open.size >= TransportLimits.openAsks) throw new Error('too many open messages');
-      this.open.set(name, [...parts, Buffer.from(part.bytes)]);
+  private addFrame(frame: Frame): FramedMessage | undefined {
+    const key = `${frame.kind}${frame.number}`;
+    const bodies = this.open.get(key) ?? [];
+    this.incompleteBytes += frame.bytes.length;
+    if (this.incompleteBytes > TransportLimits.messageBytes) throw new Error('message exceeds the size limit');
+    if (!frame.last) {
+      if (this.open.size >= TransportLimits.openAsks) throw new Error('too many incomplete messages');
+      this.open.set(key, [...bodies, Buffer.from(frame.bytes)]);
       return undefined;
     }
-    this.open.delete(name);
-    const bytes = Buffer.concat([...parts, part.bytes]);
-    this.openBytes -= bytes.length;
-    return { kind: part.kind, number: part.number, bytes };
+    this.open.delete(key);
+    const bytes = Buffer.concat([...bodies, frame.bytes]);
+    this.incompleteBytes -= bytes.length;
+    return { kind: frame.kind, number: frame.number, bytes };
   }
 }
--- a/source/shared/effects/transport/payloads.ts
+++ b/source/shared/effects/transport/payloads.ts
@@ -2,22 +2,22 @@
 import { pack, unpack } from 'msgpackr';
 import { Messages, TransportLimits, type Message } from './transport';
 
-/** Begins a deflated payload; no packed message begins with it. */
-const deflatedMark = 0xc1;
+/** First byte of a compressed payload; no MessagePack message begins with it. */
+const compressedMarker = 0xc1;
 
-/** Shorter answers are sent as they are: they gain little. */
-const leastDeflatedBytes = 1024;
-const deflateLevel = 3;
+/** Shorter responses are sent uncompressed, because compression saves little on them. */
+const minCompressedBytes = 1024;
+const compressionLevel = 3;
 
-/** The field of an ask that says that its answer may come deflated; daemons of earlier builds do not know it. */
-const takesDeflated = 'takesDeflated';
+/** Field of a request that allows a compressed response; daemons of earlier builds do not send it. */
+const acceptsCompressedField = 'takesDeflated';
 
-const plain = (message: Message): Buffer => pack(message);
+const encode = (message: Message): Buffer => pack(message);
 
-/** Throws on anything that is not a message, or is longer than one may be. */
-const read = (bytes: Buffer): Message => {
+/** Throws on anything that is not a message or exceeds the size limit. */
+const decode = (bytes: Buffer): Message => {
   const packed =
-    bytes[0] === deflatedMark
+    bytes[0] === compressedMarker
       ? inflateRawSync(bytes.subarray(1), { maxOutputLength: TransportLimits.messageBytes })
       : bytes;
   const message: unknown = unpack(packed);
@@ -25,15 +25,18 @@
   return message;
 };
 
-/** The bytes of asks and answers. Long answers are deflated: most of what an agent says to all its proxies is text that repeats. */
+/**
+ * Codec of requests and responses. Long responses are compressed, because most of what an agent sends to all its proxies
+ * is repetitive text.
+ */
 export const Payloads = {
-  ofAsk: (message: Message): Buffer => plain({ ...message, [takesDeflated]: true }),
+  ofAsk: (message: Message): Buffer => encode({ ...message, [acceptsCompressedField]: true }),
 
-  ofAnswer: (answer: Message, ask: Message): Buffer => {
-    const packed = plain(answer);
-    if (ask[takesDeflated] !== true || packed.length < leastDeflatedBytes) return packed;
-    return Buffer.concat([Buffer.of(deflatedMark), deflateRawSync(packed, { level: deflateLevel })]);
+  ofAnswer: (response: Message, request: Message): Buffer => {
+    const packed = encode(response);
+    if (request[acceptsCompressedField] !== true || packed.length < minCompressedBytes) return packed;
+    return Buffer.concat([Buffer.of(compressedMarker), deflateRawSync(packed, { level: compressionLevel })]);
   },
 
-  read,
+  read: decode,
 } as const;
--- a/source/shared/effects/transport/tcpTransport.ts
+++ b/source/shared/effects/transport/tcpTransport.ts
@@ -4,42 +4,42 @@
 import { Payloads } from './payloads';
 import { TransportLimits, type Answer, type Handler, type Listener, type Message, type Transport } from './transport';
 
-type Open = Readonly<{ settle: (answer: Answer) => void; cancel: Cancel }>;
+type OpenRequest = Readonly<{ settle: (answer: Answer) => void; cancel: Cancel }>;
 
-/** One side that asks over one conn; many asks share it. */
-class AskingConn {
-  private readonly open = new Map<number, Open>();
+/** Client side of a connection; many requests share it. */
+class ClientConnection {
+  private readonly open = new Map<number, OpenRequest>();
   private nextNumber = 1;
-  private heardMicroseconds = -Infinity;
-  /** When the first ask left of those since which nothing has come; undefined: something came after the last one. */
-  private unheardSince: number | undefined;
+  private lastReceivedMicroseconds = -Infinity;
+  /** When the first request was sent since which nothing has been received; undefined: there is none. */
+  private silentSince: number | undefined;
   private readonly socket: net.Socket;
   public closed = false;
 
   public constructor(
     private readonly clock: Clock,
     address: string,
-    private readonly forget: () => void,
+    private readonly onClose: () => void,
   ) {
     const { host, port } = Addresses.split(address);
     this.socket = net.connect({ host, port, noDelay: true });
     const reader = new FrameReader();
     this.socket.on('data', (chunk: Buffer) => {
-      this.heardMicroseconds = this.clock.nowMicroseconds();
-      this.unheardSince = undefined;
+      this.lastReceivedMicroseconds = this.clock.nowMicroseconds();
+      this.silentSince = undefined;
       try {
-        for (const whole of reader.read(chunk)) this.answered(whole.number, whole.bytes);
+        for (const response of reader.read(chunk)) this.answered(response.number, response.bytes);
       } catch {
-        this.close('garbage from the other side');
+        this.close('invalid data received');
       }
     });
-    this.socket.on('error', () => this.close('conn failed'));
-    this.socket.on('close', () => this.close('conn closed'));
+    this.socket.on('error', () => this.close('connection failed'));
+    this.socket.on('close', () => this.close('connection closed'));
   }
 
   public ask(message: Message, limitMicroseconds: number): Promise<Answer> {
     if (this.open.size >= TransportLimits.openAsks)
-      return Promise.resolve({ kind: 'silent', reason: 'too many open asks' });
+      return Promise.resolve({ kind: 'silent', reason: 'too many open requests' });
     return new Promise((resolve) => {
       const number = this.nextNumber;
       this.nextNumber = (this.nextNumber % 0xfffffff0) + 1;
@@ -48,30 +48,33 @@
         this.open.delete(number);
         resolve(answer);
       };
-      const askedMicroseconds = this.clock.nowMicroseconds();
-      this.unheardSince ??= askedMicroseconds;
+      const sentMicroseconds = this.clock.nowMicroseconds();
+      this.silentSince ??= sentMicroseconds;
       const cancel = this.clock.after(limitMicroseconds, () => {
-        settle({ kind: 'silent', reason: 'limit passed' });
-        if (this.heardMicroseconds < askedMicroseconds) this.closeIfDead();
+        settle({ kind: 'silent', reason: 'request timed out' });
+        if (this.lastReceivedMicroseconds < sentMicroseconds) this.closeIfDead();
       });
       this.open.set(number, { settle, cancel });
-      for (const part of Framing.split('ask', number, Payloads.ofAsk(message))) this.socket.write(part);
+      for (const frame of Framing.split('ask', number, Payloads.ofAsk(message))) this.socket.write(frame);
     });
   }
 
   /**
-   * A frozen side or a cut link leaves a connection that looks open; the next ask dials anew. Only for an ask since which nothing has
-   * come: else a long answer may be on its way to another one. Why by how long nothing has come too, and not by that ask's limit alone: an ask of little patience would take the answers to all others with it, from a side that is only slow.
+   * Closes the connection if the peer appears dead: a frozen peer or a broken link leaves a connection that looks open.
+   * The next request opens a new one. This is checked only for a request since which nothing has been received, because
+   * otherwise a long response to another request may be in transit. The time without received data counts rather than that
+   * request's limit alone: otherwise a request with a short limit would discard the responses to all others when the peer
+   * is only slow.
    */
   private closeIfDead(): void {
-    const unheard = this.unheardSince === undefined ? 0 : this.clock.nowMicroseconds() - this.unheardSince;
-    if (unheard >= TransportLimits.deadMicroseconds) this.close('limit passed');
+    const silentMicroseconds = this.silentSince === undefined ? 0 : this.clock.nowMicroseconds() - this.silentSince;
+    if (silentMicroseconds >= TransportLimits.deadMicroseconds) this.close('connection timed out');
   }
 
   public close(reason: string): void {
     if (this.closed) return;
     this.closed = true;
-    this.forget();
+    this.onClose();
     this.socket.destroy();
     for (const { settle } of [...this.open.values()]) settle({ kind: 'silent', reason });
   }
@@ -81,29 +84,31 @@
   }
 }
 
+/** Addresses of the form `host:port`. */
 export const Addresses = {
   split: (address: string): Readonly<{ host: string; port: number }> => {
-    const place = address.lastIndexOf(':');
-    return { host: address.slice(0, place), port: Number(address.slice(place + 1)) };
+    const separatorIndex = address.lastIndexOf(':');
+    return { host: address.slice(0, separatorIndex), port: Number(address.slice(separatorIndex + 1)) };
   },
 } as const;
 
+/** Transport over TCP. It keeps one connection for each address that it sends requests to. */
 export class TcpTransport implements Transport {
-  private readonly asking = new Map<string, AskingConn>();
+  private readonly clientConnections = new Map<string, ClientConnection>();
   private readonly listeners = new Set<Listener>();
 
   public constructor(private readonly clock: Clock) {}
 
   public readonly ask = (address: string, message: Message, limitMicroseconds: number): Promise<Answer> => {
-    let conn = this.asking.get(address);
-    if (conn === undefined) {
-      const made: AskingConn = new AskingConn(this.clock, address, () => {
-        if (this.asking.get(address) === made) this.asking.delete(address);
+    let connection = this.clientConnections.get(address);
+    if (connection === undefined) {
+      const created: ClientConnection = new ClientConnection(this.clock, address, () => {
+        if (this.clientConnections.get(address) === created) this.clientConnections.delete(address);
       });
-      conn = made;
-      this.asking.set(address, made);
+      connection = created;
+      this.clientConnections.set(address, created);
     }
-    return conn.ask(message, limitMicroseconds);
+    return connection.ask(message, limitMicroseconds);
   };
 
   public readonly listen = async (address: string, handler: Handler): Promise<Listener> => {
@@ -134,46 +139,47 @@
   };
 
   public readonly close = async (): Promise<void> => {
-    for (const conn of [...this.asking.values()]) conn.close('transport closed');
+    for (const connection of [...this.clientConnections.values()]) connection.close('transport closed');
     await Promise.all([...this.listeners].map((listener) => listener.close()));
   };
 }
 
-const drained = (socket: net.Socket): Promise<void> =>
+const waitForDrain = (socket: net.Socket): Promise<void> =>
   new Promise((resolve) => {
-    const over = (): void => {
-      socket.off('drain', over);
-      socket.off('close', over);
+    const finish = (): void => {
+      socket.off('drain', finish);
+      socket.off('close', finish);
       resolve();
     };
-    socket.on('drain', over);
-    socket.on('close', over);
+    socket.on('drain', finish);
+    socket.on('close', finish);
   });
 
 const serve = (socket: net.Socket, handler: Handler): void => {
   const reader = new FrameReader();
-  let open = 0;
-  const reply = async (number: number, bytes: Buffer): Promise<void> => {
-    open += 1;
+  let openRequests = 0;
+  const respond = async (number: number, bytes: Buffer): Promise<void> => {
+    openRequests += 1;
     try {
-      // Why a bound: one asker must not pile up work here.
-      if (open > TransportLimits.openAsks) throw new Error('too many open asks');
+      // The number of open requests is limited so that one client cannot queue up unlimited work here.
+      if (openRequests > TransportLimits.openAsks) throw new Error('too many open requests');
       const message = Payloads.read(bytes);
-      const answer = await handler(message);
-      // Why wait between parts: a short answer must get through while a long one fills a thin link.
-      for (const part of Framing.split('answer', number, Payloads.ofAnswer(answer, message)))
-        if (!socket.destroyed && !socket.write(part)) await drained(socket);
+      const response = await handler(message);
+      // Each frame waits until the socket has drained, so that a short response gets through while a long one fills a slow
+      // link.
+      for (const frame of Framing.split('answer', number, Payloads.ofAnswer(response, message)))
+        if (!socket.destroyed && !socket.write(frame)) await waitForDrain(socket);
     } catch {
       socket.destroy();
     } finally {
-      open -= 1;
+      openRequests -= 1;
     }
   };
   socket.on('data', (chunk: Buffer) => {
     try {
-      for (const whole of reader.read(chunk)) {
-        if (whole.kind !== 'ask') throw new Error('answer on an asked conn');
-        void reply(whole.number, whole.bytes);
+      for (const request of reader.read(chunk)) {
+        if (request.kind !== 'ask') throw new Error('received a response on a server connection');
+        void respond(request.number, request.bytes);
       }
     } catch {
       socket.destroy();
--- a/source/shared/effects/transport/transport.ts
+++ b/source/shared/effects/transport/transport.ts
@@ -1,10 +1,12 @@
-/** What our processes say to each other: one question, one answer, under a limit. */
+/** A message between processes of the fleet. Each request gets one response within a time limit. */
 export type Message = Readonly<{ kind: string }> & Readonly<Record<string, unknown>>;
 
+/** Outcome of a request; `silent`: no response within the limit. */
 export type Answer = Readonly<{ kind: 'answered'; message: Message }> | Readonly<{ kind: 'silent'; reason: string }>;
 
 export type Handler = (message: Message) => Promise<Message>;
 
+/** A server that is bound to an address. */
 export interface Listener {
   readonly address: string;
   readonly close: () => Promise<void>;
@@ -17,11 +19,11 @@
 }
 
 export const TransportLimits = {
-  /** A long message travels in parts, so that a short one need not wait behind the whole of it. */
+  /** A long message is split into frames of this size, so that a short one need not wait for all of it. */
   partBytes: 64 * 1024,
   messageBytes: 8 * 1024 * 1024,
   openAsks: 1024,
-  /** Starting value, ours: a connection on which asks leave and nothing comes for so long, in microseconds, is dead. */
+  /** A connection on which requests are sent and nothing is received for this time, in microseconds, is dead. */
   deadMicroseconds: 350_000,
 } as const;
 
--- a/source/shared/http/bodies.ts
+++ b/source/shared/http/bodies.ts
@@ -1,35 +1,36 @@
 import type { IncomingMessage } from 'node:http';
-import { brokenOff } from './httpServer';
+import { requestFailedEvent } from './httpServer';
 
-export type BytesRead =
+/** Outcome of reading a request body. */
+export type BodyReadResult =
   | Readonly<{ kind: 'read'; bytes: Buffer }>
   | Readonly<{ kind: 'tooLarge' }>
-  /** `status`: what was wrong with it; undefined: the caller left. */
+  /** `status`: the HTTP status of the error; undefined: the client disconnected. */
   | Readonly<{ kind: 'broken'; status?: number }>;
 
 export const Bodies = {
-  /** Reads at most `mostBytes`; a body that promises more is not read at all. */
-  bytes: (order: IncomingMessage, mostBytes: number): Promise<BytesRead> =>
+  /** Reads at most `maxBytes`; a body with a larger content length is not read at all. */
+  bytes: (request: IncomingMessage, maxBytes: number): Promise<BodyReadResult> =>
     new Promise((resolve) => {
-      if (Number(order.headers['content-length'] ?? 0) > mostBytes) {
+      if (Number(request.headers['content-length'] ?? 0) > maxBytes) {
         resolve({ kind: 'tooLarge' });
         return;
       }
       let chunks: Buffer[] = [];
       let length = 0;
-      order.on('data', (chunk: Buffer) => {
+      request.on('data', (chunk: Buffer) => {
         length += chunk.length;
-        if (length > mostBytes) {
+        if (length > maxBytes) {
           chunks = [];
           resolve({ kind: 'tooLarge' });
         } else chunks.push(chunk);
       });
-      order.on('end', () => {
+      request.on('end', () => {
         const [first] = chunks;
         resolve({ kind: 'read', bytes: chunks.length === 1 && first !== undefined ? first : Buffer.concat(chunks) });
       });
-      order.on(brokenOff, (status: number) => resolve({ kind: 'broken', status }));
-      order.on('error', () => resolve({ kind: 'broken' }));
-      order.on('close', () => resolve({ kind: 'broken' }));
+      request.on(requestFailedEvent, (status: number) => resolve({ kind: 'broken', status }));
+      request.on('error', () => resolve({ kind: 'broken' }));
+      request.on('close', () => resolve({ kind: 'broken' }));
     }),
 } as const;
--- a/source/shared/http/hopHeaders.ts
+++ b/source/shared/http/hopHeaders.ts
@@ -1,7 +1,7 @@
 type Headers = Readonly<Record<string, string>>;
 
-/** Headers that concern one conn and never go on to the next. */
-const hop: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers: they apply to one connection and are never forwarded. */
+const hopByHop: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -14,17 +14,17 @@
 ]);
 
 export const HopHeaders = {
-  /** Names are in lower case. What `connection` names is left out too. */
+  /** Removes hop-by-hop headers, and those that `connection` names. Header names are in lower case. */
   without: (headers: Headers): Headers => {
     const { connection } = headers;
     const named = connection === undefined ? [] : connection.split(',').map((name) => name.trim().toLowerCase());
-    const passed: Record<string, string> = {};
+    const forwarded: Record<string, string> = {};
     for (const name in headers) {
       const value = headers[name];
-      // Why not the length: a conn header may not hide how long a body is.
-      if (value !== undefined && !hop.has(name) && (name === 'content-length' || !named.includes(name)))
-        passed[name] = value;
+      // The content length is kept: a `connection` header must not hide how long a body is.
+      if (value !== undefined && !hopByHop.has(name) && (name === 'content-length' || !named.includes(name)))
+        forwarded[name] = value;
     }
-    return passed;
+    return forwarded;
   },
 } as const;
--- a/source/shared/http/httpDoor.ts
+++ b/source/shared/http/httpDoor.ts
@@ -5,24 +5,27 @@
 import { HttpServer } from './httpServer';
 import { Replies } from './replies';
 
+/** Registers the routes of an HTTP server. */
 export type HttpService = restana.Service<restana.Protocol.HTTP>;
+/** A running HTTP server. */
 export type HttpDoor = Readonly<{
   address: string;
-  /** Stops listening and closes idle conns; resolves when all that was read has been answered. */
+  /** Stops listening and closes idle connections; resolves when all received requests have been answered. */
   drain: () => Promise<void>;
   close: () => Promise<void>;
 }>;
 
-export type BodyRead =
+/** Outcome of reading a request body as text. */
+export type TextReadResult =
   Readonly<{ kind: 'read'; text: string }> | Readonly<{ kind: 'tooLarge' }> | Readonly<{ kind: 'broken' }>;
 
-/** Pages and interfaces of few calls, by paths. */
+/** HTTP servers for status pages and APIs with little traffic, with routes by path. */
 export const HttpDoors = {
   open: async (address: string, limits: HttpLimits, routes: (service: HttpService) => void): Promise<HttpDoor> => {
     const server = new HttpServer(() => limits);
     const service = restana({
       server: server.server,
-      errorHandler: (_error, _order, response) =>
+      errorHandler: (_error, _request, response) =>
         Replies.json(response as unknown as ServerResponse, 500, { error: 'internal' }),
     });
     routes(service);
@@ -30,9 +33,9 @@
     return { address: server.address, drain: () => server.drain(), close: () => server.close() };
   },
 
-  /** Reads at most `mostBytes`; a body that promises more is not read at all. */
-  body: async (order: IncomingMessage, mostBytes: number): Promise<BodyRead> => {
-    const read = await Bodies.bytes(order, mostBytes);
+  /** Reads at most `maxBytes`; a body with a larger content length is not read at all. */
+  body: async (request: IncomingMessage, maxBytes: number): Promise<TextReadResult> => {
+    const read = await Bodies.bytes(request, maxBytes);
     return read.kind === 'read' ? { kind: 'read', text: read.bytes.toString('utf8') } : read;
   },
 } as const;
--- a/source/shared/http/httpLimits.ts
+++ b/source/shared/http/httpLimits.ts
@@ -1,9 +1,10 @@
+/** Limits of an HTTP server. */
 export type HttpLimits = Readonly<{
   headBytes: number;
   headMicroseconds: number;
   bodyMicroseconds: number;
   conns: number;
-  /** How long a conn may wait for its next order. */
+  /** How long a connection may be idle between requests. */
   idleMicroseconds?: number;
 }>;
 
--- a/source/shared/http/httpServer.ts
+++ b/source/shared/http/httpServer.ts
@@ -6,55 +6,60 @@
 import { Addresses } from '../effects/transport/tcpTransport';
 import type { HttpLimits } from './httpLimits';
 
-/** How a stop goes: first it still listens, since those who send callers here notice late. */
+/** Phases of a graceful stop. The server keeps listening at first, because those that route clients here notice late. */
 export type DrainPlan = Readonly<{
-  /** It listens at least so long, and until nobody new has come for `quietMicroseconds`, */
+  /** The server listens at least this long, and until no new connection has arrived for `quietMicroseconds`, */
   leastMicroseconds: number;
   quietMicroseconds: number;
-  /** but no longer than this. */
+  /** but at most this long. */
   mostMicroseconds: number;
-  /** Conns that have sent no whole order so long after that are closed. */
+  /** Connections that have not sent a complete request this long after the server stopped listening are closed. */
   lateMicroseconds: number;
-  /** Orders that come late in a stop, and may not be over when it ends, are refused; missing: all are taken. */
+  /** Requests that arrive late in a stop, and may not be finished when it ends, are refused; missing: all are accepted. */
   lastOrders?: Readonly<{ afterMicroseconds: number; endMicroseconds: number }>;
 }>;
 
 export const DrainPlans = {
-  /** It stops listening at once. */
+  /** The server stops listening immediately. */
   atOnce: { leastMicroseconds: 0, quietMicroseconds: 0, mostMicroseconds: 0, lateMicroseconds: 1_000_000 },
 } as const satisfies Record<string, DrainPlan>;
 
 type Exchange = Readonly<{ order: IncomingMessage; response: ServerResponse }>;
-type Conn = { readonly exchanges: Set<Exchange>; /** Nothing sound can be read from it any more. */ spoilt: boolean };
+type TrackedConnection = {
+  readonly exchanges: Set<Exchange>;
+  /** Nothing valid can be read from the connection any more. */ isUnreadable: boolean;
+};
 
-/** Orders that may stand one behind the other on one conn. Ours. */
-const rowMost = 32;
-const usualIdleMicroseconds = 30_000_000;
+/** Most pipelined requests on one connection. */
+const maxPipelinedRequests = 32;
+const defaultIdleMicroseconds = 30_000_000;
 
-/** Event on an order whose body will never be whole, though its conn may still carry the answer. */
-export const brokenOff = 'postdrum-broken-off';
+/** Event on a request whose body will never be complete, although its connection may still carry the response. */
+export const requestFailedEvent = 'postdrum-broken-off';
 
-const reasons: Readonly<Record<string, number>> = {
+const statusByErrorCode: Readonly<Record<string, number>> = {
   HPE_HEADER_OVERFLOW: 431,
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 413,
   ERR_HTTP_REQUEST_TIMEOUT: 408,
 };
 
-/** An HTTP listener with bounds, whose limits may change while it runs, and which stops without losing what it read. */
+/** An HTTP server with limits, which may change while it runs, and with a stop that answers all received requests. */
 export class HttpServer {
-  private readonly conns = new Map<Duplex, Conn>();
+  private readonly conns = new Map<Duplex, TrackedConnection>();
   private draining = false;
-  private lastConnMicroseconds = 0;
+  private lastConnectionMicroseconds = 0;
   private clock: Clock | undefined;
-  private applied: HttpLimits | undefined;
+  private appliedLimits: HttpLimits | undefined;
   public readonly server: http.Server;
 
   public constructor(private readonly limits: () => HttpLimits) {
     this.server = http.createServer({ connectionsCheckingInterval: 500, noDelay: true });
-    this.apply();
-    this.server.on('connection', (socket: Socket) => this.onConn(socket));
-    this.server.on('request', (order: IncomingMessage, response: ServerResponse) => this.onOrder(order, response));
-    this.server.on('clientError', (error: Error & { code?: string }, socket) => this.onBroken(error, socket));
+    this.applyLimits();
+    this.server.on('connection', (socket: Socket) => this.onConnection(socket));
+    this.server.on('request', (request: IncomingMessage, response: ServerResponse) =>
+      this.onRequest(request, response),
+    );
+    this.server.on('clientError', (error: Error & { code?: string }, socket) => this.onClientError(error, socket));
   }
 
   public get address(): string {
@@ -73,20 +78,20 @@
     });
   }
 
-  /** Resolves when all that was read has been answered. */
+  /** Stops gracefully; resolves when all received requests have been answered. */
   public async drain(plan: DrainPlan = DrainPlans.atOnce, clock?: Clock): Promise<void> {
     this.draining = true;
-    for (const conn of this.conns.values()) HttpServer.endWithLast(conn);
+    for (const connection of this.conns.values()) HttpServer.closeAfterLastResponse(connection);
     if (clock !== undefined && plan.mostMicroseconds > 0) {
       this.clock = clock;
       const began = clock.nowMicroseconds();
-      this.lastConnMicroseconds = began;
+      this.lastConnectionMicroseconds = began;
       for (;;) {
-        const until = Math.min(
-          Math.max(began + plan.leastMicroseconds, this.lastConnMicroseconds + plan.quietMicroseconds),
+        const stopListeningAt = Math.min(
+          Math.max(began + plan.leastMicroseconds, this.lastConnectionMicroseconds + plan.quietMicroseconds),
           began + plan.mostMicroseconds,
         );
-        const left = until - clock.nowMicroseconds();
+        const left = stopListeningAt - clock.nowMicroseconds();
         if (left <= 0) break;
         await Clocks.wait(clock, left);
       }
@@ -95,12 +100,12 @@
       this.server.close(() => resolve());
     });
     this.server.closeIdleConnections();
-    // Why: the server looks at no limits once it is closed, and half an order could hold the stop up for ever.
-    const late = setTimeout(() => {
+    // Node.js no longer enforces timeouts once the server is closed, so an incomplete request could block the stop forever.
+    const lateTimer = setTimeout(() => {
       for (const [socket, { exchanges }] of this.conns) if (exchanges.size === 0) socket.destroy();
     }, plan.lateMicroseconds / 1000);
     await closed;
-    clearTimeout(late);
+    clearTimeout(lateTimer);
   }
 
   public close(): Promise<void> {
@@ -110,78 +115,86 @@
     });
   }
 
-  private apply(): void {
+  private applyLimits(): void {
     const limits = this.limits();
-    if (limits === this.applied) return;
-    this.applied = limits;
-    // Why so: Node.js reads these for each conn, or each time it looks for late ones.
+    if (limits === this.appliedLimits) return;
+    this.appliedLimits = limits;
+    // Changed limits take effect: Node.js reads these properties for each connection or at each check for timeouts.
     Object.assign(this.server, { maxHeaderSize: limits.headBytes });
     this.server.headersTimeout = Math.ceil(limits.headMicroseconds / 1000);
     this.server.requestTimeout = Math.ceil((limits.headMicroseconds + limits.bodyMicroseconds) / 1000);
-    this.server.keepAliveTimeout = Math.ceil((limits.idleMicroseconds ?? usualIdleMicroseconds) / 1000);
+    this.server.keepAliveTimeout = Math.ceil((limits.idleMicroseconds ?? defaultIdleMicroseconds) / 1000);
     this.server.maxConnections = limits.conns;
   }
 
-  private onConn(socket: Socket): void {
-    if (this.clock !== undefined) this.lastConnMicroseconds = this.clock.nowMicroseconds();
-    this.conns.set(socket, { exchanges: new Set(), spoilt: false });
+  private onConnection(socket: Socket): void {
+    if (this.clock !== undefined) this.lastConnectionMicroseconds = this.clock.nowMicroseconds();
+    this.conns.set(socket, { exchanges: new Set(), isUnreadable: false });
     socket.once('close', () => this.conns.delete(socket));
   }
 
-  private onOrder(order: IncomingMessage, response: ServerResponse): void {
-    this.apply();
-    const conn = this.conns.get(order.socket);
-    if (conn === undefined) return;
-    const exchange = { order, response };
-    conn.exchanges.add(exchange);
-    if (this.draining) HttpServer.endWithLast(conn);
-    // Why at this number: answers go out in the order of their orders, and what waits behind a long one takes memory.
-    if (conn.exchanges.size > rowMost) response.shouldKeepAlive = false;
+  private onRequest(request: IncomingMessage, response: ServerResponse): void {
+    this.applyLimits();
+    const connection = this.conns.get(request.socket);
+    if (connection === undefined) return;
+    const exchange = { order: request, response };
+    connection.exchanges.add(exchange);
+    if (this.draining) HttpServer.closeAfterLastResponse(connection);
+    // Pipelining is limited because responses are sent in the order of the requests, and those that wait behind a long one
+    // take up memory.
+    if (connection.exchanges.size > maxPipelinedRequests) response.shouldKeepAlive = false;
     response.once('close', () => {
-      conn.exchanges.delete(exchange);
-      if (conn.spoilt && conn.exchanges.size === 0) order.socket.destroySoon();
-      // Why here too: the conn of an answer that was running when the stop began goes idle only now.
+      connection.exchanges.delete(exchange);
+      if (connection.isUnreadable && connection.exchanges.size === 0) request.socket.destroySoon();
+      // During a stop, the connection of a response that was running when the stop began becomes idle only now.
       if (!this.server.listening) setImmediate(() => this.server.closeIdleConnections());
     });
   }
 
-  /** The conn ends with the last answer on it. Why not with one before: the orders behind that were read whole. */
-  private static endWithLast({ exchanges }: Conn): void {
-    const row = [...exchanges].map(({ response }) => response).filter(({ headersSent }) => !headersSent);
-    const last = row.pop();
+  /**
+   * Closes the connection after the last response on it. It cannot close after an earlier one because the requests behind
+   * that have already been received.
+   */
+  private static closeAfterLastResponse({ exchanges }: TrackedConnection): void {
+    const pending = [...exchanges].map(({ response }) => response).filter(({ headersSent }) => !headersSent);
+    const last = pending.pop();
     if (last === undefined) return;
-    for (const response of row) response.shouldKeepAlive = true;
+    for (const response of pending) response.shouldKeepAlive = true;
     last.shouldKeepAlive = false;
   }
 
-  /** Too many orders stand on this conn for one more. */
-  public crowded(order: IncomingMessage): boolean {
-    return (this.conns.get(order.socket)?.exchanges.size ?? 0) > rowMost;
+  /** Whether the connection has too many pipelined requests for one more. */
+  public crowded(request: IncomingMessage): boolean {
+    return (this.conns.get(request.socket)?.exchanges.size ?? 0) > maxPipelinedRequests;
   }
 
-  /** What comes from a caller cannot be read on. Orders that were read whole keep their conn until they are answered. */
-  private onBroken(error: Error & { code?: string }, socket: Duplex): void {
-    const conn = this.conns.get(socket);
-    if (conn === undefined || socket.destroyed || !socket.writable || error.code === 'ECONNRESET') {
+  /**
+   * Handles data that cannot be parsed. Requests that were received completely keep their connection until they are
+   * answered.
+   */
+  private onClientError(error: Error & { code?: string }, socket: Duplex): void {
+    const connection = this.conns.get(socket);
+    if (connection === undefined || socket.destroyed || !socket.writable || error.code === 'ECONNRESET') {
       socket.destroy();
       return;
     }
-    if (conn.spoilt) return;
-    conn.spoilt = true;
-    const status = reasons[error.code ?? ''] ?? 400;
-    if (conn.exchanges.size > 0) {
-      // Why not a bare line on the conn: it would be taken for the answer to the first order on it.
-      HttpServer.endWithLast(conn);
-      for (const { order } of [...conn.exchanges]) if (!order.complete) order.emit(brokenOff, status);
+    if (connection.isUnreadable) return;
+    connection.isUnreadable = true;
+    const status = statusByErrorCode[error.code ?? ''] ?? 400;
+    if (connection.exchanges.size > 0) {
+      // No status line is written to the connection: the client would take it for the response to the first open request.
+      HttpServer.closeAfterLastResponse(connection);
+      for (const { order: request } of [...connection.exchanges])
+        if (!request.complete) request.emit(requestFailedEvent, status);
       return;
     }
-    // Why silent: nothing was asked on it, so nothing is answered.
+    // The connection never carried a request, so it is closed without a response.
     if (status === 408 && (socket as Socket).bytesRead === 0) {
       socket.destroy();
       return;
     }
     socket.end(`HTTP/1.1 ${status} ${http.STATUS_CODES[status]}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`);
-    // Why not at once: a reset would overtake the answer while the caller still writes.
+    // The connection is not closed at once: a reset would reach the client before the response while it still writes.
     setTimeout(() => socket.destroy(), 1000).unref();
   }
 }
--- a/source/shared/http/replies.ts
+++ b/source/shared/http/replies.ts
@@ -1,5 +1,6 @@
 import type { ServerResponse } from 'node:http';
 
+/** Sends complete responses; does nothing if the head has been sent already or the client has disconnected. */
 export const Replies = {
   json: (
     response: ServerResponse,
--- a/tests/back-ends.test.ts
+++ b/tests/back-ends.test.ts
@@ -14,16 +14,16 @@
 
 type Ended = Readonly<{ head?: SendHead; text: string; end: 'whole' | SendFailure['kind'] | 'cut'; read: string }>;
 
-/** A back end that reads what is sent and then does what it is told on the bare conn. */
-const nasty = async (
+/** A back end that records what it receives and then lets the test act on the raw connection. */
+const openRawBackEnd = async (
   act: (socket: net.Socket) => void,
-  onConn: (socket: net.Socket) => void = () => undefined,
+  onConnection: (socket: net.Socket) => void = () => undefined,
 ): Promise<Readonly<{ address: string; read: () => string; close: () => Promise<void> }>> => {
   let read = '';
   const sockets = new Set<net.Socket>();
   const server = net.createServer((socket) => {
     sockets.add(socket);
-    onConn(socket);
+    onConnection(socket);
     let acted = false;
     socket.on('error', () => undefined);
     socket.on('data', (chunk: Buffer) => {
@@ -65,7 +65,7 @@
         },
         part: (bytes) => {
           text += Buffer.from(bytes).toString();
-          // Why a promise here: a paused answer that breaks off is the harder case.
+          // A promise pauses the response; a paused response that breaks off is the harder case.
           return Promise.resolve();
         },
         end: () => resolve({ head, text, end: 'whole' }),
@@ -74,23 +74,26 @@
     );
   });
 
-const against = async (act: (socket: net.Socket) => void, onConn?: (socket: net.Socket) => void): Promise<Ended> => {
-  const server = await nasty(act, onConn);
+const against = async (
+  act: (socket: net.Socket) => void,
+  onConnection?: (socket: net.Socket) => void,
+): Promise<Ended> => {
+  const server = await openRawBackEnd(act, onConnection);
   const ended = await send(server.address);
   const read = server.read();
   await server.close();
   return { ...ended, read };
 };
 
-describe('sends against back ends that behave badly', () => {
-  test('nobody there, or a conn refused the last look: certainly not run', async () => {
+describe('requests to back ends that misbehave', () => {
+  test('reports not run when the connection is refused or the request is cancelled before its first byte', async () => {
     assert.equal((await send('127.0.0.1:1')).end, 'notRun');
-    const server = await nasty(() => undefined);
+    const server = await openRawBackEnd(() => undefined);
     assert.equal((await send(server.address, false)).end, 'notRun');
     assert.equal(server.read(), '');
     await server.close();
   });
-  test('closed after the order was written, or before a byte of it was read: it may have run', async () => {
+  test('reports that a request may have run when the connection closes after it was written', async () => {
     assert.equal((await against((socket) => socket.destroy())).end, 'mayHaveRun');
     assert.equal((await against((socket) => socket.end())).end, 'mayHaveRun');
     assert.notEqual(
@@ -103,7 +106,7 @@
       'whole',
     );
   });
-  test('garbage in place of a head, and a head without end, may have run', async () => {
+  test('reports that a request may have run when the response head is garbage or too long', async () => {
     assert.equal((await against((socket) => socket.end('\u0000\u0001 not http at all\r\n\r\n'))).end, 'mayHaveRun');
     assert.equal(
       (await against((socket) => socket.write(`HTTP/1.1 200 OK\r\n${'x-long: '.concat('y'.repeat(40_000))}\r\n\r\n`)))
@@ -111,7 +114,7 @@
       'mayHaveRun',
     );
   });
-  test('a chunked answer without its last chunk, and one shorter than its length, are never whole', async () => {
+  test('never takes a chunked response without its last chunk, or one shorter than its length, for complete', async () => {
     const chunked = await against((socket) =>
       socket.end('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n'),
     );
@@ -119,14 +122,14 @@
     const short = await against((socket) => socket.end('HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhello'));
     assert.equal(short.end, 'mayHaveRun');
   });
-  test('an answer with neither length nor chunks says so, for the caller of it to judge', async () => {
+  test('marks a response with neither length nor chunks as unframed', async () => {
     const unframed = await against((socket) =>
       socket.end('HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\ndata: {}\n\n'),
     );
     assert.equal(unframed.end, 'whole');
     assert.equal(unframed.head?.framed, false);
   });
-  test('a 100-continue that nobody asked for is a failure that may have run, and the order is written once', async () => {
+  test('reports that a request may have run after an unexpected 100 Continue, and writes it once', async () => {
     const ended = await against((socket) => {
       socket.write('HTTP/1.1 100 Continue\r\n\r\n');
       socket.end('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok');
@@ -134,19 +137,19 @@
     assert.deepEqual([ended.end, ended.text, ended.head?.status], ['mayHaveRun', '', undefined]);
     assert.equal(ended.read.split('POST /v1').length - 1, 1);
   });
-  test('an order is never written twice, whatever the conn does', async () => {
-    let conns = 0;
+  test('never writes a request twice', async () => {
+    let connections = 0;
     const ended = await against(
       (socket) => socket.resetAndDestroy(),
       () => {
-        conns += 1;
+        connections += 1;
       },
     );
-    assert.deepEqual([ended.end, conns], ['mayHaveRun', 1]);
+    assert.deepEqual([ended.end, connections], ['mayHaveRun', 1]);
   });
 });
 
-describe('an answer cut after every one of its bytes', () => {
+describe('a response cut off after each of its bytes', () => {
   const event = 'data: {"choices":[{"delta":{"content":"a"}}]}\n\n';
   const done = 'data: [DONE]\n\n';
   const chunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
@@ -158,8 +161,8 @@
     busy: 'HTTP/1.1 503 Service Unavailable\r\npostdrum-not-run: busy\r\ncontent-length: 2\r\n\r\n{}',
   };
 
-  /** As the proxy judges it: an unframed answer is whole only with its own final event. */
-  const looksWhole = ({ end, head: seen, text }: Ended): boolean =>
+  /** As in the proxy: an unframed response is complete only with its final event. */
+  const isComplete = ({ end, head: seen, text }: Ended): boolean =>
     end === 'whole' && (seen?.framed === true || text.trimEnd().endsWith('data: [DONE]'));
 
   for (const [name, answer] of Object.entries(answers))
@@ -168,38 +171,41 @@
         const ended = await against((socket) => socket.end(answer.slice(0, bytes)));
         const entire =
           name === 'unframed' ? answer.slice(0, bytes).trimEnd().endsWith('[DONE]') : bytes === answer.length;
-        assert.equal(looksWhole(ended), entire, `${bytes} of ${answer.length} bytes: ${ended.end} ${ended.text}`);
+        assert.equal(isComplete(ended), entire, `${bytes} of ${answer.length} bytes: ${ended.end} ${ended.text}`);
         if (!entire && ended.end !== 'whole') assert.equal(ended.end, 'mayHaveRun', `${bytes} bytes`);
-        // Why: half a word must never be taken for the word that nothing ran.
-        const headIsWhole = bytes >= answer.indexOf('\r\n\r\n') + 4;
-        assert.equal(ended.head !== undefined, headIsWhole, `${bytes} bytes`);
+        // A partial head must never be taken for a `postdrum-not-run` header.
+        const headIsComplete = bytes >= answer.indexOf('\r\n\r\n') + 4;
+        assert.equal(ended.head !== undefined, headIsComplete, `${bytes} bytes`);
       }
     });
 });
 
-test('the control side takes a sound answer or none', async () => {
-  const door = new HttpBackEndDoor();
+test('the control client rejects invalid responses', async () => {
+  const controlClient = new HttpBackEndDoor();
   const pages: Record<string, string> = {
     '/ready': '{"bootEpoch":"b","weights":7}',
     '/kv/list': '{"bootEpoch":"b","sequence":1,"keys":["no key"]}',
     '/kv/events?after=0&epoch=b':
       '{"bootEpoch":"b","last":1,"events":[{"sequence":-1,"kind":"stored","key":"00000000000000000000000000000000"}]}',
   };
-  const server = http.createServer((order, response) => response.end(pages[order.url ?? ''] ?? '{"broken'));
+  const server = http.createServer((request, response) => response.end(pages[request.url ?? ''] ?? '{"broken'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
-  assert.equal(await door.status(address, 1_000_000), undefined);
-  assert.equal(await door.list(address, 1_000_000), undefined);
-  assert.equal(await door.events(address, 0, 'b', 1_000_000), undefined);
-  assert.equal(await door.events(address, 9, 'b', 1_000_000), undefined);
-  assert.equal(await door.directive('127.0.0.1:1', { kind: 'drain', term: 1, steward: 's' }, 500_000), 'failed');
+  assert.equal(await controlClient.status(address, 1_000_000), undefined);
+  assert.equal(await controlClient.list(address, 1_000_000), undefined);
+  assert.equal(await controlClient.events(address, 0, 'b', 1_000_000), undefined);
+  assert.equal(await controlClient.events(address, 9, 'b', 1_000_000), undefined);
+  assert.equal(
+    await controlClient.directive('127.0.0.1:1', { kind: 'drain', term: 1, steward: 's' }, 500_000),
+    'failed',
+  );
   pages['/ready'] = '{"bootEpoch":"b","weights":"w","capacity":4,"inFlight":0,"accepting":true}';
-  assert.equal((await door.status(address, 1_000_000))?.weights, 'w');
-  await door.close();
+  assert.equal((await controlClient.status(address, 1_000_000))?.weights, 'w');
+  await controlClient.close();
   await new Promise((resolve) => server.close(resolve));
 });
 
-test('cache headers: what is written is read, and broken ones are nothing', () => {
+test('cache headers: encoded headers are decoded again, and malformed ones are undefined', () => {
   const key = 'a'.repeat(32);
   assert.deepEqual(CacheHeaders.readTarget(CacheHeaders.target({ store: '127.0.0.1:9', keys: [key, key] })), {
     store: '127.0.0.1:9',
@@ -214,10 +220,10 @@
   assert.equal(BackEndAnswers.events({ bootEpoch: 'b', last: 1, events: 'many' }), undefined);
 });
 
-test('back pressure: a caller that does not read holds the parts back, and one that leaves frees them', async () => {
-  const piece = Buffer.alloc(256 * 1024, 'x');
+test('back pressure: a client that does not read holds back the response, and its disconnect ends the wait', async () => {
+  const chunk = Buffer.alloc(256 * 1024, 'x');
   let waiting = 0;
-  let taken = 0;
+  let accepted = 0;
   let ended: () => void = () => undefined;
   const over = new Promise<void>((resolve) => {
     ended = resolve;
@@ -226,22 +232,22 @@
   const stall = new Promise<void>((resolve) => {
     stalled = resolve;
   });
-  const handle = async (_order: unknown, answer: AnswerSink): Promise<void> => {
+  const handle = async (_request: unknown, answer: AnswerSink): Promise<void> => {
     answer.head({ status: 200, headers: { 'content-type': 'text/plain' } });
     for (let number = 0; number < 400; number += 1) {
       waiting += 1;
-      const part = answer.part(piece);
+      const part = answer.part(chunk);
       let settled = part === undefined;
       void part?.then(() => {
         settled = true;
       });
-      // Why turns of the loop: a part the system still takes settles within a few of them.
+      // A chunk that the system still accepts settles within a few turns of the event loop.
       for (let turn = 0; turn < 300 && !settled; turn += 1) await new Promise((resolve) => setImmediate(resolve));
       if (!settled) stalled();
       await part;
       waiting -= 1;
       if (answer.gone()) break;
-      taken += 1;
+      accepted += 1;
     }
     ended();
   };
@@ -251,18 +257,18 @@
     fresh: () => true,
     identifier: { tenantOf: () => ({ kind: 'tenant', tenant: 't' }) },
   } as unknown as EdgeProxy;
-  const door = await CallersDoor.open(proxy, '127.0.0.1:0', HttpLimits.usual, 1000, realClock, realRandom);
-  const [host, port] = door.address.split(':');
+  const server = await CallersDoor.open(proxy, '127.0.0.1:0', HttpLimits.usual, 1000, realClock, realRandom);
+  const [host, port] = server.address.split(':');
   const socket = net.connect(Number(port), host, () =>
     socket.write('POST /x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer kkkkkkkk\r\ncontent-length: 0\r\n\r\n'),
   );
   socket.on('error', () => undefined);
   socket.pause();
   await Promise.race([stall, over]);
-  assert.equal(waiting, 1, 'one part waits, the others were never asked for');
-  assert.ok(taken < 400);
+  assert.equal(waiting, 1, 'one chunk waits, the others were never produced');
+  assert.ok(accepted < 400);
   socket.destroy();
   await over;
-  assert.ok(taken < 400);
-  await door.close();
+  assert.ok(accepted < 400);
+  await server.close();
 });
--- a/tests/contracts.test.ts
+++ b/tests/contracts.test.ts
@@ -17,19 +17,19 @@
 import { TcpTransport } from '../source/shared/effects/transport/tcpTransport';
 import { TransportLimits, type Transport } from '../source/shared/effects/transport/transport';
 
-/** Runs an implementation's work; the simulated ones need their world to go on meanwhile. */
+/** Awaits an implementation's work; a simulated one needs its world to run meanwhile. */
 type Run = <Result>(work: Promise<Result>) => Promise<Result>;
 
 const plainRun: Run = (work) => work;
 const worldRun =
   (world: World): Run =>
   async (work) => {
-    let over = false;
+    let finished = false;
     const done = work.finally(() => {
-      over = true;
+      finished = true;
     });
     done.catch(() => undefined);
-    for (let turn = 0; turn < 10_000 && !over; turn += 1) await world.runFor(10_000);
+    for (let turn = 0; turn < 10_000 && !finished; turn += 1) await world.runFor(10_000);
     return done;
   };
 
@@ -43,17 +43,17 @@
       assert.ok(Number.isSafeInteger(before) && Number.isSafeInteger(after));
       assert.ok(after - before >= 2900);
     });
-    test('acts come in the order of their delays, cancelled ones never', async () => {
+    test('timers fire in the order of their delays, and cancelled ones never', async () => {
       const { clock, run } = make();
-      const seen: number[] = [];
-      const cancel = clock.after(2000, () => seen.push(2));
-      clock.after(9000, () => seen.push(9));
-      clock.after(4000, () => seen.push(4));
+      const fired: number[] = [];
+      const cancel = clock.after(2000, () => fired.push(2));
+      clock.after(9000, () => fired.push(9));
+      clock.after(4000, () => fired.push(4));
       cancel();
       await run(Clocks.wait(clock, 25_000));
-      assert.deepEqual(seen, [4, 9]);
+      assert.deepEqual(fired, [4, 9]);
     });
-    test('within gives the work its limit', async () => {
+    test('within limits how long it waits for the work', async () => {
       const { clock, run } = make();
       assert.equal(await run(Clocks.within(clock, 50_000, Promise.resolve('in time'))), 'in time');
       assert.equal(await run(Clocks.within(clock, 2000, new Promise<string>(() => undefined))), undefined);
@@ -78,7 +78,7 @@
 };
 randomContract('real', realRandom);
 randomContract('seeded', seededRandom(7));
-test('the same seed gives the same row', () => {
+test('the same seed gives the same sequence', () => {
   const [one, two] = [seededRandom(9), seededRandom(9)];
   assert.deepEqual(
     Array.from({ length: 50 }, () => one.name()),
@@ -86,7 +86,7 @@
   );
 });
 
-type Wires = Readonly<{
+type TransportFixture = Readonly<{
   one: Transport;
   two: Transport;
   address: (host: number) => string;
@@ -94,9 +94,9 @@
   end: () => Promise<void>;
 }>;
 
-const transportContract = (name: string, make: () => Wires): void => {
+const transportContract = (name: string, make: () => TransportFixture): void => {
   describe(`transport contract: ${name}`, () => {
-    test('an ask gets the answer of its own question, many at once', async () => {
+    test('matches responses to concurrent requests', async () => {
       const { one, two, address, run, end } = make();
       const listener = await run(
         two.listen(address(2), (message) => Promise.resolve({ kind: 'back', number: message['number'] })),
@@ -111,7 +111,7 @@
       );
       await end();
     });
-    test('a message of many parts arrives whole both ways', async () => {
+    test('delivers a message of many frames in both directions', async () => {
       const { one, two, address, run, end } = make();
       const listener = await run(two.listen(address(2), (message) => Promise.resolve({ ...message, kind: 'back' })));
       const text = 'x'.repeat(TransportLimits.partBytes * 5 + 17);
@@ -119,25 +119,25 @@
       assert.ok(answer.kind === 'answered' && answer.message['text'] === text);
       await end();
     });
-    test('nobody there, a failing handler and a mute one are all silence, within the limit', async () => {
+    test('reports silence within the limit for a refused connection, a failing handler and one that never responds', async () => {
       const { one, two, address, run, end } = make();
       assert.equal((await run(one.ask(address(3), { kind: 'there' }, 300_000))).kind, 'silent');
       const failing = await run(two.listen(address(2), () => Promise.reject(new Error('inside'))));
       assert.equal((await run(one.ask(failing.address, { kind: 'there' }, 300_000))).kind, 'silent');
       await run(failing.close());
-      const mute = await run(two.listen(address(4), () => new Promise(() => undefined)));
-      assert.equal((await run(one.ask(mute.address, { kind: 'there' }, 100_000))).kind, 'silent');
+      const unresponsive = await run(two.listen(address(4), () => new Promise(() => undefined)));
+      assert.equal((await run(one.ask(unresponsive.address, { kind: 'there' }, 100_000))).kind, 'silent');
       await end();
     });
-    test('a closed listener is silent, and one opened again at its place answers', async () => {
+    test('a closed listener is silent, and a new one at the same address responds', async () => {
       const { one, two, address, run, end } = make();
       const first = await run(two.listen(address(2), () => Promise.resolve({ kind: 'first' })));
-      const place = first.address;
-      assert.equal((await run(one.ask(place, { kind: 'there' }, 1_000_000))).kind, 'answered');
+      const reusedAddress = first.address;
+      assert.equal((await run(one.ask(reusedAddress, { kind: 'there' }, 1_000_000))).kind, 'answered');
       await run(first.close());
-      assert.equal((await run(one.ask(place, { kind: 'there' }, 300_000))).kind, 'silent');
-      await run(two.listen(place, () => Promise.resolve({ kind: 'second' })));
-      const answer = await run(one.ask(place, { kind: 'there' }, 1_000_000));
+      assert.equal((await run(one.ask(reusedAddress, { kind: 'there' }, 300_000))).kind, 'silent');
+      await run(two.listen(reusedAddress, () => Promise.resolve({ kind: 'second' })));
+      const answer = await run(one.ask(reusedAddress, { kind: 'there' }, 1_000_000));
       assert.ok(answer.kind === 'answered' && answer.message.kind === 'second');
       await end();
     });
@@ -169,9 +169,9 @@
   };
 });
 
-test('tcp: garbage, a part out of bounds and a truncated message close that conn and no other', async () => {
+test('tcp: garbage, an oversized frame and a truncated message close only their own connection', async () => {
   const transport = new TcpTransport(realClock);
-  const asker = new TcpTransport(realClock);
+  const client = new TcpTransport(realClock);
   const listener = await transport.listen('127.0.0.1:0', () => Promise.resolve({ kind: 'back' }));
   const port = Number(listener.address.split(':')[1]);
   const closed = (bytes: Buffer, end: boolean): Promise<boolean> =>
@@ -188,15 +188,15 @@
   assert.ok(await closed(Buffer.from([0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1]), false));
   assert.ok(await closed(Buffer.from([0, 0, 0, 3, 2, 0, 0, 0, 1, 0xc1, 0xc1, 0xc1]), false));
   assert.ok(await closed(Buffer.from([0, 0, 0, 9, 2, 0]), true));
-  assert.equal((await asker.ask(listener.address, { kind: 'there' }, 2_000_000)).kind, 'answered');
-  await Promise.all([transport.close(), asker.close()]);
+  assert.equal((await client.ask(listener.address, { kind: 'there' }, 2_000_000)).kind, 'answered');
+  await Promise.all([transport.close(), client.close()]);
 });
 
-type Disks = Readonly<{ disk: () => Promise<Disk>; run: Run; end: () => void }>;
+type DiskFixture = Readonly<{ disk: () => Promise<Disk>; run: Run; end: () => void }>;
 
-const diskContract = (name: string, make: () => Disks): void => {
+const diskContract = (name: string, make: () => DiskFixture): void => {
   describe(`disk contract: ${name}`, () => {
-    test('what was appended and synced is read again, in order', async () => {
+    test('reads back appended and synced data in order', async () => {
       const { disk, run, end } = make();
       const first = await run(disk());
       assert.equal(await run(first.read('file')), undefined);
@@ -208,7 +208,7 @@
       assert.equal(Buffer.from((await run((await run(disk())).read('file'))) ?? []).toString(), 'one two');
       end();
     });
-    test('truncate cuts, and what is appended next follows the cut', async () => {
+    test('appends after the truncated end', async () => {
       const { disk, run, end } = make();
       const file = await run((await run(disk())).open('file'));
       await run(file.append(Buffer.from('keep and drop')));
@@ -219,7 +219,7 @@
       await run(file.close());
       end();
     });
-    test('replace exchanges the whole file', async () => {
+    test('replace replaces the whole file', async () => {
       const { disk, run, end } = make();
       const given = await run(disk());
       const file = await run(given.open('file'));
