--- a/tests/doors-sender.test.ts
+++ b/tests/doors-sender.test.ts
@@ -3,30 +3,30 @@
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
 import { HttpBackEndSender } from '../source/shared/back-end/httpBackEnds';
-import { AnswerReader, type AnswerEvent } from '../source/shared/back-end/keptConns/answerReader';
+import { ResponseParser, type ResponseEvent } from '../source/shared/back-end/keptConns/answerReader';
 import { ConnShares } from '../source/shared/back-end/keptConns/connShares';
 import { IdleLimitDefaults, IdleLimits } from '../source/shared/back-end/keptConns/idleLimits';
 import { KeepAlive } from '../source/shared/back-end/keptConns/keepAlive';
 import { KeptConnDefaults, KeptConnSender } from '../source/shared/back-end/keptConns/keptConnSender';
 import type { BackEndSender, SendHandle, SendOrder } from '../source/shared/back-end/protocol';
 import { realClock } from '../source/shared/effects/clock/realClock';
-import { HandClock, RawEngine, sendRaw, type RawAct } from './support/rawEngine';
+import { HandClock, RawEngine, sendRaw, type RawResponder } from './support/rawEngine';
 
-const answer = (body: string, headers = ''): string =>
+const response = (body: string, headers = ''): string =>
   `HTTP/1.1 200 OK\r\n${headers}content-length: ${body.length}\r\n\r\n${body}`;
 const turns = async (count = 20): Promise<void> => {
   for (let turn = 0; turn < count; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-const kept = (clock = new HandClock(), bound = { kept: 16, most: 64 }): KeptConnSender =>
+const pooledSender = (clock = new HandClock(), bound = { kept: 16, most: 64 }): KeptConnSender =>
   new KeptConnSender(clock, KeptConnDefaults, () => bound);
 
 const withEngine = async (
-  act: RawAct,
+  respond: RawResponder,
   work: (engine: RawEngine) => Promise<void>,
-  onConn?: (socket: net.Socket, count: number) => void,
+  onConnection?: (socket: net.Socket, count: number) => void,
 ): Promise<void> => {
-  const engine = await RawEngine.open(act, onConn);
+  const engine = await RawEngine.open(respond, onConnection);
   try {
     await work(engine);
   } finally {
@@ -36,9 +36,9 @@
 
 const contract = (name: string, make: () => BackEndSender): void => {
   describe(`sender contract: ${name}`, () => {
-    test('whole answers, one after the other and many at once, each to its own order', () =>
+    test('matches sequential and concurrent responses to their requests', () =>
       withEngine(
-        (socket, { body }) => socket.write(answer(`<${body}>`)),
+        (socket, { body }) => socket.write(response(`<${body}>`)),
         async (engine) => {
           const sender = make();
           for (let number = 0; number < 5; number += 1)
@@ -51,9 +51,9 @@
         },
       ));
 
-    test('bodies are the bytes they are, and the target and headers are written as given', () =>
+    test('writes body, target and headers unchanged', () =>
       withEngine(
-        (socket) => socket.write(answer('')),
+        (socket) => socket.write(response('')),
         async (engine) => {
           const bytes = Uint8Array.from({ length: 512 }, (_, place) => place % 256);
           const ended = await sendRaw(make(), engine.address, {
@@ -62,21 +62,21 @@
             body: bytes,
           });
           assert.equal(ended.end, 'whole');
-          const [order] = engine.orders;
-          assert.equal(order?.body, Buffer.from(bytes).toString('latin1'));
-          assert.match(order?.text ?? '', /^POST \/a\/b%2F\?q=1&r=%20 HTTP\/1\.1\r\n/);
-          assert.match(order?.text ?? '', /\r\nx-one: a, b(\r\n|$)/i);
-          assert.match(order?.text ?? '', /\r\nhost: other\.example(\r\n|$)/i);
+          const [request] = engine.orders;
+          assert.equal(request?.body, Buffer.from(bytes).toString('latin1'));
+          assert.match(request?.text ?? '', /^POST \/a\/b%2F\?q=1&r=%20 HTTP\/1\.1\r\n/);
+          assert.match(request?.text ?? '', /\r\nx-one: a, b(\r\n|$)/i);
+          assert.match(request?.text ?? '', /\r\nhost: other\.example(\r\n|$)/i);
         },
       ));
 
-    test('an answer cut at every byte is never whole, and half a head is no head', async () => {
-      const whole = {
-        counted: answer('hello world'),
+    test('never reports a response as complete that is cut off after any byte', async () => {
+      const encodedResponses = {
+        counted: response('hello world'),
         chunked: 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n',
         trailers: 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nx-sum: 1\r\n\r\n',
       };
-      for (const text of Object.values(whole)) {
+      for (const text of Object.values(encodedResponses)) {
         let bytes = 0;
         await withEngine(
           (socket) => socket.end(text.slice(0, bytes), 'latin1'),
@@ -94,7 +94,7 @@
       }
     });
 
-    test('an answer without length is as long as its conn, and says so', () =>
+    test('a response without a length ends with its connection and is marked as unframed', () =>
       withEngine(
         (socket) => socket.end('HTTP/1.1 200 OK\r\n\r\nall of it'),
         async (engine) => {
@@ -106,13 +106,13 @@
     for (const [what, text] of Object.entries({
       garbage: '\u0000\u0001 not http\r\n\r\n',
       'another protocol': 'SSH-2.0-OpenSSH_9.6\r\n',
-      'a head over the bound': `HTTP/1.1 200 OK\r\n${'x-long: '.concat('y'.repeat(20_000))}\r\ncontent-length: 0\r\n\r\n`,
-      'two lengths that differ': 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nabc',
-      'a chunk size that is none': 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n',
-      'a 100 nobody asked for': `HTTP/1.1 100 Continue\r\n\r\n${answer('ok')}`,
-      'a change of protocol': `HTTP/1.1 101 Switching\r\nupgrade: x\r\n\r\n${answer('ok')}`,
+      'an oversized head': `HTTP/1.1 200 OK\r\n${'x-long: '.concat('y'.repeat(20_000))}\r\ncontent-length: 0\r\n\r\n`,
+      'two different lengths': 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nabc',
+      'an invalid chunk size': 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n',
+      'an unexpected 100 Continue': `HTTP/1.1 100 Continue\r\n\r\n${response('ok')}`,
+      'an unexpected protocol switch': `HTTP/1.1 101 Switching\r\nupgrade: x\r\n\r\n${response('ok')}`,
     }))
-      test(`${what}: may have run, and the order was written once`, () =>
+      test(`${what}: the request may have run and was written once`, () =>
         withEngine(
           (socket) => socket.write(text, 'latin1'),
           async (engine) => {
@@ -122,16 +122,16 @@
           },
         ));
 
-    test('an early hint is passed over', () =>
+    test('skips early hints', () =>
       withEngine(
-        (socket) => socket.write(`HTTP/1.1 103 Early Hints\r\nlink: <x>\r\n\r\n${answer('ok')}`),
+        (socket) => socket.write(`HTTP/1.1 103 Early Hints\r\nlink: <x>\r\n\r\n${response('ok')}`),
         async (engine) => {
           const ended = await sendRaw(make(), engine.address);
           assert.deepEqual([ended.end, ended.head?.status, ended.text], ['whole', 200, 'ok']);
         },
       ));
 
-    test('reset before the head and in the middle of a body: may have run, written once', async () => {
+    test('a reset before the head or in the middle of the body: the request may have run and was written once', async () => {
       for (const text of ['', 'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nab'])
         await withEngine(
           (socket) => {
@@ -145,9 +145,9 @@
         );
     });
 
-    test('nobody listens, or the last look says no: not run, and not a byte was written', () =>
+    test('reports not run when the connection is refused or the request is cancelled before its first byte', () =>
       withEngine(
-        (socket) => socket.write(answer('')),
+        (socket) => socket.write(response('')),
         async (engine) => {
           assert.equal((await sendRaw(make(), '127.0.0.1:1')).end, 'notRun');
           assert.equal((await sendRaw(make(), engine.address, {}, () => false)).end, 'notRun');
@@ -155,36 +155,36 @@
         },
       ));
 
-    test('a silent back end: cut resets its conn, and nothing more is said', () =>
+    test('cut resets the connection to an unresponsive back end, and the sink is not called again', () =>
       withEngine(
         () => undefined,
         async (engine) => {
-          let said = 0;
-          const say = (): void => void (said += 1);
+          let calls = 0;
+          const count = (): void => void (calls += 1);
           const { cut } = make().send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
-            { mayGo: () => true, head: say, part: () => undefined, end: say, failed: say },
+            { mayGo: () => true, head: count, part: () => undefined, end: count, failed: count },
           );
           await engine.until(() => engine.orders.length === 1);
           cut();
           await engine.until(() => engine.sockets.every(({ closed }) => closed));
           cut();
           await turns();
-          assert.equal(said, 0);
+          assert.equal(calls, 0);
         },
       ));
 
-    test('a slow reader holds the back end back, and gets every byte', () =>
+    test('a slow consumer applies back pressure and receives every byte', () =>
       withEngine(
         (socket) => {
           socket.write('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n');
-          const piece = Buffer.alloc(65_536, 'y');
+          const chunk = Buffer.alloc(65_536, 'y');
           let sent = 0;
           const more = (): void => {
             while (sent < 200) {
               sent += 1;
               socket.write('10000\r\n');
-              socket.write(piece);
+              socket.write(chunk);
               if (!socket.write('\r\n')) {
                 socket.once('drain', more);
                 return;
@@ -197,16 +197,16 @@
         async (engine) => {
           let length = 0;
           let waiting = 0;
-          let reads = false;
+          let isReading = false;
           let go: () => void = () => undefined;
-          const whole = new Promise<void>((resolve, reject) => {
+          const completed = new Promise<void>((resolve, reject) => {
             make().send(
               { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
               {
                 mayGo: () => true,
                 head: () => undefined,
                 part: (bytes) => {
-                  assert.equal(waiting, 0, 'no part comes while one waits');
+                  assert.equal(waiting, 0, 'no chunk is delivered while one waits');
                   length += bytes.length;
                   waiting += 1;
                   return new Promise((resolve) => {
@@ -214,7 +214,7 @@
                       waiting -= 1;
                       resolve();
                     };
-                    if (reads) setImmediate(go);
+                    if (isReading) setImmediate(go);
                   });
                 },
                 end: resolve,
@@ -225,53 +225,53 @@
           await engine.until(() => engine.orders.length === 1);
           while (waiting === 0) await turns(1);
           await turns(200);
-          assert.ok((engine.sockets[0]?.writableLength ?? 0) > 0, 'the back end has bytes that do not go out');
-          reads = true;
+          assert.ok((engine.sockets[0]?.writableLength ?? 0) > 0, 'the back end has bytes that it cannot send');
+          isReading = true;
           go();
-          await whole;
+          await completed;
           assert.equal(length, 200 * 65_536);
         },
       ));
   });
 };
 
-contract('a fresh conn for each send', () => new HttpBackEndSender(500_000));
-contract('kept conns', () => new KeptConnSender(realClock));
+contract('new connections', () => new HttpBackEndSender(500_000));
+contract('pooled connections', () => new KeptConnSender(realClock));
 
-describe('kept conns', () => {
-  test('are used again, the one used last first, and none is made while one is idle', () =>
+describe('pooled connections', () => {
+  test('reuses the most recently used connection first and opens none while one is idle', () =>
     withEngine(
       (socket, { body }) => {
-        if (body !== 'wait') socket.write(answer(body));
+        if (body !== 'wait') socket.write(response(body));
       },
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         for (let number = 0; number < 10; number += 1) await sendRaw(sender, engine.address);
         assert.equal(engine.conns, 1);
-        const held = sendRaw(sender, engine.address, { body: 'wait' });
+        const running = sendRaw(sender, engine.address, { body: 'wait' });
         await engine.until(() => engine.orders.length === 11);
         await sendRaw(sender, engine.address);
         assert.equal(engine.conns, 2);
-        engine.sockets[0]?.write(answer('late'));
-        assert.equal((await held).text, 'late');
+        engine.sockets[0]?.write(response('late'));
+        assert.equal((await running).text, 'late');
         await sendRaw(sender, engine.address);
-        assert.deepEqual([engine.conns, engine.orders.at(-1)?.conn], [2, 1]);
+        assert.deepEqual([engine.conns, engine.orders.at(-1)?.connection], [2, 1]);
         assert.deepEqual(sender.counts(engine.address), { conns: 2, idle: 2 });
       },
     ));
 
-  test('connection: close, HTTP/1.0 and an answer without length end the conn', async () => {
+  test('does not reuse a connection after connection: close, HTTP/1.0 or an expired keep-alive', async () => {
     for (const text of [
-      answer('a', 'Connection: Close\r\n'),
-      answer('a', 'connection: x, close\r\n'),
-      answer('a', 'keep-alive: timeout=0\r\n'),
-      answer('a', 'keep-alive: timeout=5, max=0\r\n'),
-      answer('a').replace('HTTP/1.1', 'HTTP/1.0'),
+      response('a', 'Connection: Close\r\n'),
+      response('a', 'connection: x, close\r\n'),
+      response('a', 'keep-alive: timeout=0\r\n'),
+      response('a', 'keep-alive: timeout=5, max=0\r\n'),
+      response('a').replace('HTTP/1.1', 'HTTP/1.0'),
     ])
       await withEngine(
         (socket) => socket.write(text),
         async (engine) => {
-          const sender = kept();
+          const sender = pooledSender();
           assert.equal((await sendRaw(sender, engine.address)).end, 'whole');
           assert.equal((await sendRaw(sender, engine.address)).end, 'whole');
           assert.equal(engine.conns, 2, text);
@@ -279,12 +279,12 @@
       );
   });
 
-  test('Keep-Alive is obeyed with a margin, also by a process that was frozen', () =>
+  test('observes the Keep-Alive timeout with a margin, also after the process was frozen', () =>
     withEngine(
-      (socket) => socket.write(answer('a', 'keep-alive: timeout=5\r\n')),
+      (socket) => socket.write(response('a', 'keep-alive: timeout=5\r\n')),
       async (engine) => {
         const clock = new HandClock();
-        const sender = kept(clock);
+        const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
         clock.pass(3_900_000);
         await sendRaw(sender, engine.address);
@@ -299,59 +299,59 @@
       },
     ));
 
-  test('without a hint a conn is idle for a bounded time', () =>
+  test('closes an idle connection after the default timeout', () =>
     withEngine(
-      (socket) => socket.write(answer('a')),
+      (socket) => socket.write(response('a')),
       async (engine) => {
         const clock = new HandClock();
-        const sender = kept(clock);
+        const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
         clock.pass(KeptConnDefaults.idleMicroseconds);
         assert.equal(sender.counts(engine.address).conns, 0);
       },
     ));
 
-  test('an order that may run once goes on no conn that was idle for long; others do', () =>
+  test('does not use a connection that was idle for long for a request that must run at most once', () =>
     withEngine(
-      (socket) => socket.write(answer('a')),
+      (socket) => socket.write(response('a')),
       async (engine) => {
         const clock = new HandClock();
-        const sender = kept(clock);
+        const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.onceIdleMicroseconds - 1);
+        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds - 1);
         await sendRaw(sender, engine.address, { runsOnce: true });
         assert.equal(engine.conns, 1);
-        clock.pass(KeptConnDefaults.onceIdleMicroseconds);
+        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds);
         await sendRaw(sender, engine.address);
         assert.equal(engine.conns, 1);
-        clock.pass(KeptConnDefaults.onceIdleMicroseconds);
+        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds);
         await sendRaw(sender, engine.address, { runsOnce: true });
         assert.equal(engine.conns, 2);
       },
     ));
 
-  test('where a back end names how long it keeps a conn, such an order may go on it for longer', () =>
+  test('uses such a connection for longer if the back end states a keep-alive timeout', () =>
     withEngine(
-      (socket) => socket.write(answer('a', 'keep-alive: timeout=60\r\n')),
+      (socket) => socket.write(response('a', 'keep-alive: timeout=60\r\n')),
       async (engine) => {
         const clock = new HandClock();
-        const sender = kept(clock);
+        const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.onceNamedIdleMicroseconds - 1);
+        clock.pass(KeptConnDefaults.maxStatedIdleForOnceMicroseconds - 1);
         await sendRaw(sender, engine.address, { runsOnce: true });
         assert.equal(engine.conns, 1);
-        clock.pass(KeptConnDefaults.onceNamedIdleMicroseconds);
+        clock.pass(KeptConnDefaults.maxStatedIdleForOnceMicroseconds);
         await sendRaw(sender, engine.address, { runsOnce: true });
         assert.equal(engine.conns, 2);
       },
     ));
 
-  test('a conn that the back end closed or reset while idle is never used', async () => {
+  test('never uses a connection that the back end closed or reset while it was idle', async () => {
     for (const how of ['end', 'resetAndDestroy'] as const)
       await withEngine(
-        (socket) => socket.write(answer('a')),
+        (socket) => socket.write(response('a')),
         async (engine) => {
-          const sender = kept();
+          const sender = pooledSender();
           await sendRaw(sender, engine.address);
           engine.sockets[0]?.[how]();
           while (sender.counts(engine.address).conns > 0) await turns(1);
@@ -361,68 +361,70 @@
       );
   });
 
-  test('a kept conn reset as the order reaches it: may have run, and it is not sent again', () =>
+  test('does not send a request again when a reused connection is reset as the request arrives', () =>
     withEngine(
-      (socket, _order, count) => {
-        if (count === 1) socket.write(answer('a'));
+      (socket, _request, count) => {
+        if (count === 1) socket.write(response('a'));
         else socket.resetAndDestroy();
       },
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         await sendRaw(sender, engine.address);
         assert.equal((await sendRaw(sender, engine.address)).end, 'mayHaveRun');
         assert.deepEqual([engine.conns, engine.orders.length], [1, 2]);
       },
     ));
 
-  /** An engine that forgets a conn without notice: it resets the next thing sent on it, and reads none of it. */
-  const forgetful = (work: (engine: RawEngine, forget: (does: boolean) => void) => Promise<void>): Promise<void> => {
-    let forgets = false;
+  /** An engine that drops idle connections without notice: it resets them on the next request, and reads none of it. */
+  const withDroppingEngine = (
+    work: (engine: RawEngine, setDropping: (drops: boolean) => void) => Promise<void>,
+  ): Promise<void> => {
+    let isDropping = false;
     const served = new Set<net.Socket>();
     return withEngine(
       (socket) => {
-        if (forgets && served.has(socket)) socket.resetAndDestroy();
-        else socket.write(answer('a'));
+        if (isDropping && served.has(socket)) socket.resetAndDestroy();
+        else socket.write(response('a'));
         served.add(socket);
       },
-      (engine) => work(engine, (does) => (forgets = does)),
+      (engine) => work(engine, (drops) => (isDropping = drops)),
     );
   };
 
-  test('a conn that its back end forgot: told apart, never written twice, and others are trusted for a shorter time', () =>
-    forgetful(async (engine, forget) => {
+  test('detects a connection that the back end dropped, writes the request once and lowers the idle limit', () =>
+    withDroppingEngine(async (engine, setDropping) => {
       const clock = new HandClock();
-      const sender = kept(clock);
+      const sender = pooledSender(clock);
       await sendRaw(sender, engine.address);
-      forget(true);
+      setDropping(true);
       clock.pass(2_000_000);
       const ended = await sendRaw(sender, engine.address);
       assert.deepEqual([ended.end, ended.forgotten, engine.orders.length], ['mayHaveRun', true, 2]);
       await sendRaw(sender, engine.address);
       clock.pass(999_999);
-      forget(false);
+      setDropping(false);
       await sendRaw(sender, engine.address);
-      assert.equal(engine.conns, 2, 'idle for less than half of that time: used');
+      assert.equal(engine.conns, 2, 'idle for less than half of that time: reused');
       clock.pass(1_000_000);
       await sendRaw(sender, engine.address);
-      assert.equal(engine.conns, 3, 'idle for half of that time: given up unused');
+      assert.equal(engine.conns, 3, 'idle for half of that time: closed unused');
       clock.pass(500_000);
       await sendRaw(sender, engine.address, { runsOnce: true });
-      assert.equal(engine.conns, 4, 'an order that may run once trusts it for half of that again');
+      assert.equal(engine.conns, 4, 'the limit is half of that for a request that must run at most once');
       clock.pass(499_999);
       await sendRaw(sender, engine.address, { runsOnce: true });
       assert.equal(engine.conns, 4);
     }));
 
-  test('after a time conns are trusted for longer again', () =>
-    forgetful(async (engine, forget) => {
+  test('raises the idle limit again over time', () =>
+    withDroppingEngine(async (engine, setDropping) => {
       const clock = new HandClock();
-      const sender = kept(clock);
+      const sender = pooledSender(clock);
       await sendRaw(sender, engine.address);
-      forget(true);
+      setDropping(true);
       clock.pass(400_000);
       assert.equal((await sendRaw(sender, engine.address)).forgotten, true);
-      forget(false);
+      setDropping(false);
       clock.pass(30_000_000);
       await sendRaw(sender, engine.address);
       const { conns } = engine;
@@ -431,13 +433,13 @@
       assert.equal(engine.conns, conns, '0.2 s doubled three times');
     }));
 
-  test('a reset is no forgetting on a new conn, on one that was hardly idle, or long after the order', () =>
-    forgetful(async (engine, forget) => {
+  test('does not count a reset as a dropped connection on a new or barely idle one, or long after the request', () =>
+    withDroppingEngine(async (engine, setDropping) => {
       const clock = new HandClock();
-      const sender = kept(clock);
+      const sender = pooledSender(clock);
       await sendRaw(sender, engine.address);
-      forget(true);
-      clock.pass(KeptConnDefaults.forgetting.leastForgottenMicroseconds - 1);
+      setDropping(true);
+      clock.pass(KeptConnDefaults.idleLimit.minDroppedIdleMicroseconds - 1);
       const busy = await sendRaw(sender, engine.address);
       assert.deepEqual([busy.end, busy.forgotten], ['mayHaveRun', false]);
       await withEngine(
@@ -445,27 +447,27 @@
         async (other) => assert.equal((await sendRaw(sender, other.address)).forgotten, false),
       );
       await withEngine(
-        (socket, _order, count) => {
-          if (count === 1) socket.write(answer('a'));
+        (socket, _request, count) => {
+          if (count === 1) socket.write(response('a'));
         },
         async (other) => {
           await sendRaw(sender, other.address);
           clock.pass(2_000_000);
           const late = sendRaw(sender, other.address);
           await other.until(() => other.orders.length === 2);
-          clock.pass(KeptConnDefaults.forgetting.resetWithinMicroseconds + 1);
+          clock.pass(KeptConnDefaults.idleLimit.maxResetDelayMicroseconds + 1);
           other.sockets[0]?.resetAndDestroy();
           assert.deepEqual([(await late).end, (await late).forgotten], ['mayHaveRun', false]);
         },
       );
     }));
 
-  test('idle limits: never longer for a reset, never below the least, and twice as long with each quiet time', () => {
+  test('idle limits never rise on a reset, never fall below the minimum, and double with each quiet period', () => {
     const settings = IdleLimitDefaults;
     fc.assert(
       fc.property(
         fc.array(
-          fc.tuple(fc.nat(20_000_000), fc.integer({ min: settings.leastForgottenMicroseconds, max: 15_000_000 })),
+          fc.tuple(fc.nat(20_000_000), fc.integer({ min: settings.minDroppedIdleMicroseconds, max: 15_000_000 })),
         ),
         (resets) => {
           let state = IdleLimits.start;
@@ -475,33 +477,36 @@
             const before = IdleLimits.of(state, 'a', now, settings);
             state = IdleLimits.forgotten(state, 'a', idle, now, settings);
             const after = IdleLimits.of(state, 'a', now, settings);
-            assert.ok(after >= settings.leastForgottenMicroseconds && after <= Math.max(idle, before));
-            assert.ok(after <= before || before < settings.leastForgottenMicroseconds);
-            assert.equal(IdleLimits.of(state, 'a', now + settings.doubleMicroseconds, settings), after * 2);
+            assert.ok(after >= settings.minDroppedIdleMicroseconds && after <= Math.max(idle, before));
+            assert.ok(after <= before || before < settings.minDroppedIdleMicroseconds);
+            assert.equal(IdleLimits.of(state, 'a', now + settings.doublingMicroseconds, settings), after * 2);
             assert.equal(IdleLimits.of(state, 'b', now, settings), Infinity);
           }
-          assert.deepEqual(IdleLimits.tidy(state, now + 20 * settings.doubleMicroseconds, 15_000_000, settings), {});
+          assert.deepEqual(
+            IdleLimits.removeExpired(state, now + 20 * settings.doublingMicroseconds, 15_000_000, settings),
+            {},
+          );
         },
       ),
     );
   });
 
-  test('surplus bytes with an answer or after it: the conn is thrown away, the answer stands', async () => {
+  test('closes the connection on surplus bytes with or after a response and keeps the response', async () => {
     await withEngine(
-      (socket) => socket.write(answer('a') + answer('surplus')),
+      (socket) => socket.write(response('a') + response('surplus')),
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
         assert.equal(engine.conns, 2);
       },
     );
     await withEngine(
-      (socket) => socket.write(answer('a')),
+      (socket) => socket.write(response('a')),
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         await sendRaw(sender, engine.address);
-        engine.sockets[0]?.write(answer('late surplus'));
+        engine.sockets[0]?.write(response('late surplus'));
         while (sender.counts(engine.address).conns > 0) await turns(1);
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
         assert.equal(engine.conns, 2);
@@ -509,7 +514,7 @@
     );
   });
 
-  test('an answer that came before its long order was read: the rest of that order is read by nobody as another one', async (context) => {
+  test('does not reuse a connection whose request was answered before it was fully written', async (context) => {
     const heads: string[][] = [];
     const sockets: net.Socket[] = [];
     const server = net.createServer((socket) => {
@@ -529,25 +534,25 @@
       server.close();
     });
     const address = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
-    const sender = kept();
+    const sender = pooledSender();
     const body = Buffer.alloc(16 * 1024 * 1024, 'x');
     const first = await sendRaw(sender, address, { body });
     assert.equal(`${first.head?.status} ${first.end}`, '503 whole');
     assert.deepEqual(sender.counts(address), { conns: 0, idle: 0 });
     const second = await sendRaw(sender, address, { body: 'short' });
     assert.equal(`${second.head?.status} ${second.end}`, '503 whole');
-    assert.deepEqual(heads, [['POST /'], ['POST /']], 'each order came first on a conn of its own');
+    assert.deepEqual(heads, [['POST /'], ['POST /']], 'each request came first on its own connection');
     sender.close();
   });
 
-  test('a surplus answer in the place of the next one: who rejects its head has thrown the conn away', () =>
+  test('cut on the head of a surplus response closes the connection', () =>
     withEngine(
-      (socket, _order, count) => {
-        if (count === 2) socket.write(answer('surplus', 'x-id: 1\r\n') + answer('right', 'x-id: 2\r\n'));
-        else socket.write(answer('right', `x-id: ${count}\r\n`));
+      (socket, _request, count) => {
+        if (count === 2) socket.write(response('surplus', 'x-id: 1\r\n') + response('right', 'x-id: 2\r\n'));
+        else socket.write(response('right', `x-id: ${count}\r\n`));
       },
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         await sendRaw(sender, engine.address);
         const seen = await new Promise<string>((resolve, reject) => {
           const handle: SendHandle = sender.send(
@@ -559,11 +564,11 @@
                 resolve(headers['x-id'] ?? '');
               },
               part: () => {
-                reject(new Error('a part of another answer'));
+                reject(new Error('body of another response'));
                 return undefined;
               },
-              end: () => reject(new Error('an end of another answer')),
-              failed: () => reject(new Error('failed after the cut')),
+              end: () => reject(new Error('end of another response')),
+              failed: () => reject(new Error('failed after cut')),
             },
           );
         });
@@ -574,12 +579,12 @@
       },
     ));
 
-  test('a sound answer that nobody wants runs out, and its conn is used again', () =>
+  test('leave reads a discarded response to its end and reuses the connection', () =>
     withEngine(
-      (socket, _order, count) =>
-        socket.write(count === 1 ? answer('no room').replace('200 OK', '503 Busy') : answer('a')),
+      (socket, _request, count) =>
+        socket.write(count === 1 ? response('no room').replace('200 OK', '503 Busy') : response('a')),
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         await new Promise<void>((resolve) => {
           const handle: SendHandle = sender.send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
@@ -589,9 +594,9 @@
                 handle.leave?.();
                 resolve();
               },
-              part: () => assert.fail('a part after it was left'),
-              end: () => assert.fail('an end after it was left'),
-              failed: () => assert.fail('a failure after it was left'),
+              part: () => assert.fail('body after leave'),
+              end: () => assert.fail('end after leave'),
+              failed: () => assert.fail('failure after leave'),
             },
           );
         });
@@ -601,21 +606,21 @@
       },
     ));
 
-  test('cut after the end touches no later order on the same conn', () =>
+  test('cut after the end does not affect a later request on the same connection', () =>
     withEngine(
       (socket, { body }) => {
-        if (body !== 'wait') socket.write(answer('a'));
+        if (body !== 'wait') socket.write(response('a'));
       },
       async (engine) => {
-        const sender = kept();
+        const sender = pooledSender();
         const handle = await new Promise<SendHandle>((resolve) => {
-          const made: SendHandle = sender.send(
+          const sent: SendHandle = sender.send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
             {
               mayGo: () => true,
               head: () => undefined,
               part: () => undefined,
-              end: () => resolve(made),
+              end: () => resolve(sent),
               failed: () => undefined,
             },
           );
@@ -624,53 +629,53 @@
         await engine.until(() => engine.orders.length === 2);
         handle.cut();
         handle.leave?.();
-        engine.sockets[0]?.write(answer('still'));
+        engine.sockets[0]?.write(response('still'));
         assert.equal((await second).text, 'still');
         assert.equal(engine.conns, 1);
       },
     ));
 
-  test('the bounds: no more conns than may stand, and no more kept than is said', () =>
+  test('observes the limits of open and idle connections', () =>
     withEngine(
       (socket, { body }) => {
-        if (body !== 'wait') socket.write(answer('a'));
+        if (body !== 'wait') socket.write(response('a'));
       },
       async (engine) => {
-        const sender = kept(new HandClock(), { kept: 2, most: 4 });
-        const held = Array.from({ length: 4 }, () => sendRaw(sender, engine.address, { body: 'wait' }));
+        const sender = pooledSender(new HandClock(), { kept: 2, most: 4 });
+        const running = Array.from({ length: 4 }, () => sendRaw(sender, engine.address, { body: 'wait' }));
         await engine.until(() => engine.orders.length === 4);
         const over = await sendRaw(sender, engine.address);
-        assert.deepEqual([over.end, over.why], ['notRun', 'no conn is free']);
+        assert.deepEqual([over.end, over.failureText], ['notRun', 'no connection is free']);
         assert.equal(engine.conns, 4);
-        for (const socket of engine.sockets) socket.write(answer('b'));
-        for (const { end } of await Promise.all(held)) assert.equal(end, 'whole');
+        for (const socket of engine.sockets) socket.write(response('b'));
+        for (const { end } of await Promise.all(running)) assert.equal(end, 'whole');
         assert.deepEqual(sender.counts(engine.address), { conns: 2, idle: 2 });
       },
     ));
 
-  test('a place taken by a conn that is too old for an order is given to a new one', () =>
+  test('replaces a connection that was idle too long for the request when the limit is reached', () =>
     withEngine(
-      (socket) => socket.write(answer('a')),
+      (socket) => socket.write(response('a')),
       async (engine) => {
         const clock = new HandClock();
-        const sender = kept(clock, { kept: 1, most: 1 });
+        const sender = pooledSender(clock, { kept: 1, most: 1 });
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.onceIdleMicroseconds);
+        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds);
         assert.equal((await sendRaw(sender, engine.address, { runsOnce: true })).end, 'whole');
         assert.equal(engine.conns, 2);
       },
     ));
 
-  test('a conn made for an order that was cut meanwhile, or that may not go, serves the next one', () =>
+  test('keeps a connection whose request was cancelled before it was sent for the next request', () =>
     withEngine(
-      (socket) => socket.write(answer('a')),
+      (socket) => socket.write(response('a')),
       async (engine) => {
-        const sender = kept();
-        const none = (): void => assert.fail('something was said after the cut');
+        const sender = pooledSender();
+        const unexpected = (): void => assert.fail('the sink was called after cut');
         sender
           .send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
-            { mayGo: () => true, head: none, part: () => undefined, end: none, failed: none },
+            { mayGo: () => true, head: unexpected, part: () => undefined, end: unexpected, failed: unexpected },
           )
           .cut();
         while (sender.counts(engine.address).idle === 0) await turns(1);
@@ -680,22 +685,22 @@
       },
     ));
 
-  test('a conn that is not made in time: not run', async () => {
+  test('reports not run when the connection times out', async () => {
     const clock = new HandClock();
-    const sender = kept(clock);
-    // Why this address: it is set aside for documents, nobody answers there or the machine says so at once.
+    const sender = pooledSender(clock);
+    // This address is reserved for documentation: nothing responds there, or the system reports an error at once.
     const ended = sendRaw(sender, '192.0.2.1:9');
     clock.pass(KeptConnDefaults.connectMicroseconds);
     assert.equal((await ended).end, 'notRun');
     assert.equal(sender.counts('192.0.2.1:9').conns, 0);
   });
 
-  test('what could be read as two orders, or as none, is never written', () =>
+  test('never writes a request that could be parsed as two or as none', () =>
     withEngine(
-      (socket) => socket.write(answer('a')),
+      (socket) => socket.write(response('a')),
       async (engine) => {
-        const sender = kept();
-        const bad: readonly Partial<SendOrder>[] = [
+        const sender = pooledSender();
+        const invalid: readonly Partial<SendOrder>[] = [
           { path: '/a HTTP/1.1\r\nx: y' },
           { path: '/a b' },
           { path: '' },
@@ -703,8 +708,8 @@
           { headers: { 'x-a': 'b\r\nc: d' } },
           { headers: { 'x a': 'b' } },
         ];
-        for (const order of bad)
-          assert.equal((await sendRaw(sender, engine.address, order)).end, 'notRun', JSON.stringify(order));
+        for (const request of invalid)
+          assert.equal((await sendRaw(sender, engine.address, request)).end, 'notRun', JSON.stringify(request));
         assert.equal(engine.bytes, 0);
         await sendRaw(sender, engine.address, {
           headers: { 'Content-Length': '987654321', 'transfer-encoding': 'chunked', connection: 'upgrade' },
@@ -714,39 +719,39 @@
       },
     ));
 
-  test('close ends idle conns and makes none; running orders go on', () =>
+  test('close closes idle connections, opens none and lets running requests finish', () =>
     withEngine(
       (socket, { body }) => {
-        if (body !== 'wait') socket.write(answer('a'));
+        if (body !== 'wait') socket.write(response('a'));
       },
       async (engine) => {
-        const sender = kept();
-        const held = sendRaw(sender, engine.address, { body: 'wait' });
+        const sender = pooledSender();
+        const running = sendRaw(sender, engine.address, { body: 'wait' });
         await engine.until(() => engine.orders.length === 1);
         await sendRaw(sender, engine.address);
         sender.close();
         assert.deepEqual(sender.counts(engine.address), { conns: 1, idle: 0 });
         assert.equal((await sendRaw(sender, engine.address)).end, 'notRun');
-        engine.sockets[0]?.write(answer('b'));
-        assert.equal((await held).text, 'b');
+        engine.sockets[0]?.write(response('b'));
+        assert.equal((await running).text, 'b');
         assert.equal(sender.counts(engine.address).conns, 0);
       },
     ));
 });
 
-describe('the answer reader', () => {
-  const read = (reader: AnswerReader, chunks: readonly Buffer[]): readonly AnswerEvent[] => {
-    const events: AnswerEvent[] = [];
+describe('the response parser', () => {
+  const read = (reader: ResponseParser, chunks: readonly Buffer[]): readonly ResponseEvent[] => {
+    const events: ResponseEvent[] = [];
     for (const chunk of chunks) {
       reader.push(chunk);
       for (let event = reader.next(); event !== undefined; event = reader.next()) events.push(event);
     }
     return events;
   };
-  const bodyOf = (events: readonly AnswerEvent[]): string =>
+  const bodyOf = (events: readonly ResponseEvent[]): string =>
     events.map((event) => (event.kind === 'part' ? Buffer.from(event.bytes).toString('latin1') : '')).join('');
 
-  test('reads the same however the bytes are cut, and leaves what is not its own', () => {
+  test('parses the same response however its bytes are split and leaves surplus bytes', () => {
     fc.assert(
       fc.property(
         fc.array(fc.uint8Array({ minLength: 1, maxLength: 300 }), { maxLength: 8 }),
@@ -755,7 +760,7 @@
         fc.uint8Array({ maxLength: 20 }),
         (parts, chunked, cuts, surplus) => {
           const body = Buffer.concat(parts);
-          const wire = chunked
+          const encoded = chunked
             ? Buffer.concat([
                 Buffer.from('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'),
                 ...parts.flatMap((part) => [
@@ -766,10 +771,10 @@
                 Buffer.from('0\r\nx: y\r\n\r\n'),
               ])
             : Buffer.concat([Buffer.from(`HTTP/1.1 200 OK\r\ncontent-length: ${body.length}\r\n\r\n`), body]);
-          const all = Buffer.concat([wire, surplus]);
-          const places = [...new Set([0, ...cuts.map((cut) => cut % all.length), all.length])].sort((a, b) => a - b);
-          const chunks = places.slice(1).map((end, index) => all.subarray(places[index], end));
-          const reader = new AnswerReader('POST', 16_384);
+          const all = Buffer.concat([encoded, surplus]);
+          const splits = [...new Set([0, ...cuts.map((cut) => cut % all.length), all.length])].sort((a, b) => a - b);
+          const chunks = splits.slice(1).map((end, index) => all.subarray(splits[index], end));
+          const reader = new ResponseParser('POST', 16_384);
           const events = read(reader, chunks);
           assert.equal(bodyOf(events), body.toString('latin1'));
           assert.deepEqual(
@@ -783,10 +788,10 @@
     );
   });
 
-  test('never throws and never says whole for bytes that are no answer', () => {
+  test('never throws and never completes a response on random bytes', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
-        const reader = new AnswerReader('POST', 128);
+        const reader = new ResponseParser('POST', 128);
         const events = read(reader, [Buffer.from(bytes)]);
         const closed = reader.close();
         assert.ok(![...events, closed].some((event) => event?.kind === 'end'));
@@ -795,7 +800,7 @@
     );
   });
 
-  test('what could be read in two ways is broken', () => {
+  test('rejects ambiguous heads', () => {
     for (const head of [
       'HTTP/1.1 200 OK\r\ncontent-length: 1\r\ntransfer-encoding: chunked',
       'HTTP/1.1 200 OK\r\ntransfer-encoding: gzip, chunked',
@@ -808,19 +813,19 @@
       'HTTP/1.1  200 OK',
     ])
       assert.equal(
-        read(new AnswerReader('GET', 16_384), [Buffer.from(`${head}\r\n\r\n`)]).at(-1)?.kind,
+        read(new ResponseParser('GET', 16_384), [Buffer.from(`${head}\r\n\r\n`)]).at(-1)?.kind,
         'broken',
         head,
       );
   });
 
-  test('204, 304 and the answer to HEAD have no body, whatever they say', () => {
+  test('204, 304 and responses to HEAD have no body, whatever their length header says', () => {
     for (const [method, head] of [
       ['GET', 'HTTP/1.1 204 No'],
       ['GET', 'HTTP/1.1 304 No\r\ncontent-length: 10'],
       ['HEAD', 'HTTP/1.1 200 OK\r\ncontent-length: 10'],
     ] as const) {
-      const events = read(new AnswerReader(method, 16_384), [Buffer.from(`${head}\r\n\r\n`)]);
+      const events = read(new ResponseParser(method, 16_384), [Buffer.from(`${head}\r\n\r\n`)]);
       assert.deepEqual(
         events.map(({ kind }) => kind),
         ['head', 'end'],
@@ -829,7 +834,7 @@
   });
 });
 
-test('a hint has a margin, or half of itself where it is no longer than that', () => {
+test('the usable time is the stated timeout less the margin, or half of it if it does not exceed the margin', () => {
   const usable = (hint: number | undefined): number => KeepAlive.usableMicroseconds(hint, 1_000_000, 15_000_000);
   assert.deepEqual(
     [5_000_000, 1_000_000, 0, 60_000_000, undefined].map(usable),
@@ -837,7 +842,7 @@
   );
 });
 
-test('the conns of an engine are shared out over the daemons, and all together keep to them', () => {
+test('the connection limit of an engine is divided between the daemons and observed in total', () => {
   const engine = { kind: 'engine', service: 's', address: '10.0.0.1:1', zone: 'z', state: 'ready' } as const;
   const pool = { kind: 'pool', shape: { conns: 210 } };
   const shares = (daemons: number): ConnShares =>
@@ -847,8 +852,8 @@
       () => daemons,
     );
   for (const daemons of [1, 9, 40]) {
-    const { kept: few, most } = shares(daemons).of('10.0.0.1:1');
-    assert.ok(few >= 2 && few <= most && (most * daemons <= 210 || most === 2));
+    const { kept: idle, most } = shares(daemons).of('10.0.0.1:1');
+    assert.ok(idle >= 2 && idle <= most && (most * daemons <= 210 || most === 2));
   }
   assert.ok(shares(9).of('10.0.0.2:1').most > 0);
 });
--- a/tests/engine-answers.test.ts
+++ b/tests/engine-answers.test.ts
@@ -6,8 +6,8 @@
 const without = (name: keyof typeof sealed): Readonly<Record<string, string>> =>
   Object.fromEntries(Object.entries(sealed).filter(([other]) => other !== name));
 
-describe('a success reaches the caller only with the seal of its engine and the id of its request', () => {
-  test('with both it is passed on', async () => {
+describe('a successful response is forwarded only with the seal of its engine and the id of its request', () => {
+  test('forwards a response with both', async () => {
     const stage = new SendStage();
     stage.head(200, sealed);
     stage.part('id: 1\ndata: x\n\n');
@@ -18,7 +18,7 @@
   });
 
   for (const missing of ['postdrum-server-seal', 'postdrum-request-id'] as const)
-    test(`without ${missing} it is no answer: 502, its connection is not used again`, async () => {
+    test(`answers 502 and closes the connection without ${missing}`, async () => {
       const stage = new SendStage();
       stage.head(200, without(missing));
       stage.part('id: 1\ndata: x\n\n');
@@ -31,7 +31,7 @@
       );
     });
 
-  test('a failure without a seal is passed on as it came', async () => {
+  test('forwards an error response without a seal unchanged', async () => {
     const stage = new SendStage();
     stage.head(500, { 'postdrum-request-id': 'r1' });
     stage.part('x');
@@ -41,30 +41,30 @@
   });
 });
 
-describe('each send names a deadline, never later than what its caller and its route allow', () => {
-  const deadlineOf = (order: ConstructorParameters<typeof SendStage>[0]): string | undefined =>
-    new SendStage(order).sent?.headers['postdrum-deadline-ms'];
+describe('each request to an engine carries a deadline within the limits of its client and its route', () => {
+  const deadlineOf = (settings: ConstructorParameters<typeof SendStage>[0]): string | undefined =>
+    new SendStage(settings).sent?.headers['postdrum-deadline-ms'];
 
-  test("the caller's, or the route's where that is sooner", () => {
+  test("uses the client's limit, or the route's if that is shorter", () => {
     assert.equal(deadlineOf({ limitMicroseconds: 3_000_000, mapping: { limitMicroseconds: 6_000_000 } }), '3000');
     assert.equal(deadlineOf({ limitMicroseconds: 6_000_000, mapping: { limitMicroseconds: 3_000_000 } }), '3000');
     assert.equal(deadlineOf({ limitMicroseconds: 3_000_000 }), '3000');
   });
 
-  test("the route's where the caller names none", () => {
+  test("uses the route's limit if the client sets none", () => {
     assert.equal(deadlineOf({ mapping: { limitMicroseconds: 6_000_000 } }), '6000');
   });
 
-  test('none where nobody names one', () => {
+  test('sets no deadline if neither sets a limit', () => {
     assert.equal(deadlineOf({}), undefined);
     assert.equal(deadlineOf({ mapping: { limitMicroseconds: 0 } }), undefined);
   });
 });
 
-describe('an answer without a length ends with its connection', () => {
+describe('a response without a length ends with its connection', () => {
   const event = (number: number): string => `id: ${number}\ndata: x\n\n`;
 
-  test('a connection that closes ends it well', async () => {
+  test('is complete when the connection closes', async () => {
     const stage = new SendStage();
     stage.head(200, sealed, false);
     stage.part(event(1));
@@ -75,7 +75,7 @@
     assert.equal(stage.caller.text, event(1) + event(2));
   });
 
-  test('one that is reset does not: the caller sees that it broke off', async () => {
+  test('is incomplete when the connection is reset', async () => {
     const stage = new SendStage();
     stage.head(200, sealed, false);
     stage.part(event(1));
@@ -84,7 +84,7 @@
     assert.equal(stage.caller.ended, false);
   });
 
-  test('one that closes in the middle of an event does not either', async () => {
+  test('is incomplete when the connection closes in the middle of an event', async () => {
     const stage = new SendStage();
     stage.head(200, sealed, false);
     stage.part(event(1));
@@ -95,7 +95,7 @@
     assert.equal(stage.caller.text, event(1));
   });
 
-  test('one that closes before anything came does not either', async () => {
+  test('is incomplete when the connection closes before the first event', async () => {
     const stage = new SendStage();
     stage.head(200, sealed, false);
     await stage.end();
@@ -104,9 +104,9 @@
   });
 });
 
-describe('a caller that leaves', () => {
+describe('a client that disconnects', () => {
   for (const begun of [false, true])
-    test(`its engine's work is ended at once, ${begun ? 'in the middle of the answer' : 'before the answer'}`, async () => {
+    test(`cancels the request to the engine at once, ${begun ? 'in the middle of the response' : 'before the response'}`, async () => {
       const stage = new SendStage({ mapping: { resumable: true } });
       if (begun) {
         stage.head(200, sealed);
@@ -114,8 +114,8 @@
       }
       assert.equal(stage.cuts, 0);
       stage.caller.leave();
-      assert.equal(stage.cuts, 1, 'without waiting for anything');
+      assert.equal(stage.cuts, 1, 'cancelled without waiting');
       await stage.settle();
-      assert.equal(stage.step?.kind, 'refuse', 'and it goes to no other engine');
+      assert.equal(stage.step?.kind, 'refuse', 'not sent to another engine');
     });
 });
--- a/tests/free-ports.test.ts
+++ b/tests/free-ports.test.ts
@@ -5,19 +5,19 @@
 import { Ports } from '../source/fleet-runner/machines/child';
 
 const rangeFile = '/proc/sys/net/ipv4/ip_local_port_range';
-/** The first port that a machine gives to conns by itself. */
-const firstHandedOut = (): number =>
+/** The first ephemeral port of the machine. */
+const firstEphemeralPort = (): number =>
   existsSync(rangeFile) ? Number(readFileSync(rangeFile, 'utf8').trim().split(/\s+/)[0]) : 32_768;
 
-test('ports for processes are none that the machine may give to any conn before they listen', async () => {
+test('ports for processes are outside the range of ephemeral ports', async () => {
   const ports = await Ports.free('127.0.0.1', 60);
   assert.equal(new Set(ports).size, 60);
-  for (const port of ports) assert.ok(port >= 1024 && port < firstHandedOut(), `${port}`);
+  for (const port of ports) assert.ok(port >= 1024 && port < firstEphemeralPort(), `${port}`);
   const more = await Ports.free('127.0.0.1', 60);
-  for (const port of more) assert.ok(!ports.includes(port), `${port} is given twice`);
+  for (const port of more) assert.ok(!ports.includes(port), `${port} was assigned twice`);
 });
 
-test('a port that somebody listens on is passed over', async () => {
+test('skips a port that is in use', async () => {
   const [before = 0] = await Ports.free('127.0.0.1', 1);
   const server = net.createServer().listen(before + 1, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
--- a/tests/payloads.test.ts
+++ b/tests/payloads.test.ts
@@ -5,33 +5,33 @@
 import { Payloads } from '../source/shared/effects/transport/payloads';
 import { TransportLimits, type Message } from '../source/shared/effects/transport/transport';
 
-const deflatedMark = 0xc1;
+const compressedMarker = 0xc1;
 const long: Message = { kind: 'newsBack', facts: Array.from({ length: 200 }, (_, index) => `engine/i-${index}`) };
-const ask = Payloads.read(Payloads.ofAsk({ kind: 'news' }));
+const request = Payloads.read(Payloads.ofAsk({ kind: 'news' }));
 
-describe('payloads of asks and answers', () => {
-  test('a long answer comes deflated to one that takes it so, and is read whole', () => {
-    const bytes = Payloads.ofAnswer(long, ask);
-    assert.equal(bytes[0], deflatedMark);
+describe('payloads of requests and responses', () => {
+  test('compresses a long response for a client that accepts it', () => {
+    const bytes = Payloads.ofAnswer(long, request);
+    assert.equal(bytes[0], compressedMarker);
     assert.ok(bytes.length < pack(long).length / 2);
     assert.deepEqual(Payloads.read(bytes), long);
   });
 
-  test('a daemon of an earlier build gets it as it can read it', () => {
+  test('does not compress for a daemon of an earlier build', () => {
     assert.deepEqual(Payloads.ofAnswer(long, { kind: 'news' }), pack(long));
   });
 
-  test('a short answer stays as it is', () => {
-    assert.deepEqual(Payloads.ofAnswer({ kind: 'pong' }, ask), pack({ kind: 'pong' }));
+  test('does not compress a short response', () => {
+    assert.deepEqual(Payloads.ofAnswer({ kind: 'pong' }, request), pack({ kind: 'pong' }));
   });
 
-  test('bytes that inflate beyond what a message may have are refused', () => {
+  test('rejects a payload that exceeds the size limit when decompressed', () => {
     const bomb = deflateRawSync(Buffer.alloc(TransportLimits.messageBytes + 1));
-    assert.throws(() => Payloads.read(Buffer.concat([Buffer.of(deflatedMark), bomb])));
+    assert.throws(() => Payloads.read(Buffer.concat([Buffer.of(compressedMarker), bomb])));
   });
 
-  test('bytes that are no deflated message are refused', () => {
-    assert.throws(() => Payloads.read(Buffer.of(deflatedMark, 1, 2, 3)));
-    assert.throws(() => Payloads.read(Buffer.concat([Buffer.of(deflatedMark), deflateRawSync(pack('word'))])));
+  test('rejects a compressed payload that is not a message', () => {
+    assert.throws(() => Payloads.read(Buffer.of(compressedMarker, 1, 2, 3)));
+    assert.throws(() => Payloads.read(Buffer.concat([Buffer.of(compressedMarker), deflateRawSync(pack('word'))])));
   });
 });
--- a/tests/steady-clock.test.ts
+++ b/tests/steady-clock.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import { steadyClock } from '../source/shared/effects/clock/realClock';
 
-test('the steady clock does not follow a boot clock that leaps', (context) => {
+test('the steady clock does not follow a boot clock that jumps', (context) => {
   const before = steadyClock.nowMicroseconds();
   context.mock.method(os, 'uptime', () => 1e9);
   const after = steadyClock.nowMicroseconds();
@@ -13,7 +13,7 @@
   assert.ok(Math.abs(steadyClock.steadyMicroseconds() - after) < 60_000_000);
 });
 
-test('every program of the platform goes by the steady clock', () => {
+test('every program of the platform uses the steady clock', () => {
   const folder = 'platform';
   const mains = readdirSync(folder)
     .map((name) => path.join(folder, name, 'main.ts'))
--- a/tests/support/handClock.ts
+++ b/tests/support/handClock.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../source/shared/effects/clock/clock';
 
-/** A clock that stands where the test puts it; nothing planned ever comes. */
+/** A clock whose time the test sets; its timers never fire. */
 export const handClock = (): Clock & { now: number } => {
   const clock = {
     now: 0,
--- a/tests/support/rawEngine.ts
+++ b/tests/support/rawEngine.ts
@@ -2,13 +2,13 @@
 import type { BackEndSender, SendFailure, SendHead, SendOrder } from '../../source/shared/back-end/protocol';
 import type { Clock } from '../../source/shared/effects/clock/clock';
 
-/** One order as it stood on a bare conn. */
-export type RawOrder = Readonly<{ conn: number; text: string; body: string }>;
-export type RawAct = (socket: net.Socket, order: RawOrder, count: number) => void;
+/** A request as received on a raw connection; `connection` counts from 1. */
+export type RawRequest = Readonly<{ connection: number; text: string; body: string }>;
+export type RawResponder = (socket: net.Socket, request: RawRequest, count: number) => void;
 
-/** A back end on bare sockets that does what a test says, and keeps all that was written to it. */
+/** A back end on raw sockets that responds as the test decides, and records all requests. */
 export class RawEngine {
-  public readonly orders: RawOrder[] = [];
+  public readonly orders: RawRequest[] = [];
   public readonly sockets: net.Socket[] = [];
   public conns = 0;
   public bytes = 0;
@@ -16,12 +16,12 @@
   private readonly waiting: (() => void)[] = [];
 
   private constructor(
-    private readonly act: RawAct,
-    onConn: (socket: net.Socket, count: number) => void,
+    private readonly act: RawResponder,
+    onConnection: (socket: net.Socket, count: number) => void,
   ) {
     this.server = net.createServer((socket) => {
       this.conns += 1;
-      const conn = this.conns;
+      const connection = this.conns;
       this.sockets.push(socket);
       socket.on('error', () => undefined);
       socket.on('close', () => this.changed());
@@ -35,34 +35,34 @@
           const head = bytes.toString('latin1', 0, end);
           const length = Number(/\r\ncontent-length: (\d+)/i.exec(head)?.[1] ?? 0);
           if (bytes.length < end + 4 + length) return;
-          const order = { conn, text: head, body: bytes.toString('latin1', end + 4, end + 4 + length) };
+          const request = { connection, text: head, body: bytes.toString('latin1', end + 4, end + 4 + length) };
           bytes = bytes.subarray(end + 4 + length);
-          this.orders.push(order);
-          this.act(socket, order, this.orders.length);
+          this.orders.push(request);
+          this.act(socket, request, this.orders.length);
           this.changed();
         }
       });
-      onConn(socket, conn);
+      onConnection(socket, connection);
       this.changed();
     });
   }
 
   public static async open(
-    act: RawAct,
-    onConn: (socket: net.Socket, count: number) => void = () => undefined,
+    act: RawResponder,
+    onConnection: (socket: net.Socket, count: number) => void = () => undefined,
   ): Promise<RawEngine> {
-    const made = new RawEngine(act, onConn);
-    await new Promise<void>((resolve) => made.server.listen(0, '127.0.0.1', resolve));
-    return made;
+    const engine = new RawEngine(act, onConnection);
+    await new Promise<void>((resolve) => engine.server.listen(0, '127.0.0.1', resolve));
+    return engine;
   }
 
   public get address(): string {
     return `127.0.0.1:${(this.server.address() as net.AddressInfo).port}`;
   }
 
-  /** Resolves when it is so; looked at with each conn, order and close. */
-  public async until(isSo: () => boolean): Promise<void> {
-    while (!isSo()) await new Promise<void>((resolve) => this.waiting.push(resolve));
+  /** Resolves when the condition holds; it is checked on each connection, request and close. */
+  public async until(condition: () => boolean): Promise<void> {
+    while (!condition()) await new Promise<void>((resolve) => this.waiting.push(resolve));
   }
 
   public close(): Promise<void> {
@@ -75,32 +75,39 @@
   }
 }
 
-export type RawEnded = Readonly<{
+export type RawOutcome = Readonly<{
   head?: SendHead;
   text: string;
   end: 'whole' | SendFailure['kind'];
-  why: string;
+  failureText: string;
   forgotten: boolean;
 }>;
 
-/** Sends one order and waits for what becomes of it. More than one end is a failure of the test. */
+/** Sends one request and returns its outcome. More than one outcome fails the test. */
 export const sendRaw = (
   sender: BackEndSender,
   address: string,
-  order: Partial<SendOrder> = {},
+  overrides: Partial<SendOrder> = {},
   mayGo: () => boolean = () => true,
-): Promise<RawEnded> =>
+): Promise<RawOutcome> =>
   new Promise((resolve, reject) => {
     let head: SendHead | undefined;
     let text = '';
     let ends = 0;
-    const ended = (end: RawEnded['end'], why: string, forgotten = false): void => {
+    const ended = (end: RawOutcome['end'], why: string, forgotten = false): void => {
       ends += 1;
       if (ends > 1) reject(new Error('ended twice'));
-      resolve({ head, text, end, why, forgotten });
+      resolve({ head, text, end, failureText: why, forgotten });
     };
     sender.send(
-      { address, method: 'POST', path: '/x', headers: { 'content-type': 'application/json' }, body: '{}', ...order },
+      {
+        address,
+        method: 'POST',
+        path: '/x',
+        headers: { 'content-type': 'application/json' },
+        body: '{}',
+        ...overrides,
+      },
       {
         mayGo,
         head: (given) => {
@@ -117,7 +124,7 @@
     );
   });
 
-/** Time that goes on only when a test says so. */
+/** A clock that advances only when the test calls `pass`. */
 export class HandClock implements Clock {
   private now = 1_000_000;
   private timers: Readonly<{ at: number; act: () => void }>[] = [];
@@ -133,7 +140,7 @@
     };
   };
 
-  /** `late`: timers do not go off, as in a process that was frozen. */
+  /** `late`: timers do not fire, as in a process that was frozen. */
   public pass(microseconds: number, late = false): void {
     this.now += microseconds;
     if (late) return;
--- a/tests/transport-patience.test.ts
+++ b/tests/transport-patience.test.ts
@@ -1,11 +1,9 @@
 /**
- * What users saw: a loaded agent seemed to fall silent again and again to the proxies that it feeds, though it lived; they were fed late.
+ * Guards against requests with a short limit closing a connection that they share with requests of a longer limit.
  *
- * What happened: asks of different patience share a connection. A proxy asks the agent that holds the work queue for a place, and
- * waits 60 ms; the same agent feeds it news, with half a second. Where the short ask was not answered in time, and nothing else had come
- * since, the connection was taken for dead and closed, and the answers to all other asks on it were lost.
- *
- * Evidence: on a busy day proxies named one live agent as silent after 7 to 256 ms, while the limit of that ask is 500 ms; it held the work queue.
+ * A proxy asks the agent that holds the work queue for a slot with a limit of 60 ms, and polls the same agent for gossip with 500 ms. A
+ * short request that timed out, and since which nothing had been received, closed the connection, and the responses to all other
+ * requests on it were lost. Under load proxies then reported a live agent as silent after 7 to 256 ms, and received its gossip late.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -17,48 +15,48 @@
 
 const withListener = async (
   handler: (message: Message) => Promise<Message>,
-  play: (transport: TcpTransport, address: string) => Promise<void>,
+  run: (transport: TcpTransport, address: string) => Promise<void>,
 ): Promise<void> => {
   const transport = new TcpTransport(realClock);
   const listener = await transport.listen('127.0.0.1:0', handler);
   try {
-    await play(transport, listener.address);
+    await run(transport, listener.address);
   } finally {
     await transport.close();
   }
 };
 
-describe('asks of different patience on one connection', () => {
-  test('a short ask that is given up leaves the answers to longer ones alone', async () => {
+describe('requests with different limits on one connection', () => {
+  test('a short request that times out does not discard the responses to longer ones', async () => {
     const handler = async ({ kind }: Message): Promise<Message> => {
       await wait(kind === 'news' ? 200 : 300);
       return { kind: 'heard' };
     };
     await withListener(handler, async (transport, address) => {
-      const news = transport.ask(address, { kind: 'news' }, 1_000_000);
-      const place = transport.ask(address, { kind: 'reserve' }, 40_000);
-      assert.equal((await place).kind, 'silent');
-      assert.equal((await news).kind, 'answered');
+      const gossip = transport.ask(address, { kind: 'news' }, 1_000_000);
+      const slot = transport.ask(address, { kind: 'reserve' }, 40_000);
+      assert.equal((await slot).kind, 'silent');
+      assert.equal((await gossip).kind, 'answered');
     });
   });
 
-  test('a connection on which nothing comes for long is given up, though each ask on it is short', async () => {
-    let connections = 0;
-    const seen = new Set<string>();
+  test('closes a connection on which nothing is received for long, although each request on it is short', async () => {
+    let closedConnections = 0;
+    const receivedKinds = new Set<string>();
     const handler = ({ kind }: Message): Promise<Message> => {
-      seen.add(kind);
+      receivedKinds.add(kind);
       return new Promise<Message>(() => undefined);
     };
     await withListener(handler, async (transport, address) => {
       const held = transport.ask(address, { kind: 'held' }, 5_000_000).then((answer) => {
-        connections += 1;
+        closedConnections += 1;
         return answer;
       });
-      for (let asks = 0; asks < 16 && connections === 0; asks += 1)
+      for (let requests = 0; requests < 16 && closedConnections === 0; requests += 1)
         await transport.ask(address, { kind: 'reserve' }, 40_000);
-      assert.equal(connections, 1, 'the held ask ended with its connection');
+      assert.equal(closedConnections, 1, 'the held request ended with its connection');
       assert.equal((await held).kind, 'silent');
-      assert.ok(seen.has('reserve'));
+      assert.ok(receivedKinds.has('reserve'));
     });
   });
 });
