--- a/source/shared/back-end/httpBackEnds.ts
+++ b/source/shared/back-end/httpBackEnds.ts
@@ -196,7 +196,7 @@
         // The connection is reset so that the machine of a frozen back end discards the bytes that it has not read yet,
         // and the request never runs.
         socket?.resetAndDestroy();
-        controller?.abort(new Error('request cancelled'));
+        controller?.abort(new Error('cut'));
         close();
       },
     };
--- a/source/shared/back-end/keptConns/answerReader.ts
+++ b/source/shared/back-end/keptConns/answerReader.ts
@@ -67,7 +67,7 @@
  * clock. Bytes are pushed in and events are pulled out one by one, so that a slow consumer can leave the rest buffered.
  */
 export class ResponseParser {
-  private state: ParserState = { kind: 'head' };
+  private parserState: ParserState = { kind: 'head' };
   private bytes: Buffer = Buffer.alloc(0);
   private interimHeads = 0;
   private keepMicroseconds: number | undefined;
@@ -88,9 +88,9 @@
 
   /** Handles the end of the connection. Must be called only when `next` returns undefined. */
   public close(): ResponseEvent | undefined {
-    if (this.state.kind === 'over') return undefined;
-    const isComplete = this.state.kind === 'untilClose';
-    this.state = { kind: 'over' };
+    if (this.parserState.kind === 'over') return undefined;
+    const isComplete = this.parserState.kind === 'untilClose';
+    this.parserState = { kind: 'over' };
     return isComplete
       ? { kind: 'end', keepMicroseconds: 0 }
       : { kind: 'broken', text: 'the connection closed before the response was complete' };
@@ -98,40 +98,40 @@
 
   public next(): ResponseEvent | undefined {
     for (;;) {
-      const { state } = this;
-      switch (state.kind) {
+      const { parserState } = this;
+      switch (parserState.kind) {
         case 'over':
           return undefined;
         case 'ended':
-          this.state = { kind: 'over' };
+          this.parserState = { kind: 'over' };
           return { kind: 'end', keepMicroseconds: this.keepMicroseconds };
         case 'untilClose':
           return this.takeBodyBytes(this.bytes.length);
         case 'counted': {
-          const event = this.takeBodyBytes(state.left);
+          const event = this.takeBodyBytes(parserState.left);
           if (event !== undefined) {
-            const left = state.left - event.bytes.length;
-            this.state = left === 0 ? { kind: 'ended' } : { kind: 'counted', left };
+            const left = parserState.left - event.bytes.length;
+            this.parserState = left === 0 ? { kind: 'ended' } : { kind: 'counted', left };
           }
           return event;
         }
         case 'chunk': {
-          const event = this.takeBodyBytes(state.left);
+          const event = this.takeBodyBytes(parserState.left);
           if (event !== undefined) {
-            const left = state.left - event.bytes.length;
-            this.state = left === 0 ? { kind: 'chunkEnd' } : { kind: 'chunk', left };
+            const left = parserState.left - event.bytes.length;
+            this.parserState = left === 0 ? { kind: 'chunkEnd' } : { kind: 'chunk', left };
           }
           return event;
         }
         case 'head': {
           const event = this.head();
-          if (event !== undefined || this.state === state) return event;
+          if (event !== undefined || this.parserState === parserState) return event;
           break;
         }
         case 'chunkSize': {
           const plain = this.takePlainChunkSize();
           if (plain !== undefined) {
-            this.state = plain === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: plain };
+            this.parserState = plain === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: plain };
             break;
           }
           const line = this.takeLine(maxChunkLineBytes);
@@ -139,23 +139,23 @@
           const found = line.kind === 'line' ? chunkLine.exec(line.text) : null;
           if (found === null) return this.fail('invalid chunk size');
           const size = Number.parseInt(found[1] ?? '', 16);
-          this.state = size === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: size };
+          this.parserState = size === 0 ? { kind: 'trailers', bytes: 0 } : { kind: 'chunk', left: size };
           break;
         }
         case 'chunkEnd': {
           if (this.bytes.length < 2) return undefined;
           if (this.bytes[0] !== 13 || this.bytes[1] !== 10) return this.fail('chunk is longer than its size');
           this.bytes = this.bytes.subarray(2);
-          this.state = { kind: 'chunkSize' };
+          this.parserState = { kind: 'chunkSize' };
           break;
         }
         case 'trailers': {
-          const line = this.takeLine(this.headBytes - state.bytes);
+          const line = this.takeLine(this.headBytes - parserState.bytes);
           if (line.kind === 'more') return undefined;
           if (line.kind === 'tooLong') return this.fail('trailers exceed the size limit');
-          if (line.text === '') this.state = { kind: 'ended' };
+          if (line.text === '') this.parserState = { kind: 'ended' };
           else if (!headerLine.test(line.text)) return this.fail('invalid trailer line');
-          else this.state = { kind: 'trailers', bytes: state.bytes + line.text.length + 2 };
+          else this.parserState = { kind: 'trailers', bytes: parserState.bytes + line.text.length + 2 };
           break;
         }
       }
@@ -201,7 +201,7 @@
   }
 
   private fail(text: string): ResponseEvent {
-    this.state = { kind: 'over' };
+    this.parserState = { kind: 'over' };
     return { kind: 'broken', text };
   }
 
@@ -223,7 +223,7 @@
       // The request asked for neither 100 Continue nor a protocol switch, so the bytes that follow cannot be trusted.
       if (status === 100 || status === 101 || this.interimHeads > maxInterimHeads)
         return this.fail(`unexpected interim response ${status}`);
-      this.state = { kind: 'head' };
+      this.parserState = { kind: 'head' };
       return undefined;
     }
     const length = headers['content-length'];
@@ -235,9 +235,9 @@
     const empty = this.method === 'HEAD' || status === 204 || status === 304;
     const framed = empty || contentLength !== undefined || coding !== undefined;
     this.keepMicroseconds = framed ? KeepAlive.microseconds(version, headers) : 0;
-    if (empty || contentLength === 0) this.state = { kind: 'ended' };
-    else if (contentLength !== undefined) this.state = { kind: 'counted', left: contentLength };
-    else this.state = { kind: coding === undefined ? 'untilClose' : 'chunkSize' };
+    if (empty || contentLength === 0) this.parserState = { kind: 'ended' };
+    else if (contentLength !== undefined) this.parserState = { kind: 'counted', left: contentLength };
+    else this.parserState = { kind: coding === undefined ? 'untilClose' : 'chunkSize' };
     return { kind: 'head', head: { status, headers, framed } };
   }
 }
--- a/source/shared/back-end/keptConns/keptConn.ts
+++ b/source/shared/back-end/keptConns/keptConn.ts
@@ -164,7 +164,7 @@
     // The connection is reset so that the machine of a frozen back end discards the bytes that it has not read yet, and
     // the request never runs.
     this.socket.resetAndDestroy();
-    this.destroy('request cancelled');
+    this.destroy('cut');
   }
 
   private leave(run: RunningRequest): void {
--- a/source/shared/back-end/keptConns/keptConnSender.ts
+++ b/source/shared/back-end/keptConns/keptConnSender.ts
@@ -164,7 +164,7 @@
       },
       (end) => {
         if (end.kind === 'free') return this.keep(connection, end.keepMicroseconds);
-        this.remove(connection);
+        this.removeConnection(connection);
         if (end.droppedAfterMicroseconds !== undefined)
           this.lowerIdleLimit(connection.address, end.droppedAfterMicroseconds);
         // This is `notRun` because the connection never opened.
@@ -189,7 +189,7 @@
     return `${conns} open, ${idle} idle`;
   }
 
-  private remove(connection: PooledConnection): void {
+  private removeConnection(connection: PooledConnection): void {
     this.log(
       `Closed a connection to ${connection.address} (${connection.closeReason}); ${this.describe(connection.address)}.`,
     );
--- a/source/shared/effects/transport/payloads.ts
+++ b/source/shared/effects/transport/payloads.ts
@@ -15,7 +15,7 @@
 const encode = (message: Message): Buffer => pack(message);
 
 /** Throws on anything that is not a message or exceeds the size limit. */
-const decode = (bytes: Buffer): Message => {
+const read = (bytes: Buffer): Message => {
   const packed =
     bytes[0] === compressedMarker
       ? inflateRawSync(bytes.subarray(1), { maxOutputLength: TransportLimits.messageBytes })
@@ -38,5 +38,5 @@
     return Buffer.concat([Buffer.of(compressedMarker), deflateRawSync(packed, { level: compressionLevel })]);
   },
 
-  read: decode,
+  read,
 } as const;
--- a/source/shared/http/httpServer.ts
+++ b/source/shared/http/httpServer.ts
@@ -133,11 +133,11 @@
     socket.once('close', () => this.conns.delete(socket));
   }
 
-  private onRequest(request: IncomingMessage, response: ServerResponse): void {
+  private onRequest(order: IncomingMessage, response: ServerResponse): void {
     this.applyLimits();
-    const connection = this.conns.get(request.socket);
+    const connection = this.conns.get(order.socket);
     if (connection === undefined) return;
-    const exchange = { order: request, response };
+    const exchange = { order, response };
     connection.exchanges.add(exchange);
     if (this.draining) HttpServer.closeAfterLastResponse(connection);
     // Pipelining is limited because responses are sent in the order of the requests, and those that wait behind a long one
@@ -145,7 +145,7 @@
     if (connection.exchanges.size > maxPipelinedRequests) response.shouldKeepAlive = false;
     response.once('close', () => {
       connection.exchanges.delete(exchange);
-      if (connection.isUnreadable && connection.exchanges.size === 0) request.socket.destroySoon();
+      if (connection.isUnreadable && connection.exchanges.size === 0) order.socket.destroySoon();
       // During a stop, the connection of a response that was running when the stop began becomes idle only now.
       if (!this.server.listening) setImmediate(() => this.server.closeIdleConnections());
     });
--- a/tests/support/rawEngine.ts
+++ b/tests/support/rawEngine.ts
@@ -94,10 +94,10 @@
     let head: SendHead | undefined;
     let text = '';
     let ends = 0;
-    const ended = (end: RawOutcome['end'], why: string, forgotten = false): void => {
+    const ended = (end: RawOutcome['end'], failureText: string, forgotten = false): void => {
       ends += 1;
       if (ends > 1) reject(new Error('ended twice'));
-      resolve({ head, text, end, failureText: why, forgotten });
+      resolve({ head, text, end, failureText, forgotten });
     };
     sender.send(
       {
@@ -119,7 +119,7 @@
           return undefined;
         },
         end: () => ended('whole', ''),
-        failed: ({ kind, text: why, forgotten }) => ended(kind, why, forgotten === true),
+        failed: ({ kind, text: failureText, forgotten }) => ended(kind, failureText, forgotten === true),
       },
     );
   });
