--- a/source/shared/back-end/keptConns/keptConn.ts
+++ b/source/shared/back-end/keptConns/keptConn.ts
@@ -95,7 +95,7 @@
     return this.over;
   }
 
-  /** Writes a request. The caller has already checked `mayGo`. The handle is valid for this request only. */
+  /** Writes a request. The caller has already checked `maySend`. The handle is valid for this request only. */
   public write(request: SendOrder, bytes: Buffer, sink: SendSink): SendHandle {
     this.cancelTimer();
     const run: RunningRequest = {
--- a/source/shared/back-end/keptConns/keptConnSender.ts
+++ b/source/shared/back-end/keptConns/keptConnSender.ts
@@ -19,7 +19,7 @@
     maxStatedIdleForOnceMicroseconds: number;
   }>;
 
-/** Limits of the connections to one address: `kept` idle ones, `most` in total. */
+/** How many connections to one address may be idle, and how many may be open in total. */
 export type ConnBound = Readonly<{ kept: number; most: number }>;
 
 export const KeptConnDefaults: ConnectionPoolSettings = {
--- a/source/shared/back-end/protocol.ts
+++ b/source/shared/back-end/protocol.ts
@@ -198,7 +198,7 @@
  * limit. `later`: the back end responds, but has no capacity for the call.
  */
 export interface BackEndDoor {
-  /** Missing: `DoorTraits.usual`. */
+  /** Missing: `ControlTraits.usual`. */
   readonly traits?: DoorTraits;
   readonly status: (
     address: string,
@@ -233,7 +233,7 @@
 /** Head of a response. `framed`: the response has a content length or is chunked, so that its end can be detected. */
 export type SendHead = Readonly<{ status: number; headers: Readonly<Record<string, string>>; framed: boolean }>;
 
-/** Why a request got no complete response, and whether it may have run. */
+/** Failure of a request without a complete response; `kind` tells whether the request may have run. */
 export type SendFailure = Readonly<{
   kind: 'notRun' | 'mayHaveRun';
   text: string;
--- a/source/shared/back-end/words.ts
+++ b/source/shared/back-end/words.ts
@@ -29,7 +29,7 @@
   after: string | undefined;
 }>;
 
-/** Why a back end did not run a request, as the back end states it. */
+/** Reason that a back end states for not running a request. */
 export type NotRunReason = 'busy' | 'otherInstance' | 'otherWeights';
 
 /** Content of a response head, independent of the protocol. */
--- a/source/shared/http/httpServer.ts
+++ b/source/shared/http/httpServer.ts
@@ -137,7 +137,7 @@
     this.applyLimits();
     const connection = this.conns.get(order.socket);
     if (connection === undefined) return;
-    const exchange = { order, response };
+    const exchange: Exchange = { order, response };
     connection.exchanges.add(exchange);
     if (this.draining) HttpServer.closeAfterLastResponse(connection);
     // Pipelining is limited because responses are sent in the order of the requests, and those that wait behind a long one
--- a/tests/doors-sender.test.ts
+++ b/tests/doors-sender.test.ts
@@ -7,7 +7,7 @@
 import { ConnShares } from '../source/shared/back-end/keptConns/connShares';
 import { IdleLimitDefaults, IdleLimits } from '../source/shared/back-end/keptConns/idleLimits';
 import { KeepAlive } from '../source/shared/back-end/keptConns/keepAlive';
-import { KeptConnDefaults, KeptConnSender } from '../source/shared/back-end/keptConns/keptConnSender';
+import { KeptConnDefaults, KeptConnSender, type ConnBound } from '../source/shared/back-end/keptConns/keptConnSender';
 import type { BackEndSender, SendHandle, SendOrder } from '../source/shared/back-end/protocol';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { HandClock, RawEngine, sendRaw, type RawResponder } from './support/rawEngine';
@@ -18,7 +18,7 @@
   for (let turn = 0; turn < count; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-const pooledSender = (clock = new HandClock(), bound = { kept: 16, most: 64 }): KeptConnSender =>
+const pooledSender = (clock = new HandClock(), bound: ConnBound = { kept: 16, most: 64 }): KeptConnSender =>
   new KeptConnSender(clock, KeptConnDefaults, () => bound);
 
 const withEngine = async (
