--- a/source/core-keeper/program/keeperProgram.ts
+++ b/source/core-keeper/program/keeperProgram.ts
@@ -7,7 +7,7 @@
 import { OperatorsDoor, type DoorSettings } from '../operators/operatorsDoor';
 import type { OperatorsWords } from '../operators/operatorsWords';
 
-/** What differs between the manners in which a keeper is run. */
+/** What the variants of the control node's program provide. */
 export type KeeperParts = Readonly<{
   effects: Effects;
   disk: Disk;
@@ -15,10 +15,11 @@
   dialect: Dialect;
   words: OperatorsWords;
   door: DoorSettings;
-  /** Called when the disk can no longer be trusted; the process must end. */
+  /** Called when the disk can no longer be trusted; the process must then exit. */
   broken: (sentence: string) => void;
 }>;
 
+/** A running control node with its operator API. */
 export type KeeperProgram = Readonly<{
   keeper: CoreKeeper;
   door: HttpDoor;
@@ -26,10 +27,10 @@
   stop: () => Promise<void>;
 }>;
 
-/** A whole core keeper: its register, its listener and its operators' door. Composed here and nowhere else. */
-export const startKeeper = async (parts: KeeperParts): Promise<KeeperProgram> => {
-  const { effects, settings } = parts;
-  const keeper = new CoreKeeper(effects, parts.disk, settings, parts.dialect);
+/** Starts a complete control node: the replica, the listener for other processes and the operator API. */
+export const startKeeper = async (options: KeeperParts): Promise<KeeperProgram> => {
+  const { effects, settings } = options;
+  const keeper = new CoreKeeper(effects, options.disk, settings, options.dialect);
   const { metrics } = keeper;
   metrics.watch(() => [
     ['postdrum_keeper_votes', {}, keeper.core.votes() ? 1 : 0],
@@ -49,7 +50,7 @@
       ]),
     ];
   });
-  keeper.news.on('broken', parts.broken);
+  keeper.news.on('broken', options.broken);
   const started = await keeper.start();
   if (started.kind === 'corrupt')
     throw new Error(
@@ -59,13 +60,13 @@
     throw new Error(
       `record ${started.record} of the file in the data folder is not of a form that this build knows; it was written by a later one. Start that build, or empty the folder, and this keeper catches up from the others.`,
     );
-  const door = await OperatorsDoor.open(keeper, parts.words, parts.door, effects.clock, metrics);
+  const door = await OperatorsDoor.open(keeper, options.words, options.door, effects.clock, metrics);
   return {
     keeper,
     door,
     address: started.address,
     stop: async () => {
-      // Why the door first: an operator's call that was read gets its outcome from a keeper that still hears the others.
+      // The operator API is drained first, so that calls already read get their outcome while this node still reaches the others.
       await door.drain();
       await keeper.leave();
       await effects.transport.close();
