--- a/source/core-keeper/operators/nativeOperatorApiFormat.ts
+++ b/source/core-keeper/operators/nativeOperatorApiFormat.ts
@@ -3,7 +3,14 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { ReadOutcome } from '../register/quorumReader';
 import type { ChangeOutcome } from '../register/messages';
-import type { ChangeCall, ChangeRoute, ApiResponse, ReportedOutcome, OperatorApiFormat, ParsedChange } from './operatorApiFormat';
+import type {
+  ChangeCall,
+  ChangeRoute,
+  ApiResponse,
+  ReportedOutcome,
+  OperatorApiFormat,
+  ParsedChange,
+} from './operatorApiFormat';
 
 const keysByPath: readonly (readonly [string, DocumentKey])[] = [
   ['/blueprint', 'blueprint'],
--- a/source/edge-agent/control-link/controlLink.ts
+++ b/source/edge-agent/control-link/controlLink.ts
@@ -144,7 +144,9 @@
     const byControlNode = new Map(
       [...all.values()].flatMap(({ report }) => (report === undefined ? [] : [[report.stamp.keeper, report] as const])),
     );
-    return MajorityReads.evaluate([...byControlNode.values()], this.fleetName.name, (key) => this.freshness.applied(key));
+    return MajorityReads.evaluate([...byControlNode.values()], this.fleetName.name, (key) =>
+      this.freshness.applied(key),
+    );
   }
 
   private readsDocument(key: DocumentKey): boolean {
--- a/source/edge-agent/leases/leaseManager.ts
+++ b/source/edge-agent/leases/leaseManager.ts
@@ -137,7 +137,12 @@
     await this.leases.release(held.map(({ name }) => `engine/${name}`));
     for (const controller of held) {
       this.handingOver.delete(controller.name);
-      this.candidacy.announce(LeaseSubjects.engine(controller.name), controller.term, '', controller.noDirectiveMicroseconds?.());
+      this.candidacy.announce(
+        LeaseSubjects.engine(controller.name),
+        controller.term,
+        '',
+        controller.noDirectiveMicroseconds?.(),
+      );
     }
   }
 
--- a/source/edge-proxy/fetch/fetchPlanner.ts
+++ b/source/edge-proxy/fetch/fetchPlanner.ts
@@ -117,7 +117,12 @@
     return gain > cost * this.settings.margin;
   }
 
-  private async plan(fill: string, placed: PlacedRequest, keys: readonly BlockKey[], lookUp: LookUp): Promise<FetchPlan> {
+  private async plan(
+    fill: string,
+    placed: PlacedRequest,
+    keys: readonly BlockKey[],
+    lookUp: LookUp,
+  ): Promise<FetchPlan> {
     const shard = this.shards.get(placed.engine);
     const head = shard?.present;
     // Why nothing at all: any doubt about whom the names belong to is a clean miss and a fresh prefill.
--- a/source/edge-proxy/placement/placementPolicies.ts
+++ b/source/edge-proxy/placement/placementPolicies.ts
@@ -6,7 +6,14 @@
 import type { Random } from '../../shared/effects/random/random';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals } from '../../shared/verdict/verdict';
-import type { RequestContext, ProxyRequest, PlacedRequest, Policy, ResolvedRequest, PolicyResult } from '../pipeline/request';
+import type {
+  RequestContext,
+  ProxyRequest,
+  PlacedRequest,
+  Policy,
+  ResolvedRequest,
+  PolicyResult,
+} from '../pipeline/request';
 import type { Candidate, EngineView } from './engineView';
 import { Probes } from '../outliers/probes';
 import type { Placement, ScoredCandidate } from './placements';
--- a/tests/member-list-deadlock.test.ts
+++ b/tests/member-list-deadlock.test.ts
@@ -26,7 +26,9 @@
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
       await fleet.world.runFor(3_000_000);
-      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['core-members']?.owner === name);
+      const leader = fleet.machines.find(
+        ({ controlNode: keeper, name }) => keeper?.keyLeaders()['core-members']?.owner === name,
+      );
       assert.ok(leader !== undefined);
       const others = fleet.machines.filter((machine) => machine !== leader);
       const [informed, uninformed] = others as [ControlMachine, ControlMachine];
--- a/tests/support/operatorHistory.ts
+++ b/tests/support/operatorHistory.ts
@@ -38,7 +38,10 @@
     accepted
       .slice(0, index)
       .filter((other) => other.base === change.base || other.version === change.version)
-      .map((other) => `${other.changeId} and ${change.changeId} were both accepted on ${change.base} or as ${change.version}`),
+      .map(
+        (other) =>
+          `${other.changeId} and ${change.changeId} were both accepted on ${change.base} or as ${change.version}`,
+      ),
   );
 
 const staleReads = (accepted: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] => {
@@ -57,7 +60,9 @@
   accepted.flatMap((later) =>
     accepted
       .filter((earlier) => earlier.endedAt < later.startedAt && earlier.version > later.version)
-      .map((earlier) => `${later.changeId} (${later.version}) was accepted after ${earlier.changeId} (${earlier.version})`),
+      .map(
+        (earlier) => `${later.changeId} (${later.version}) was accepted after ${earlier.changeId} (${earlier.version})`,
+      ),
   );
 
 const readsOfRefusedChanges = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
@@ -69,7 +74,8 @@
   reads
     .filter(
       (read) =>
-        read.version > 0 && !changes.some(({ changeId: mark, version }) => mark === read.changeId && version === read.version),
+        read.version > 0 &&
+        !changes.some(({ changeId: mark, version }) => mark === read.changeId && version === read.version),
     )
     .map(({ version, changeId: mark }) => `a read returned ${version} by ${mark}, which was never sent`);
 
