--- a/tests/demand.test.ts
+++ b/tests/demand.test.ts
@@ -429,7 +429,7 @@
     capacity: 24,
     inFlight: 0,
     zone: 'z',
-    work: { reading: waits[engine] ?? 0, tokens: 0 },
+    work: { pendingPrefillTokens: waits[engine] ?? 0, tokens: 0 },
   }));
   const found = holders.map((holder) => ({ holder, matched: 1, bootEpoch: 'b', epoch: 1 }));
   const lookUp = (): LookUp => (found.length === 0 ? { kind: 'miss', reason: 'absent' } : { kind: 'prefixHit', found });
