--- a/source/shared/directory/blockState.ts
+++ b/source/shared/directory/blockState.ts
@@ -1,4 +1,7 @@
-/** ABSENT → RESERVED → WRITING → COMMITTED → EVICTING → ABSENT, and QUARANTINED off WRITING. */
+/**
+ * Lifecycle of a cached block: absent → reserved → writing → committed → evicting → absent. An abandoned import takes a reserved block to
+ * quarantined instead of absent.
+ */
 export type BlockState =
   | Readonly<{ kind: 'absent' }>
   | Readonly<{ kind: 'reserved'; fill: string; moves: boolean; epoch: number }>
@@ -9,27 +12,27 @@
 
 export type BlockEvent =
   | Readonly<{ kind: 'reserve'; fill: string; moves: boolean; epoch: number }>
-  /** The first event of the answer to the order that carried the fill, under the same boot and weights. */
+  /** The first event of the answer to the request that carried the fill arrived, under the same boot and weights. */
   | Readonly<{ kind: 'attest'; fill: string }>
-  /** The holder's own event or list names the key. */
+  /** An event or a listing of the holder names the key. */
   | Readonly<{ kind: 'confirm' }>
   | Readonly<{ kind: 'abandon'; fill: string }>
-  /** Certain: the order that would have moved it was never written to the engine. */
+  /** The request that would have imported the block was certainly never written to the engine. */
   | Readonly<{ kind: 'notSent'; fill: string }>
   | Readonly<{ kind: 'evict' }>
   | Readonly<{ kind: 'evicted' }>
-  /** Only after the shard's epoch has risen above the block's. */
+  /** Sent only after the shard's epoch has risen above the block's. */
   | Readonly<{ kind: 'reclaimFenced'; epoch: number }>;
 
 const absent: BlockState = { kind: 'absent' };
 
 export const BlockStates = {
   absent,
-  /** Whether it takes up room: a quarantined block is never counted as free. */
+  /** Whether the block occupies space. A quarantined block counts as occupied. */
   isUsed: (state: BlockState): boolean => state.kind !== 'absent',
   isReadable: (state: BlockState): boolean => state.kind === 'committed',
 
-  /** The one function for every change of a block; what it does not name stays as it is. */
+  /** The transition function of a block. An event that does not apply to the state leaves the state unchanged. */
   step: (state: BlockState, event: BlockEvent): BlockState => {
     switch (event.kind) {
       case 'reserve':
@@ -44,7 +47,7 @@
         return state.kind === 'writing' ? { kind: 'committed', epoch: state.epoch } : state;
       case 'abandon':
         if ((state.kind !== 'reserved' && state.kind !== 'writing') || state.fill !== event.fill) return state;
-        // Why: where the engine was told to import, its region may still be written to, and nobody has said it is not.
+        // An engine that received an import request may still write to the block's memory, and nothing has confirmed the opposite.
         return state.kind === 'reserved' && state.moves
           ? { kind: 'quarantined', fill: state.fill, epoch: state.epoch }
           : absent;
--- a/source/shared/directory/derivedNames.ts
+++ b/source/shared/directory/derivedNames.ts
@@ -1,16 +1,16 @@
 import type { KvEvent, KvList } from '../back-end/protocol';
 import type { NamedKey } from './hashChain';
 
-type Kept = Readonly<{ size: number; sequence: number }>;
+type DerivedEntry = Readonly<{ size: number; sequence: number }>;
 
 export type DerivedLimits = Readonly<{
   entries: number;
-  /** Parts smaller than this are not worth telling the fleet of. */
+  /** Smaller parts are not published to the fleet. */
   leastSize: number;
 }>;
 
-/** Names of which it is remembered that they went, so that a late event does not bring them back. */
-const keptGone = 8192;
+/** Removed names that are remembered, so that a late event does not restore one of them. */
+const maxTombstones = 8192;
 
 const keyOf = (name: string, size: number): NamedKey => ({
   physical: name,
@@ -20,14 +20,14 @@
 });
 
 /**
- * What a holder keeps under names that follow from the identity. Nobody has to order a part first: the name itself says
- * whose bytes these are and what made them, and a holder finds a part only under the very same name. So its word alone
- * makes an entry, and a wrong entry costs a reading and no more.
+ * Indexes what a holder keeps under names that are derived from the identity. No fill has to be registered first: the name itself
+ * identifies the owner of the bytes and what produced them, and a holder finds a part only under exactly the same name. The holder's
+ * report is therefore enough for an entry, and a wrong entry costs one failed read.
  */
 export class DerivedNames {
-  private readonly kept = new Map<string, Kept>();
+  private readonly entriesByName = new Map<string, DerivedEntry>();
   private readonly gone = new Map<string, number>();
-  private spread: (name: string) => boolean = () => true;
+  private isPublished: (name: string) => boolean = () => true;
 
   public constructor(
     private readonly limits: DerivedLimits,
@@ -36,69 +36,69 @@
   ) {}
 
   public get size(): number {
-    return this.kept.size;
+    return this.entriesByName.size;
   }
 
   public clear(): void {
-    this.kept.clear();
+    this.entriesByName.clear();
     this.gone.clear();
   }
 
-  /** All that is kept, to a fleet that has just been told that nothing is. */
+  /** Publishes all entries again after a fence has cleared the published index. */
   public sayAgain(): void {
-    for (const [name, { size }] of this.kept) this.tell(name, size);
+    for (const [name, { size }] of this.entriesByName) this.publishOrRemove(name, size);
   }
 
-  /** Which names are of use to anybody now; the others are remembered here and told to nobody. */
-  public spreadOnly(spread: (name: string) => boolean): void {
-    this.spread = spread;
+  /** Sets which names are published. The others are remembered here but not published. */
+  public spreadOnly(isPublished: (name: string) => boolean): void {
+    this.isPublished = isPublished;
     this.sayAgain();
   }
 
-  /** Events may come late, twice and out of order: the highest number of each name stands. */
+  /** Events may arrive late, twice and out of order: for each name the highest sequence number wins. */
   public event({ sequence, kind, key, size = 0 }: KvEvent): void {
-    if ((this.kept.get(key)?.sequence ?? this.gone.get(key) ?? -1) >= sequence) return;
-    // Why by the size too: a holder may let go of a part's end and keep the rest.
-    if (kind === 'evicted' && size === 0) this.forget(key, sequence);
+    if ((this.entriesByName.get(key)?.sequence ?? this.gone.get(key) ?? -1) >= sequence) return;
+    // An eviction with a size above 0 is a truncation: the holder drops the end of the part and keeps the rest.
+    if (kind === 'evicted' && size === 0) this.removeEntry(key, sequence);
     else this.keep(key, size, sequence);
   }
 
-  /** The holder's own whole word, as of `sequence`. */
+  /** Takes the holder's complete listing as of `sequence`. */
   public list({ keys, sizes, sequence }: KvList): void {
     const listed = new Set(keys);
-    for (const [name, kept] of [...this.kept])
-      if (!listed.has(name) && kept.sequence <= sequence) this.forget(name, sequence);
+    for (const [name, entry] of [...this.entriesByName])
+      if (!listed.has(name) && entry.sequence <= sequence) this.removeEntry(name, sequence);
     keys.forEach((name, index) => {
-      if ((this.kept.get(name)?.sequence ?? -1) <= sequence) this.keep(name, sizes?.[index] ?? 0, sequence);
+      if ((this.entriesByName.get(name)?.sequence ?? -1) <= sequence) this.keep(name, sizes?.[index] ?? 0, sequence);
     });
   }
 
   private keep(name: string, size: number, sequence: number): void {
     this.gone.delete(name);
-    // Why anew: the map is in the order of the last word, and the oldest give way.
-    this.kept.delete(name);
-    this.kept.set(name, { size, sequence });
-    this.tell(name, size);
-    for (const oldest of this.kept.keys()) {
-      if (this.kept.size <= this.limits.entries) break;
-      this.kept.delete(oldest);
+    // Deleting first moves the name to the end of the map, whose order is that of the last report; the oldest entries are dropped first.
+    this.entriesByName.delete(name);
+    this.entriesByName.set(name, { size, sequence });
+    this.publishOrRemove(name, size);
+    for (const oldest of this.entriesByName.keys()) {
+      if (this.entriesByName.size <= this.limits.entries) break;
+      this.entriesByName.delete(oldest);
       this.remove(oldest);
     }
   }
 
-  private forget(name: string, sequence: number): void {
-    this.kept.delete(name);
+  private removeEntry(name: string, sequence: number): void {
+    this.entriesByName.delete(name);
     this.remove(name);
     this.gone.delete(name);
     this.gone.set(name, sequence);
     for (const oldest of this.gone.keys()) {
-      if (this.gone.size <= keptGone) break;
+      if (this.gone.size <= maxTombstones) break;
       this.gone.delete(oldest);
     }
   }
 
-  private tell(name: string, size: number): void {
-    if (size >= Math.max(1, this.limits.leastSize) && this.spread(name)) this.put(keyOf(name, size));
+  private publishOrRemove(name: string, size: number): void {
+    if (size >= Math.max(1, this.limits.leastSize) && this.isPublished(name)) this.put(keyOf(name, size));
     else this.remove(name);
   }
 }
--- a/source/shared/directory/fills.ts
+++ b/source/shared/directory/fills.ts
@@ -1,4 +1,7 @@
-/** Single flight: one fill a key set and engine; who comes later joins, is charged once, and is told how it ended. */
+/**
+ * Outcome of a fill. Fills are deduplicated: an engine has one open fill per set of keys. A later request for the same keys joins it
+ * without another charge and learns its outcome.
+ */
 export type FillNotice = 'pending' | 'finished' | 'failed' | 'fenced';
 
 export type Fill = Readonly<{
@@ -17,11 +20,16 @@
   | Readonly<{ kind: 'end'; name: string; notice: 'finished' | 'failed' }>
   | Readonly<{ kind: 'fence'; epoch: number }>;
 
-const keptOver = 256;
+/** Closed fills whose outcome is remembered. */
+const maxClosedFills = 256;
 
-const close = (fills: Fills, fill: Fill, notice: FillNotice): Fills => {
+const closeFill = (fills: Fills, fill: Fill, notice: FillNotice): Fills => {
   const open = Object.fromEntries(Object.entries(fills.open).filter(([name]) => name !== fill.name));
-  return { open, charged: fills.charged - fill.charge, over: [...fills.over, { ...fill, notice }].slice(-keptOver) };
+  return {
+    open,
+    charged: fills.charged - fill.charge,
+    over: [...fills.over, { ...fill, notice }].slice(-maxClosedFills),
+  };
 };
 
 export const FillTables = {
@@ -53,19 +61,19 @@
         };
       case 'join': {
         const fill = fills.open[event.name];
-        // Why no charge: the blocks are the same ones.
+        // Joining adds no charge because the blocks are the same.
         return fill === undefined
           ? fills
           : { ...fills, open: { ...fills.open, [event.name]: { ...fill, joiners: fill.joiners + 1 } } };
       }
       case 'end': {
         const fill = fills.open[event.name];
-        return fill === undefined ? fills : close(fills, fill, event.notice);
+        return fill === undefined ? fills : closeFill(fills, fill, event.notice);
       }
       case 'fence':
         return Object.values(fills.open)
           .filter((fill) => fill.epoch < event.epoch)
-          .reduce((left, fill) => close(left, fill, 'fenced'), fills);
+          .reduce((left, fill) => closeFill(left, fill, 'fenced'), fills);
     }
   },
 } as const;
--- a/source/shared/directory/hashChain.ts
+++ b/source/shared/directory/hashChain.ts
@@ -4,18 +4,18 @@
 
 export type BlockKey = Readonly<{ physical: string; logical: string }>;
 
-/** A key and the opaque name under which one holder keeps the block. */
+/** A block's key and the opaque name under which one holder keeps the block. */
 export type NamedKey = BlockKey &
   Readonly<{
     name: string;
-    /** How much of it is kept, where holders say so. */
+    /** Size of what is kept, where the holder reports sizes. */
     size?: number;
   }>;
 
 type ChatMessage = Readonly<{ role?: unknown; content?: unknown }>;
 
 export const HashChains = {
-  /** The prompt in one form, whatever white space or field order the caller's JSON had. */
+  /** The prompt in a canonical form that does not depend on white space or field order in the caller's JSON. */
   canonicalPrompt: (messages: readonly unknown[]): string =>
     messages
       .map((message) => {
@@ -25,25 +25,25 @@
       })
       .join(''),
 
-  /** One hash a whole block, each over the one before; the rest short of a block has none. */
-  blocks: (prompt: string, blockCharacters: number, most: number): readonly string[] => {
-    const count = Math.min(most, Math.floor(prompt.length / blockCharacters));
+  /** One hash for each complete block, chained over the hash of the block before it. An incomplete last block has none. */
+  blocks: (prompt: string, blockCharacters: number, maxBlocks: number): readonly string[] => {
+    const count = Math.min(maxBlocks, Math.floor(prompt.length / blockCharacters));
     const chain: string[] = [];
-    let before = '';
+    let previousHash = '';
     for (let index = 0; index < count; index += 1) {
-      before = createHash('sha256')
-        .update(before)
+      previousHash = createHash('sha256')
+        .update(previousHash)
         .update('\u0000')
         .update(prompt.slice(index * blockCharacters, (index + 1) * blockCharacters))
         .digest('hex');
-      chain.push(before);
+      chain.push(previousHash);
     }
     return chain;
   },
 
   /**
-   * The name a fill gives a block. Why a new one each time: an order that met another boot or other weights than it
-   * was meant for leaves wrong bytes behind, and no later order may come upon them by name.
+   * Adds the names under which a fill stores its blocks. Each fill uses new names because a request that reaches another boot or other
+   * weights than intended leaves wrong bytes behind, and no later request may find these by name.
    */
   named: (keys: readonly BlockKey[], fill: string): readonly NamedKey[] =>
     keys.map((key) => ({
--- a/source/shared/directory/holders.ts
+++ b/source/shared/directory/holders.ts
@@ -2,8 +2,8 @@
 
 export const Holders = {
   /**
-   * All that keep parts of prompts: the listed engines and stores, and the stores that the operators name. Apps keep
-   * none. A listed holder goes before a store of the same name.
+   * All holders of cached prompt parts: the listed engines and stores, and the stores in the configuration. Apps hold
+   * none. A listed holder takes precedence over a configured store of the same name.
    */
   of: (engines: EngineList | undefined, blueprint: Blueprint | undefined): Readonly<Record<string, Engine>> => ({
     ...Object.fromEntries(
--- a/source/shared/directory/identity.ts
+++ b/source/shared/directory/identity.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import type { Pool } from '../blueprint/types';
 
-/** Version 1. Everything that says whose bytes these are and what made them. Prompts themselves are no field. */
+/** Identity of a cached block, version 1: who owns the bytes and what produced them. The prompt itself is not a field, only its hash. */
 export type CacheIdentity = Readonly<{
   trustDomain: string;
   model: string;
@@ -19,6 +19,7 @@
   multimodal: string;
 }>;
 
+/** Length-prefixed fields, so that different lists of fields never give equal bytes. */
 const delimited = (tag: string, fields: readonly string[]): Buffer => {
   const parts: Buffer[] = [Buffer.from(tag), Buffer.from([1])];
   for (const field of fields) {
@@ -33,19 +34,19 @@
 const digest = (bytes: Buffer): string => createHash('sha256').update(bytes).digest('hex').slice(0, 32);
 
 export const Identities = {
-  /** A walled tenant is a trust domain of its own. The prefixes keep walled and shared domains apart. */
+  /** A walled (isolated) tenant is a trust domain of its own. The prefixes keep walled and shared domains apart. */
   walledDomain: (tenant: string): string => `walled/${tenant}`,
 
   /**
-   * The others share one. Why it names the walls: a block does not say which open tenant it was made by, so when a
-   * tenant becomes walled nothing that was shared before may be used any more.
+   * The trust domain that all other tenants share. Its name depends on the set of walled tenants: a block does not record which
+   * tenant produced it, so when a tenant becomes walled no block that was shared before may be used any more.
    */
   sharedDomain: (tenants: Readonly<Record<string, Readonly<{ walled: boolean }>>>): string => {
     const walled = Object.keys(tenants).filter((tenant) => tenants[tenant]?.walled === true);
     return walled.length === 0 ? 'shared' : `shared/${digest(delimited('WALL', walled.sort()))}`;
   },
 
-  /** All trust domains that orders may come under: the shared one and those of walled tenants. */
+  /** All trust domains that requests may belong to: the shared one and one for each walled tenant. */
   domains: (tenants: Readonly<Record<string, Readonly<{ walled: boolean }>>>): readonly string[] => [
     Identities.sharedDomain(tenants),
     ...Object.entries(tenants).flatMap(([name, { walled }]) => (walled ? [Identities.walledDomain(name)] : [])),
--- a/source/shared/directory/lookup.ts
+++ b/source/shared/directory/lookup.ts
@@ -3,6 +3,7 @@
 
 export type MissReason = 'noBlocks' | 'absent' | 'incompatible' | 'otherBoot';
 
+/** A holder that keeps the first `matched` blocks of a chain. */
 export type Found = Readonly<{ holder: string; matched: number; bootEpoch: string; epoch: number }>;
 
 export type LookUp =
@@ -11,21 +12,21 @@
   | Readonly<{ kind: 'miss'; reason: MissReason }>;
 
 export const LookUps = {
-  /** Which holders keep how much of the chain. Only committed blocks of the same boot and full identity count. */
-  find: (book: ShardBook, keys: readonly BlockKey[], bootEpochOf: (holder: string) => string | undefined): LookUp => {
+  /** Finds how many leading blocks of the chain each holder keeps. Only committed blocks of the current boot and the same identity count. */
+  find: (shards: ShardBook, keys: readonly BlockKey[], bootEpochOf: (holder: string) => string | undefined): LookUp => {
     if (keys.length === 0) return { kind: 'miss', reason: 'noBlocks' };
     const physicals = keys.map(({ physical }) => physical);
     let incompatible = false;
     let otherBoot = false;
     const found: Found[] = [];
-    for (const shard of book.all()) {
+    for (const shard of shards.all()) {
       const { holder, bootEpoch, epoch } = shard.present;
       const matched = shard.matched(physicals);
       if (matched === 0) {
         incompatible ||= keys.some(({ logical }) => shard.holdsLogical(logical));
         continue;
       }
-      // Why: the shard may still describe a boot that is over.
+      // The index may still describe an earlier boot of the holder.
       if (bootEpochOf(holder) !== bootEpoch) otherBoot = true;
       else found.push({ holder, matched, bootEpoch, epoch });
     }
--- a/source/shared/directory/promptParts.ts
+++ b/source/shared/directory/promptParts.ts
@@ -2,21 +2,21 @@
 import type { NamedKey } from './hashChain';
 import { Identities } from './identity';
 
-/** A named part of a prompt, in the order in which the parts stand. The size is in tokens. */
+/** A named part of a prompt; lists of parts are in prompt order. The size is in tokens. */
 export type PromptPart = Readonly<{ name: string; size: number }>;
 
-/** A part as holders keep it: its name is derived from the identity, so every daemon gives the same part the same name. */
+/** A part as holders keep it. Its name is derived from the identity, so every daemon computes the same name for the same part. */
 export type PartKey = NamedKey & Readonly<{ size: number }>;
 
 export const PromptParts = {
   /**
-   * The text that all parts of one identity are kept under: whose they are, and what made them. Why all of it: holders
-   * check neither tenant nor weights, but find a part only under the very same text.
+   * Prefix of the names of all parts of one identity, derived from the owner and from what produced the parts. It covers the logical
+   * identity because holders check neither tenant nor weights and find a part only under exactly the same name.
    */
   salt: (pool: Pool, weights: string, trustDomain: string): string =>
     Identities.logical(Identities.ofPool(pool, weights, trustDomain, '', 0)).slice(0, 16),
 
-  /** The name under which holders say that they keep a part. */
+  /** The name under which holders report a part. */
   nameOf: (salt: string, part: string): string => `${salt}/${part}`,
 
   keys: (parts: readonly PromptPart[], salt: string): readonly PartKey[] =>
--- a/source/shared/directory/shardBook.ts
+++ b/source/shared/directory/shardBook.ts
@@ -1,8 +1,9 @@
 import { ShardMarks, ShardNews, type ShardChange, type ShardMark } from './shardNews';
 
+/** Position of each known shard, by holder. */
 export type ShardMarkBook = Readonly<Record<string, ShardMark>>;
 
-/** All holders' shards as one daemon knows them. */
+/** One daemon's copies of the block indexes of all holders. */
 export class ShardBook {
   private readonly shards = new Map<string, ShardNews>();
 
@@ -10,7 +11,7 @@
     return this.shards.get(holder);
   }
 
-  /** The steward puts its own authoritative shard here. */
+  /** The engine controller registers its own authoritative index here. */
   public set(holder: string, shard: ShardNews): void {
     this.shards.set(holder, shard);
   }
@@ -19,12 +20,12 @@
     return [...this.shards.values()];
   }
 
-  /** Entries of all shards together. */
+  /** Number of entries in all indexes together. */
   public get size(): number {
     return this.all().reduce((sum, { size }) => sum + size, 0);
   }
 
-  /** Holders that left the platform's list take their entries with them. */
+  /** Drops the indexes of holders that are no longer listed. */
   public keepOnly(holders: readonly string[]): void {
     const kept = new Set(holders);
     for (const holder of this.shards.keys()) if (!kept.has(holder)) this.shards.delete(holder);
@@ -34,43 +35,45 @@
     return Object.fromEntries([...this.shards].map(([holder, shard]) => [holder, ShardMarks.of(shard.present)]));
   }
 
-  /** Marks of those shards of which the other side knows more. */
-  public marksBehind(theirs: ShardMarkBook): ShardMarkBook {
-    const nowhere: ShardMark = [-1, 0, 0];
+  /** Own positions of the shards of which the peer has a later one. */
+  public marksBehind(peerMarks: ShardMarkBook): ShardMarkBook {
+    const unknownShard: ShardMark = [-1, 0, 0];
     return Object.fromEntries(
-      Object.entries(theirs).flatMap(([holder, mark]): readonly (readonly [string, ShardMark])[] => {
+      Object.entries(peerMarks).flatMap(([holder, mark]): readonly (readonly [string, ShardMark])[] => {
         const shard = this.shards.get(holder);
-        const own = shard === undefined ? nowhere : ShardMarks.of(shard.present);
+        const own = shard === undefined ? unknownShard : ShardMarks.of(shard.present);
         return ShardMarks.compare(own, mark) < 0 ? [[holder, own]] : [];
       }),
     );
   }
 
-  /** As `since`, of the marked shards alone. */
-  public sinceOf(marks: ShardMarkBook, mostEntries: number): readonly ShardChange[] {
-    return this.since(marks, mostEntries, Object.keys(marks));
+  /** Like `since`, limited to the shards in `marks`. */
+  public sinceOf(marks: ShardMarkBook, maxEntries: number): readonly ShardChange[] {
+    return this.since(marks, maxEntries, Object.keys(marks));
   }
 
+  /** Changes that a peer at these positions lacks, about `maxEntries` entries at most. */
   public since(
     marks: ShardMarkBook,
-    mostEntries: number,
+    maxEntries: number,
     holders: Iterable<string> = this.shards.keys(),
   ): readonly ShardChange[] {
     const changes: ShardChange[] = [];
-    let room = mostEntries;
+    let remaining = maxEntries;
     for (const holder of holders) {
       const shard = this.shards.get(holder);
       if (shard === undefined) continue;
-      // Why in parts: what does not fit now is asked for again with the next marks.
-      if (room <= 0) break;
-      const change = shard.since(marks[holder], room);
+      // What does not fit is sent when the peer asks again with its next positions.
+      if (remaining <= 0) break;
+      const change = shard.since(marks[holder], remaining);
       if (change === undefined) continue;
-      room -= change.put.length + change.gone.length;
+      remaining -= change.put.length + change.gone.length;
       changes.push(change);
     }
     return changes;
   }
 
+  /** Applies a peer's change. False when it does not continue the state of this copy. */
   public apply(change: ShardChange): boolean {
     const { head } = change;
     let shard = this.shards.get(head.holder);
--- a/source/shared/directory/shardChangeCodec.ts
+++ b/source/shared/directory/shardChangeCodec.ts
@@ -1,6 +1,6 @@
 /**
- * How changes of an index travel. Most entries are parts whose key follows from their name, and few salts stand before many names; these
- * are written once for all parts under them. Other entries travel as they are.
+ * Wire encoding of changes of an index. The keys of most entries are derived from their names, and many names share few salts, so each
+ * salt is written once for all parts under it. Other entries are sent unencoded.
  */
 import type { NamedKey } from './hashChain';
 import { PromptParts } from './promptParts';
@@ -9,13 +9,13 @@
 /** Identifiers of parts under one salt, each followed by its size in tokens. */
 type SizedParts = readonly (string | number)[];
 
-/** A change as it travels. */
+/** A change in its wire encoding. */
 export type PackedShardChange = Readonly<{
   head: ShardHead;
   from: number | null;
   put: readonly NamedKey[];
   gone: readonly string[];
-  /** By salt. */
+  /** Added parts, by salt. */
   putParts: Readonly<Record<string, SizedParts>>;
   goneParts: Readonly<Record<string, readonly string[]>>;
 }>;
@@ -25,13 +25,13 @@
 const separator = '/';
 
 const splitName = (name: string): Readonly<{ salt: string; id: string }> | undefined => {
-  const place = name.indexOf(separator);
-  const salt = name.slice(0, Math.max(0, place));
-  // A record cannot have every text as its key.
-  return salt === '' || salt in Object.prototype ? undefined : { salt, id: name.slice(place + 1) };
+  const separatorIndex = name.indexOf(separator);
+  const salt = name.slice(0, Math.max(0, separatorIndex));
+  // Names of members of Object.prototype, such as `__proto__`, cannot be used as keys of a plain object.
+  return salt === '' || salt in Object.prototype ? undefined : { salt, id: name.slice(separatorIndex + 1) };
 };
 
-/** Undefined: the key does not follow from the name. */
+/** Undefined when the key is not derived from the name. */
 const partOf = ({ physical, logical, name, size }: NamedKey): Part | undefined => {
   const split = splitName(physical);
   if (split === undefined || name !== physical || logical !== split.id || size === undefined) return undefined;
@@ -71,8 +71,8 @@
 const unpackedPuts = (salt: string, sized: unknown): readonly NamedKey[] => {
   if (!Array.isArray(sized)) return [];
   const keys: NamedKey[] = [];
-  for (let place = 0; place + 1 < sized.length; place += 2) {
-    const [id, size] = [sized[place] as unknown, sized[place + 1] as unknown];
+  for (let index = 0; index + 1 < sized.length; index += 2) {
+    const [id, size] = [sized[index] as unknown, sized[index + 1] as unknown];
     if (typeof id === 'string' && typeof size === 'number') keys.push(keyOf({ salt, id, size }));
   }
   return keys;
@@ -84,7 +84,7 @@
     : [];
 
 export const ShardChangeCodec = {
-  /** Whether a message of another daemon holds a change; its entries are looked at when it is unpacked. */
+  /** Whether a value received from a peer is an encoded change. Its entries are checked by `unpack`. */
   is: (value: unknown): value is PackedShardChange => {
     if (!isRecord(value)) return false;
     const { head, from, put, gone } = value;
--- a/source/shared/directory/shardDirectory.ts
+++ b/source/shared/directory/shardDirectory.ts
@@ -5,6 +5,7 @@
 import type { NamedKey } from './hashChain';
 import { ShardNews } from './shardNews';
 
+/** Report of a daemon on a fill that it requested. */
 export type DirectoryNote =
   | Readonly<{
       kind: 'register';
@@ -29,7 +30,7 @@
   chargedBlocks: number;
   quarantinedBlocks: number;
   unclaimed: number;
-  /** Smallest part worth telling the fleet of, where holders say sizes. */
+  /** Smallest part that is published to the fleet, where holders report sizes. */
   leastSize?: number;
 }>;
 
@@ -37,14 +38,15 @@
   usual: { blocks: 100_000, chargedBlocks: 512, quarantinedBlocks: 1024, unclaimed: 8192 } satisfies ShardLimits,
 } as const;
 
-/** The steward's shard: which blocks one holder keeps, who fills them, and under which epoch. */
+/** The engine controller's authoritative index of one holder: which blocks it keeps, which fills write them, and under which epoch. */
 export class ShardDirectory {
   public readonly news: ShardNews;
   private readonly blocks = new Map<string, Block>();
-  private readonly byName = new Map<string, string>();
+  private readonly physicalByName = new Map<string, string>();
   private readonly fillKeys = new Map<string, readonly string[]>();
-  private readonly fillTimes = new Map<string, number>();
-  private readonly unclaimed = new Set<string>();
+  private readonly fillRegisteredAt = new Map<string, number>();
+  /** Stored names that no reported fill has claimed yet. */
+  private readonly unclaimedNames = new Set<string>();
   private fills: Fills = FillTables.empty;
   private nextSequence: number | undefined;
   private quarantinedCount = 0;
@@ -56,7 +58,7 @@
     private readonly limits: ShardLimits,
     private readonly checksWeights: boolean,
     private readonly now: () => number = () => 0,
-    /** `oneOff`: each fill gives a block a new name, and registers it. `derived`: names follow from the identity. */
+    /** `oneOff`: each fill registers a new name for a block. `derived`: names are derived from the identity. */
     private readonly names: 'oneOff' | 'derived' = 'oneOff',
   ) {
     this.news = new ShardNews({ holder, term, epoch: 1, bootEpoch: '', weights: '', version: 0 });
@@ -75,7 +77,7 @@
     return this.quarantinedCount;
   }
 
-  /** Blocks that fills in flight were charged for. */
+  /** Number of blocks charged to fills in flight. */
   public get charged(): number {
     return this.fills.charged;
   }
@@ -84,6 +86,7 @@
     return this.blocks.size + this.derived.size;
   }
 
+  /** Sequence number of the last event that was applied; undefined until a listing was read. */
   public get after(): number | undefined {
     return this.nextSequence === undefined ? undefined : this.nextSequence - 1;
   }
@@ -92,7 +95,7 @@
     return FillTables.notice(this.fills, fill);
   }
 
-  /** A new boot or other weights: the epoch rises, fills in flight are fenced, entries are gone. */
+  /** Takes the holder's boot and weights. On a change of either, raises the epoch, fences fills in flight and drops all entries. */
   public observe(bootEpoch: string, weights: string): boolean {
     const head = this.news.present;
     if (head.bootEpoch === bootEpoch && head.weights === weights) return false;
@@ -108,14 +111,14 @@
     const epoch = this.epoch + 1;
     this.fills = FillTables.reduce(this.fills, { kind: 'fence', epoch });
     this.news.fence({ term: this.news.present.term, epoch, bootEpoch, weights });
-    for (const physical of [...this.blocks.keys()]) this.step(physical, { kind: 'reclaimFenced', epoch });
+    for (const physical of [...this.blocks.keys()]) this.applyBlockEvent(physical, { kind: 'reclaimFenced', epoch });
     this.fillKeys.clear();
-    this.fillTimes.clear();
-    this.unclaimed.clear();
+    this.fillRegisteredAt.clear();
+    this.unclaimedNames.clear();
     this.derived.sayAgain();
   }
 
-  /** Of derived names: which ones are of use to anybody now. */
+  /** Sets which derived names are published. */
   public spreadOnly(spread: (name: string) => boolean): void {
     this.derived.spreadOnly(spread);
   }
@@ -131,7 +134,7 @@
     }
     if (keys.some(({ physical }) => this.blocks.get(physical)?.state.kind === 'quarantined'))
       return { kind: 'refused', reason: 'quarantined' };
-    // Why quarantined ones count: their room is not free until an epoch or an attestation says so.
+    // Quarantined blocks count: their space is not free until the epoch rises or an attestation arrives.
     const full =
       this.fills.charged + keys.length > this.limits.chargedBlocks ||
       this.quarantinedCount + keys.length > this.limits.quarantinedBlocks;
@@ -153,21 +156,22 @@
   }
 
   /**
-   * Fills that nobody spoke of for so long are given up, and their charge is free for others: the daemon that ordered
-   * them may be gone. Why this is no end of a quarantine by time: it is how one begins; what was to be moved stays
-   * quarantined until an attestation comes after all, or the epoch rises.
+   * Abandons fills that began before this time and were not reported on since, and frees their charge for others: the daemon that
+   * requested them may have stopped. Time never ends a quarantine: blocks that were being imported become quarantined here, and stay so
+   * until a late attestation arrives or the epoch rises.
    */
   public giveUpFills(before: number): void {
-    for (const [fill, at] of this.fillTimes) if (at < before) this.endFill(fill, { kind: 'abandon', fill }, 'failed');
+    for (const [fill, at] of this.fillRegisteredAt)
+      if (at < before) this.endFill(fill, { kind: 'abandon', fill }, 'failed');
   }
 
-  /** False: something is missing, and only the holder's list can mend it. */
+  /** Applies the holder's events. False when events are missing, so that the holder's listing has to be read. */
   public events(read: KvEvents): boolean {
     if (read.bootEpoch !== this.news.present.bootEpoch) return false;
     if (this.names === 'derived') return this.derivedEvents(read);
     if (this.nextSequence === undefined) return false;
     for (const event of [...read.events].sort((left, right) => left.sequence - right.sequence)) {
-      // Why skip: an event heard before is heard once.
+      // Skips events that were applied before.
       if (event.sequence < this.nextSequence) continue;
       if (event.sequence > this.nextSequence) return false;
       this.nextSequence = event.sequence + 1;
@@ -177,6 +181,7 @@
     return read.last < this.nextSequence;
   }
 
+  /** Applies the holder's complete listing. */
   public list(list: KvList): void {
     if (list.bootEpoch !== this.news.present.bootEpoch) return;
     if (this.names === 'derived') {
@@ -187,12 +192,12 @@
     const listed = new Set(list.keys);
     for (const { state, key } of [...this.blocks.values()])
       if (state.kind === 'committed' && !listed.has(key.name)) this.evicted(key.name);
-    this.unclaimed.clear();
+    this.unclaimedNames.clear();
     for (const key of listed) this.stored(key);
     this.nextSequence = list.sequence + 1;
   }
 
-  /** Why numbers may be missing: a few events never arrive, and a whole list for each of them would cost more than they do. */
+  /** Gaps in the sequence numbers are accepted: a few events never arrive, and a full listing for each would cost more than the lost events. */
   private derivedEvents(read: KvEvents): boolean {
     for (const event of read.events) this.derived.event(event);
     this.nextSequence = read.last + 1;
@@ -201,25 +206,25 @@
 
   private register(fill: string, epoch: number, moves: boolean, keys: readonly NamedKey[]): void {
     if (epoch !== this.epoch || this.fillKeys.has(fill)) return;
-    const fresh = keys.filter(
+    const absentKeys = keys.filter(
       ({ physical }) => (this.blocks.get(physical) ?? { state: BlockStates.absent }).state.kind === 'absent',
     );
-    const taken = fresh.slice(0, Math.max(0, this.limits.blocks - this.blocks.size));
+    const accepted = absentKeys.slice(0, Math.max(0, this.limits.blocks - this.blocks.size));
     this.fillKeys.set(
       fill,
-      taken.map(({ physical }) => physical),
+      accepted.map(({ physical }) => physical),
     );
-    this.fillTimes.set(fill, this.now());
-    for (const key of taken) {
+    this.fillRegisteredAt.set(fill, this.now());
+    for (const key of accepted) {
       this.blocks.set(key.physical, { state: BlockStates.absent, key });
-      this.byName.set(key.name, key.physical);
-      this.step(key.physical, { kind: 'reserve', fill, moves, epoch });
+      this.physicalByName.set(key.name, key.physical);
+      this.applyBlockEvent(key.physical, { kind: 'reserve', fill, moves, epoch });
     }
   }
 
   private attest(fill: string, bootEpoch: string, weights: string): void {
     const head = this.news.present;
-    // Why: an answer under another boot or other weights made something else than what was ordered.
+    // An answer under another boot or other weights produced other bytes than those requested.
     const same = bootEpoch === head.bootEpoch && (!this.checksWeights || weights === head.weights);
     if (!same) {
       this.endFill(fill, { kind: 'abandon', fill }, 'failed');
@@ -230,12 +235,12 @@
 
   private endFill(fill: string, event: BlockEvent, notice: 'finished' | 'failed'): void {
     for (const physical of this.fillKeys.get(fill) ?? []) {
-      this.step(physical, event);
-      if (event.kind === 'attest' && this.unclaimed.has(this.blocks.get(physical)?.key.name ?? ''))
-        this.step(physical, { kind: 'confirm' });
+      this.applyBlockEvent(physical, event);
+      if (event.kind === 'attest' && this.unclaimedNames.has(this.blocks.get(physical)?.key.name ?? ''))
+        this.applyBlockEvent(physical, { kind: 'confirm' });
     }
-    this.fillTimes.delete(fill);
-    // Why keep the others: an attestation may still come, and it alone frees what is quarantined under this epoch.
+    this.fillRegisteredAt.delete(fill);
+    // The keys of quarantined blocks are kept: an attestation may still arrive, and only it frees them within this epoch.
     const quarantined = (this.fillKeys.get(fill) ?? []).some(
       (physical) => this.blocks.get(physical)?.state.kind === 'quarantined',
     );
@@ -244,22 +249,23 @@
   }
 
   private stored(name: string): void {
-    const physical = this.byName.get(name);
+    const physical = this.physicalByName.get(name);
     if (physical !== undefined && this.blocks.get(physical)?.state.kind === 'writing')
-      this.step(physical, { kind: 'confirm' });
-    // Why keep it: the event may come before the daemon that ordered the block has said so. Bounded, and never a hit by itself.
-    if (this.unclaimed.size < this.limits.unclaimed) this.unclaimed.add(name);
+      this.applyBlockEvent(physical, { kind: 'confirm' });
+    // Kept because the event may arrive before the report of the daemon that requested the block. The set is bounded, and a name in it
+    // alone is never a cache hit.
+    if (this.unclaimedNames.size < this.limits.unclaimed) this.unclaimedNames.add(name);
   }
 
   private evicted(name: string): void {
-    this.unclaimed.delete(name);
-    const physical = this.byName.get(name);
+    this.unclaimedNames.delete(name);
+    const physical = this.physicalByName.get(name);
     if (physical === undefined) return;
-    this.step(physical, { kind: 'evict' });
-    this.step(physical, { kind: 'evicted' });
+    this.applyBlockEvent(physical, { kind: 'evict' });
+    this.applyBlockEvent(physical, { kind: 'evicted' });
   }
 
-  private step(physical: string, event: BlockEvent): void {
+  private applyBlockEvent(physical: string, event: BlockEvent): void {
     const block = this.blocks.get(physical);
     if (block === undefined) return;
     const state = BlockStates.step(block.state, event);
@@ -269,7 +275,7 @@
     if (BlockStates.isUsed(state)) this.blocks.set(physical, { ...block, state });
     else {
       this.blocks.delete(physical);
-      this.byName.delete(block.key.name);
+      this.physicalByName.delete(block.key.name);
     }
     if (BlockStates.isReadable(state)) this.news.put(block.key);
     else this.news.remove(physical);
--- a/source/shared/directory/shardNews.ts
+++ b/source/shared/directory/shardNews.ts
@@ -1,6 +1,6 @@
 import type { NamedKey } from './hashChain';
 
-/** One holder's committed blocks as all daemons see them: a set that grows by versions under (term, epoch). */
+/** Identifies a state of the index of one holder: the version counts changes under (term, epoch). */
 export type ShardHead = Readonly<{
   holder: string;
   term: number;
@@ -8,23 +8,25 @@
   bootEpoch: string;
   weights: string;
   version: number;
-  /** Of a frame that is only partly here: the version that its sender had when the first part left. */
+  /** Set while a snapshot is only partly received: the version that the sender had when it sent the first part. */
   framedAt?: number;
 }>;
-/** How far a daemon is; `framedAt` as in the head. */
+/** Position of a daemon's copy in the changes of an index; `framedAt` as in the head. */
 export type ShardMark = readonly [term: number, epoch: number, version: number, framedAt?: number];
 
 export type ShardChange = Readonly<{
   head: ShardHead;
-  /** The version the change starts from; null for a frame, which holds all, or the first part of all. */
+  /** The version the change starts from; null for a snapshot or the first part of one. */
   from: number | null;
   put: readonly NamedKey[];
   gone: readonly string[];
 }>;
 
-type Step = Readonly<{ version: number; physical: string; key: NamedKey | null }>;
+/** One change of one block; a null key removes the block. */
+type LogEntry = Readonly<{ version: number; physical: string; key: NamedKey | null }>;
 
-const keptSteps = 4096;
+/** Changes kept for peers that lag behind. */
+const maxLogEntries = 4096;
 
 const compareMarks = (left: ShardMark, right: ShardMark): number =>
   left[0] - right[0] || left[1] - right[1] || left[2] - right[2];
@@ -35,23 +37,27 @@
     framedAt === undefined ? [term, epoch, version] : [term, epoch, version, framedAt],
 } as const;
 
-/** Why by the version that a frame leads to first: its first parts may name versions that this state is long past. */
-const isFurther = (next: ShardHead, present: ShardHead): boolean => {
-  const leadsTo = ({ term, epoch, version, framedAt }: ShardHead): ShardMark => [term, epoch, framedAt ?? version];
-  return (compareMarks(leadsTo(next), leadsTo(present)) || next.version - present.version) > 0;
+/**
+ * Compares first by the version that a complete snapshot leads to, because its first parts may carry versions that the present state has
+ * long passed.
+ */
+const isAhead = (next: ShardHead, present: ShardHead): boolean => {
+  const targetMark = ({ term, epoch, version, framedAt }: ShardHead): ShardMark => [term, epoch, framedAt ?? version];
+  return (compareMarks(targetMark(next), targetMark(present)) || next.version - present.version) > 0;
 };
 
+/** Replicated index of one holder's committed blocks, with a log of recent changes for peers. */
 export class ShardNews {
   private readonly committed = new Map<string, NamedKey>();
-  private readonly logicals = new Map<string, number>();
-  /** At which version each block came. Like `committed` in the order of these versions. */
+  private readonly logicalKeyCounts = new Map<string, number>();
+  /** The version at which each block was added. Like `committed`, in the order of these versions. */
   private readonly versions = new Map<string, number>();
-  private steps: Step[] = [];
-  /** All steps after this version are here. */
-  private stepsSince: number;
+  private changeLog: LogEntry[] = [];
+  /** The log holds all changes after this version. */
+  private logStartVersion: number;
 
   public constructor(private head: ShardHead) {
-    this.stepsSince = head.version;
+    this.logStartVersion = head.version;
   }
 
   public get present(): ShardHead {
@@ -67,19 +73,19 @@
   }
 
   public holdsLogical(logical: string): boolean {
-    return this.logicals.has(logical);
+    return this.logicalKeyCounts.has(logical);
   }
 
   public entries(): readonly NamedKey[] {
     return [...this.committed.values()];
   }
 
-  /** The names of the first blocks of a chain, as far as they are kept without a gap. */
+  /** Names of the leading blocks of a chain that are kept without a gap. */
   public names(physicals: readonly string[]): readonly string[] {
     return physicals.slice(0, this.matched(physicals)).flatMap((physical) => this.committed.get(physical)?.name ?? []);
   }
 
-  /** How many blocks from the start of the chain this holder keeps without a gap. */
+  /** Number of leading blocks of a chain that this holder keeps without a gap. */
   public matched(physicals: readonly string[]): number {
     const miss = physicals.findIndex((physical) => !this.committed.has(physical));
     return miss === -1 ? physicals.length : miss;
@@ -89,52 +95,54 @@
     const known = this.committed.get(key.physical);
     if (known?.name === key.name && known.size === key.size) return;
     const version = this.nextVersion();
-    this.place(key, version);
-    this.note({ version, physical: key.physical, key });
+    this.addBlock(key, version);
+    this.appendToLog({ version, physical: key.physical, key });
   }
 
   public remove(physical: string): void {
     const known = this.committed.get(physical);
     if (known === undefined) return;
-    this.forget(known);
-    this.note({ version: this.nextVersion(), physical, key: null });
+    this.removeBlock(known);
+    this.appendToLog({ version: this.nextVersion(), physical, key: null });
   }
 
-  /** A new epoch starts empty: nothing of the old one is a hit any more. */
+  /** Starts a new epoch with an empty index, so that no entry of the old epoch is a hit. */
   public fence(head: Omit<ShardHead, 'holder' | 'version'>): void {
     this.committed.clear();
-    this.logicals.clear();
+    this.logicalKeyCounts.clear();
     this.versions.clear();
-    this.steps = [];
-    this.stepsSince = 0;
+    this.changeLog = [];
+    this.logStartVersion = 0;
     this.head = { ...head, holder: this.head.holder, version: 0 };
   }
 
   /**
-   * What one with this mark lacks, in a change of about `most` blocks; more of it follows when it asks again. Undefined: it lacks
-   * nothing, or this state is itself only partly here.
+   * The changes that a peer at this position lacks, about `maxBlocks` blocks of them; the rest follows when the peer asks again.
+   * Undefined when the peer lacks nothing or when this copy is itself an incomplete snapshot.
    */
-  public since(mark: ShardMark | undefined, most = Infinity): ShardChange | undefined {
+  public since(mark: ShardMark | undefined, maxBlocks = Infinity): ShardChange | undefined {
     const { term, epoch, version, framedAt } = this.head;
     if (framedAt !== undefined || (mark !== undefined && compareMarks(mark, [term, epoch, version]) >= 0))
       return undefined;
     const isSameEpoch = mark !== undefined && mark[0] === term && mark[1] === epoch;
-    if (!isSameEpoch) return this.framePart(null, version, most);
-    const [, , known, begunAt] = mark;
-    if ((begunAt ?? known) < this.stepsSince) return this.framePart(null, version, most);
-    return begunAt === undefined ? this.stepsAfter(known, most) : this.framePart(known, begunAt, most);
+    if (!isSameEpoch) return this.snapshotPart(null, version, maxBlocks);
+    const [, , known, snapshotVersion] = mark;
+    if ((snapshotVersion ?? known) < this.logStartVersion) return this.snapshotPart(null, version, maxBlocks);
+    return snapshotVersion === undefined
+      ? this.changesAfter(known, maxBlocks)
+      : this.snapshotPart(known, snapshotVersion, maxBlocks);
   }
 
-  /** The first steps after a version, all that share the last one's version included. */
-  private stepsAfter(known: number, most: number): ShardChange {
+  /** The first changes after a version. Includes all changes that share the version of the last one. */
+  private changesAfter(known: number, maxBlocks: number): ShardChange {
     const last = new Map<string, NamedKey | null>();
     let upTo = known;
     let count = 0;
-    for (const step of this.steps) {
-      if (step.version <= known) continue;
-      if (count >= most && step.version > upTo) return this.change(known, { ...this.head, version: upTo }, last);
-      last.set(step.physical, step.key);
-      upTo = step.version;
+    for (const entry of this.changeLog) {
+      if (entry.version <= known) continue;
+      if (count >= maxBlocks && entry.version > upTo) return this.change(known, { ...this.head, version: upTo }, last);
+      last.set(entry.physical, entry.key);
+      upTo = entry.version;
       count += 1;
     }
     return this.change(known, this.head, last);
@@ -150,28 +158,29 @@
   }
 
   /**
-   * Blocks that came after `known` (null: all), in the order in which they came. The last part also takes back what was removed
-   * since the first one left, which is why the steps must reach back to then.
+   * A part of a snapshot: blocks that were added after `known` (null: all), in the order of their addition. The last part also removes
+   * the blocks that were removed since the first part was sent, so the log must reach back to that time.
    */
-  private framePart(known: number | null, begunAt: number, most: number): ShardChange {
+  private snapshotPart(known: number | null, snapshotVersion: number, maxBlocks: number): ShardChange {
     const put: NamedKey[] = [];
     let upTo = known ?? -1;
     for (const [physical, key] of this.committed) {
       const version = this.versions.get(physical) ?? 0;
       if (version <= (known ?? -1)) continue;
-      if (put.length >= most && version > upTo)
-        return { head: { ...this.head, version: upTo, framedAt: begunAt }, from: known, put, gone: [] };
+      if (put.length >= maxBlocks && version > upTo)
+        return { head: { ...this.head, version: upTo, framedAt: snapshotVersion }, from: known, put, gone: [] };
       put.push(key);
       upTo = version;
     }
-    const removed = known === null ? [] : this.steps.filter(({ version, key }) => version > begunAt && key === null);
+    const removed =
+      known === null ? [] : this.changeLog.filter(({ version, key }) => version > snapshotVersion && key === null);
     const gone = removed.map(({ physical }) => physical).filter((physical) => !this.committed.has(physical));
     return { head: this.head, from: known, put, gone: [...new Set(gone)] };
   }
 
-  /** Takes another daemon's change if it continues this state; false asks for a frame later. */
+  /** Applies a peer's change if it continues this state. After false, the peer sends a snapshot in answer to a later request. */
   public apply(change: ShardChange): boolean {
-    if (!isFurther(change.head, this.head)) return false;
+    if (!isAhead(change.head, this.head)) return false;
     const { term, epoch } = this.head;
     const continues =
       change.from !== null &&
@@ -179,21 +188,21 @@
       change.head.epoch === epoch &&
       change.from <= this.head.version;
     if (!continues && change.from !== null) return false;
-    const isFrame = !continues || this.head.framedAt !== undefined;
+    const isSnapshot = !continues || this.head.framedAt !== undefined;
     if (!continues) this.fence(change.head);
-    // Why each noted, also what changes nothing here: who follows this state may be one that it does change.
+    // Each entry is logged, even one that changes nothing here: it may change the state of a peer that follows this copy.
     const { version } = change.head;
     for (const physical of change.gone) {
       const known = this.committed.get(physical);
-      if (known !== undefined) this.forget(known);
-      this.note({ version, physical, key: null });
+      if (known !== undefined) this.removeBlock(known);
+      this.appendToLog({ version, physical, key: null });
     }
     for (const key of change.put) {
-      this.place(key, version);
-      this.note({ version, physical: key.physical, key });
+      this.addBlock(key, version);
+      this.appendToLog({ version, physical: key.physical, key });
     }
-    // Why no steps after a frame: it tells what is there, and not what was removed on the way.
-    if (isFrame) [this.steps, this.stepsSince] = [[], version];
+    // The log restarts after a snapshot, which holds what is present and not what was removed in between.
+    if (isSnapshot) [this.changeLog, this.logStartVersion] = [[], version];
     this.head = change.head;
     return true;
   }
@@ -203,27 +212,27 @@
     return this.head.version;
   }
 
-  /** Last in order, also where it was known before. */
-  private place(key: NamedKey, version: number): void {
+  /** Adds the block as the last in order, also if it was known before. */
+  private addBlock(key: NamedKey, version: number): void {
     const known = this.committed.get(key.physical);
-    if (known !== undefined) this.forget(known);
+    if (known !== undefined) this.removeBlock(known);
     this.committed.set(key.physical, key);
     this.versions.set(key.physical, version);
-    this.logicals.set(key.logical, (this.logicals.get(key.logical) ?? 0) + 1);
+    this.logicalKeyCounts.set(key.logical, (this.logicalKeyCounts.get(key.logical) ?? 0) + 1);
   }
 
-  private forget({ physical, logical }: NamedKey): void {
+  private removeBlock({ physical, logical }: NamedKey): void {
     this.committed.delete(physical);
     this.versions.delete(physical);
-    const count = (this.logicals.get(logical) ?? 1) - 1;
-    if (count <= 0) this.logicals.delete(logical);
-    else this.logicals.set(logical, count);
+    const count = (this.logicalKeyCounts.get(logical) ?? 1) - 1;
+    if (count <= 0) this.logicalKeyCounts.delete(logical);
+    else this.logicalKeyCounts.set(logical, count);
   }
 
-  private note(step: Step): void {
-    this.steps.push(step);
-    if (this.steps.length <= keptSteps) return;
-    const dropped = this.steps.splice(0, this.steps.length - keptSteps / 2);
-    this.stepsSince = dropped.at(-1)?.version ?? this.stepsSince;
+  private appendToLog(entry: LogEntry): void {
+    this.changeLog.push(entry);
+    if (this.changeLog.length <= maxLogEntries) return;
+    const dropped = this.changeLog.splice(0, this.changeLog.length - maxLogEntries / 2);
+    this.logStartVersion = dropped.at(-1)?.version ?? this.logStartVersion;
   }
 }
--- a/source/shared/freshness/bodies.ts
+++ b/source/shared/freshness/bodies.ts
@@ -2,91 +2,96 @@
 import { isDocumentKey, type DocumentKey } from '../blueprint/types';
 import { TextDeltas } from './textDelta';
 
+/** One revision of a document, with its text. */
 export type Body = Readonly<{ key: DocumentKey; revision: number; digest: string; text: string }>;
-/** Long texts travel packed: a daemon at a thin link must have a change within a part of a second. */
+/** Long texts are sent compressed, because a daemon behind a slow link must receive a change within a fraction of a second. */
 export type PackedBody = Readonly<{ key: DocumentKey; revision: number; digest: string; packed: Uint8Array }>;
 export type SentBody = Body | PackedBody;
 
-/** What is sent of a text: all of it, packed, or what changed since another one. `base`: digest of that one; empty: none. */
+/** A compressed text, or a compressed delta against another text. `base`: digest of that other text; empty for a whole text. */
 export type Shipment = Readonly<{ base: string; packed: Uint8Array }>;
 
-/** Starting value, ours: bytes of the smallest part of a long document, and the most that travels inside other messages. */
+/** Size in bytes of the smallest part of a long document, and of the longest compressed document that is sent inside other messages. */
 export const partBytes = 4096;
 
-const leastPackedLength = 4096;
-/** Why a bound: a few bytes of a stranger must not unfold into all memory. */
-const mostTextBytes = 8 * 1024 * 1024;
-/** Starting values, ours: so many texts of each key and shipments of late are kept, for receivers that have or began with one of them. */
-const mostKept = 6;
-const mostKeptShipments = 12;
+/** Shorter texts are not compressed. */
+const minPackedCharacters = 4096;
+/** Limit on decompressed text, so that a few received bytes cannot exhaust the memory. */
+const maxTextBytes = 8 * 1024 * 1024;
+/** Recent texts that are kept for each key, as bases of deltas and for receivers whose transfer of one of them has begun. */
+const maxTextsPerKey = 6;
+/** Recent payloads that are kept, so that each is compressed once for all receivers. */
+const maxPayloads = 12;
 
-// Why level 1: documents repeat themselves so much that more work gains little.
+// Level 1 is enough: documents are so repetitive that higher levels gain little.
 const pack = (text: string): Uint8Array => deflateRawSync(text, { level: 1 });
 
 const unpack = (packed: Uint8Array): string | undefined => {
   try {
-    return inflateRawSync(packed, { maxOutputLength: mostTextBytes }).toString('utf8');
+    return inflateRawSync(packed, { maxOutputLength: maxTextBytes }).toString('utf8');
   } catch {
     return undefined;
   }
 };
 
-type Kept = { readonly key: DocumentKey; readonly digest: string; readonly text: string; packed?: Uint8Array };
-const packedOf = (kept: Kept): Uint8Array => (kept.packed ??= pack(kept.text));
+type KeptText = { readonly key: DocumentKey; readonly digest: string; readonly text: string; packed?: Uint8Array };
+const compressedText = (kept: KeptText): Uint8Array => (kept.packed ??= pack(kept.text));
 
-const shorter = (text: Kept, before: Kept): Shipment => {
+const shorterPayload = (text: KeptText, before: KeptText): Shipment => {
   const delta = pack(JSON.stringify(TextDeltas.between(before.text, text.text)));
-  const packed = packedOf(text);
+  const packed = compressedText(text);
   return delta.length < packed.length ? { base: before.digest, packed: delta } : { base: '', packed };
 };
 
-/** `before`: the text that the receiver has; what is shipped may build on none all the same. */
-type KeptShipment = Readonly<{ digest: string; before: string; shipment: Shipment }>;
+/** A payload made for a receiver that has the text `before`. The payload may still hold the whole text. */
+type CachedPayload = Readonly<{ digest: string; before: string; shipment: Shipment }>;
 
-/** Keeps recent texts, so that others can be sent what changed since, and packs each once, however many ask for it. */
+/** Keeps recent texts, so that peers can be sent deltas, and compresses each text once for all receivers. */
 export class BodyPacker {
-  private kept: readonly Kept[] = [];
-  private shipments: readonly KeptShipment[] = [];
+  private kept: readonly KeptText[] = [];
+  private cachedPayloads: readonly CachedPayload[] = [];
 
+  /** The body as it is sent: compressed if it is long. */
   public sent(body: Body): SentBody {
-    if (body.text.length < leastPackedLength) return body;
+    if (body.text.length < minPackedCharacters) return body;
     const { key, revision, digest } = body;
-    return { key, revision, digest, packed: packedOf(this.keep(body)) };
+    return { key, revision, digest, packed: compressedText(this.keep(body)) };
   }
 
-  /** Keeps a text that is applied, among the last ones of its key. Short ones travel whole. */
-  public keep({ key, digest, text }: Pick<Body, 'key' | 'digest' | 'text'>): Kept {
+  /** Keeps an applied text among the recent ones of its key. Short texts are not kept, because they are sent whole. */
+  public keep({ key, digest, text }: Pick<Body, 'key' | 'digest' | 'text'>): KeptText {
     const found = this.find(digest);
     if (found !== undefined) return found;
-    const kept: Kept = { key, digest, text };
-    if (text.length < leastPackedLength) return kept;
-    // Why apart by key: the list of engines changes far more often, and would drive the configuration's texts out.
-    const same = this.kept.filter((item) => item.key === key).slice(0, mostKept - 1);
+    const kept: KeptText = { key, digest, text };
+    if (text.length < minPackedCharacters) return kept;
+    // The limit applies to each key, because the list of engines changes far more often and would evict the texts of the configuration.
+    const same = this.kept.filter((item) => item.key === key).slice(0, maxTextsPerKey - 1);
     this.kept = [kept, ...same, ...this.kept.filter((item) => item.key !== key)];
     return kept;
   }
 
   /**
-   * A recent text, to one that has the texts of the digests `bases`, the preferred one first; undefined: it is not kept any more.
+   * Payload of a recent text for a receiver that has the texts with the digests `bases`, the preferred one first. Undefined when the text
+   * is not kept any more.
    */
   public shipment(digest: string, bases: readonly string[]): Shipment | undefined {
     const text = this.find(digest);
     if (text === undefined) return undefined;
-    const before = bases.includes(digest) ? undefined : this.firstOf(bases);
-    if (before === undefined) return { base: '', packed: packedOf(text) };
-    const known = this.shipments.find((item) => item.digest === digest && item.before === before.digest);
+    const before = bases.includes(digest) ? undefined : this.findFirst(bases);
+    if (before === undefined) return { base: '', packed: compressedText(text) };
+    const known = this.cachedPayloads.find((item) => item.digest === digest && item.before === before.digest);
     if (known !== undefined) return known.shipment;
-    const shipment = shorter(text, before);
-    this.shipments = [{ digest, before: before.digest, shipment }, ...this.shipments].slice(0, mostKeptShipments);
+    const shipment = shorterPayload(text, before);
+    this.cachedPayloads = [{ digest, before: before.digest, shipment }, ...this.cachedPayloads].slice(0, maxPayloads);
     return shipment;
   }
 
-  /** Texts of one key that are kept, the latest first. */
+  /** The kept texts of one key, the latest first. */
   public texts(key: DocumentKey): readonly Readonly<{ digest: string; text: string }>[] {
     return this.kept.filter((item) => item.key === key);
   }
 
-  private firstOf(digests: readonly string[]): Kept | undefined {
+  private findFirst(digests: readonly string[]): KeptText | undefined {
     for (const digest of digests) {
       const found = this.find(digest);
       if (found !== undefined) return found;
@@ -94,13 +99,13 @@
     return undefined;
   }
 
-  private find(digest: string): Kept | undefined {
+  private find(digest: string): KeptText | undefined {
     return this.kept.find((item) => item.digest === digest);
   }
 }
 
 export const Bodies = {
-  /** Whether a body is short enough to travel inside other messages. */
+  /** Whether a body is short enough to be sent inside other messages. */
   isShort: (body: SentBody): boolean => 'text' in body || body.packed.length <= partBytes,
 
   is: (value: unknown): value is SentBody => {
@@ -115,10 +120,10 @@
     );
   },
 
-  /** Undefined: it cannot be unpacked. */
+  /** The text of a body; undefined when it cannot be decompressed. */
   text: (body: SentBody): string | undefined => ('text' in body ? body.text : unpack(body.packed)),
 
-  /** The text of what was shipped, by the text that it builds on; undefined: it makes no sense. */
+  /** The text of a payload, given its base text; undefined when the payload is invalid. */
   shippedText: ({ base, packed }: Shipment, before: string): string | undefined => {
     const text = unpack(packed);
     if (text === undefined || base === '') return text;
--- a/source/shared/freshness/freshness.ts
+++ b/source/shared/freshness/freshness.ts
@@ -8,9 +8,10 @@
 
 export type { Body, SentBody } from './bodies';
 
+/** Which weights a service runs, which ones it ran before, and since when by this daemon's clock; null: unknown. */
 export type WeightsSince = Readonly<{ weights: string; previous: string | null; sinceMicroseconds: number | null }>;
 
-/** "Revision R was current when I asked", with the age of that moment instead of a time. */
+/** States that a revision was current at a time, which is given as an age because daemons share no clock. */
 export type Statement = Readonly<{
   key: DocumentKey;
   revision: number;
@@ -52,15 +53,15 @@
   isBody: Bodies.is,
 } as const;
 
-/** Starting value, ours: so many revisions that newer ones have overtaken may still arrive. */
-const mostPassedOver = 6;
+/** Superseded revisions whose text is still accepted. */
+const maxSupersededRevisions = 6;
 
-/** What one daemon applies of one key, and how long ago that was known to be current. Never goes back. */
-class KeyFreshness {
+/** The applied revision of one document, and how long ago it was known to be current. The revision never decreases. */
+class DocumentFreshness {
   public applied: Applied<DocumentValue> | undefined;
   public wanted: Confirmed | undefined;
-  /** Revisions that were wanted until a newer one was known; the newest last. */
-  private passedOver: readonly Confirmed[] = [];
+  /** Revisions that were wanted until a newer one became known; the newest last. */
+  private superseded: readonly Confirmed[] = [];
 
   public constructor(
     private readonly key: DocumentKey,
@@ -83,31 +84,31 @@
       (confirmed.revision === wanted.revision && confirmed.asOfMicroseconds > wanted.asOfMicroseconds)
     ) {
       if (wanted !== undefined && wanted.revision < confirmed.revision)
-        this.passedOver = [...this.passedOver, wanted].slice(-mostPassedOver);
+        this.superseded = [...this.superseded, wanted].slice(-maxSupersededRevisions);
       this.wanted = confirmed;
     }
   }
 
-  /** What is known of a revision that is decided and newer than what is applied; undefined: nothing. */
+  /** The confirmation of a decided revision that is newer than the applied one; undefined: none is known. */
   public confirmed(revision: number, digest: string): Confirmed | undefined {
     if (revision <= (this.applied?.revision ?? -1)) return undefined;
-    const known = this.wanted === undefined ? this.passedOver : [...this.passedOver, this.wanted];
+    const known = this.wanted === undefined ? this.superseded : [...this.superseded, this.wanted];
     return known.find((item) => item.revision === revision && item.digest === digest);
   }
 
-  /** A body counts only when its revision is known to be decided, by whatever time a newer one is known too. */
-  public give(body: SentBody): boolean {
+  /** Applies a body whose revision is known to be decided, even if a newer revision is known by now. */
+  public apply(body: SentBody): boolean {
     const confirmed = this.confirmed(body.revision, body.digest);
     if (confirmed === undefined) return false;
     const text = Bodies.text(body);
     if (text === undefined) return false;
     if (createHash('sha256').update(text).digest('hex').slice(0, 32) !== confirmed.digest) return false;
-    // Why trusted: the digest is that of a text which keepers have checked and taken.
+    // The text is not checked again: the digest belongs to a text that the control nodes have checked and accepted.
     const checked: Checked<DocumentValue> =
       this.key === 'blueprint' ? this.dialect.trusted(text) : Blueprints.checkText(this.key, text);
     if (checked.kind === 'faulty') return false;
     this.applied = { ...confirmed, text, value: checked.value };
-    this.passedOver = this.passedOver.filter(({ revision }) => revision > confirmed.revision);
+    this.superseded = this.superseded.filter(({ revision }) => revision > confirmed.revision);
     if (this.wanted !== undefined && this.wanted.revision <= confirmed.revision) this.wanted = undefined;
     return true;
   }
@@ -117,9 +118,10 @@
   }
 }
 
+/** One daemon's applied documents, and how long ago each was known to be current. */
 export class Freshness {
-  private readonly keys: Readonly<Record<DocumentKey, KeyFreshness>>;
-  private since: Readonly<Record<string, WeightsSince>> = {};
+  private readonly keys: Readonly<Record<DocumentKey, DocumentFreshness>>;
+  private weightsByService: Readonly<Record<string, WeightsSince>> = {};
   private sinceRevision = -1;
   private readonly packer = new BodyPacker();
 
@@ -129,9 +131,9 @@
     private readonly engineList: 'kept' | 'listed' = 'kept',
   ) {
     this.keys = {
-      blueprint: new KeyFreshness('blueprint', clock, dialect),
-      engines: new KeyFreshness('engines', clock, dialect),
-      'core-members': new KeyFreshness('core-members', clock, dialect),
+      blueprint: new DocumentFreshness('blueprint', clock, dialect),
+      engines: new DocumentFreshness('engines', clock, dialect),
+      'core-members': new DocumentFreshness('core-members', clock, dialect),
     };
   }
 
@@ -158,21 +160,21 @@
       : { key, revision: applied.revision, digest: applied.digest, text: applied.text };
   }
 
-  /** What is applied, as it travels to others. */
+  /** The applied body as it is sent to peers. */
   public sent(key: DocumentKey): SentBody | undefined {
     const body = this.applied(key);
     return body === undefined ? undefined : this.packer.sent(body);
   }
 
   /**
-   * What to send of a document that is applied, or was lately, to one that has the texts of these digests; undefined: it is not
-   * here, or too short to be packed.
+   * Payload of a document that is or was recently applied, for a receiver that has the texts with these digests. Undefined when it is
+   * not kept here or is too short to be compressed.
    */
   public shipment(digest: string, bases: readonly string[]): Shipment | undefined {
     return this.packer.shipment(digest, bases);
   }
 
-  /** Long texts of a key that are or were applied here recently, the latest first. */
+  /** Long texts of a document that are or were recently applied here, the latest first. */
   public lateTexts(key: DocumentKey): readonly Readonly<{ digest: string; text: string }>[] {
     return this.packer.texts(key);
   }
@@ -186,71 +188,77 @@
     return this.keys[key].confirmed(revision, digest) !== undefined;
   }
 
-  /** How long ago what is applied of one key was known to be current. */
+  /** How long ago the applied revision of one document was known to be current. */
   public ageOf(key: DocumentKey): number {
     return this.keys[key].ageMicroseconds();
   }
 
-  /** How long ago the applied blueprint and engine list were both known to be current. */
+  /** How long ago the applied configuration and engine list were both known to be current. */
   public ageMicroseconds(): number {
-    // Why the blueprint alone: a list that something outside keeps may be away, and engines go on being used.
+    // Only the configuration counts: a list that an external service keeps may be unavailable while its engines stay in use.
     if (this.engineList === 'listed') return this.keys.blueprint.ageMicroseconds();
     return Math.max(this.keys.blueprint.ageMicroseconds(), this.keys.engines.ageMicroseconds());
   }
 
   public wanted(): readonly Readonly<{ key: DocumentKey; revision: number; digest: string }>[] {
-    return (Object.entries(this.keys) as readonly (readonly [DocumentKey, KeyFreshness])[]).flatMap(
+    return (Object.entries(this.keys) as readonly (readonly [DocumentKey, DocumentFreshness])[]).flatMap(
       ([key, { wanted }]) => (wanted === undefined ? [] : [{ key, revision: wanted.revision, digest: wanted.digest }]),
     );
   }
 
   public weightsSince(service: string): WeightsSince | undefined {
-    return this.since[service];
+    return this.weightsByService[service];
   }
 
-  /** `askedMicroseconds` is when this daemon asked; whatever came later on the way only adds to the age. */
+  /**
+   * Takes a statement of a peer. `askedMicroseconds` is when this daemon sent the request, so the time that the answer took only adds to
+   * the age.
+   */
   public hear(statement: Statement, askedMicroseconds: number): void {
-    const onTheWay = this.clock.nowMicroseconds() - askedMicroseconds;
+    const transitMicroseconds = this.clock.nowMicroseconds() - askedMicroseconds;
     this.keys[statement.key].confirm({
       revision: statement.revision,
       digest: statement.digest,
       asOfMicroseconds: askedMicroseconds - statement.ageMicroseconds,
     });
     if (statement.key !== 'blueprint' || statement.revision < this.sinceRevision) return;
-    // Why kept: a daemon that has heard of a later revision names no weights for the one it applies, and that says nothing of them.
+    // What is known is kept: a daemon that knows of a later revision reports no weights for the one it applies, which does not mean that
+    // there are none.
     if (Object.keys(statement.weights).length === 0) return;
     const same = statement.revision === this.sinceRevision;
     this.sinceRevision = statement.revision;
     const next: Record<string, WeightsSince> = {};
-    for (const [service, word] of Object.entries(statement.weights)) {
+    for (const [service, reported] of Object.entries(statement.weights)) {
       const heard: WeightsSince = {
-        weights: word.weights,
-        previous: word.previous,
-        sinceMicroseconds: word.ageMicroseconds === null ? null : askedMicroseconds - word.ageMicroseconds,
+        weights: reported.weights,
+        previous: reported.previous,
+        sinceMicroseconds: reported.ageMicroseconds === null ? null : askedMicroseconds - reported.ageMicroseconds,
       };
-      const before = this.since[service];
+      const before = this.weightsByService[service];
       next[service] =
-        before !== undefined && before.weights === heard.weights ? earlier(before, heard, onTheWay) : heard;
+        before !== undefined && before.weights === heard.weights
+          ? mergeWeightsSince(before, heard, transitMicroseconds)
+          : heard;
     }
-    this.since = same ? { ...this.since, ...next } : next;
+    this.weightsByService = same ? { ...this.weightsByService, ...next } : next;
   }
 
   public give(body: SentBody): boolean {
-    const isGiven = this.keys[body.key].give(body);
-    const applied = isGiven ? this.applied(body.key) : undefined;
+    const isApplied = this.keys[body.key].apply(body);
+    const applied = isApplied ? this.applied(body.key) : undefined;
     if (applied !== undefined) this.packer.keep(applied);
-    return isGiven;
+    return isApplied;
   }
 
   public statements(): readonly Statement[] {
     const now = this.clock.nowMicroseconds();
     const weights = Object.fromEntries(
-      Object.entries(this.since).map(([service, { weights: name, previous, sinceMicroseconds }]) => [
+      Object.entries(this.weightsByService).map(([service, { weights: name, previous, sinceMicroseconds }]) => [
         service,
         { weights: name, previous, ageMicroseconds: sinceMicroseconds === null ? null : now - sinceMicroseconds },
       ]),
     );
-    return (Object.entries(this.keys) as readonly (readonly [DocumentKey, KeyFreshness])[]).flatMap(
+    return (Object.entries(this.keys) as readonly (readonly [DocumentKey, DocumentFreshness])[]).flatMap(
       ([key, { applied }]) =>
         applied === undefined
           ? []
@@ -268,14 +276,14 @@
 }
 
 /**
- * Of two words on the same weights: a known time before an unknown one, the earlier of two known ones. Why only one that is earlier
- * by more than the word was on its way: daemons tell each other what they were told, and each time it would get older by that. Which
- * weights were before is taken from either: a control node that joined lately does not know it.
+ * Merges two reports on the same weights: a known time wins over an unknown one, and the earlier of two known times wins. A time is only
+ * replaced by one that is earlier by more than the transit time of the report, because daemons pass reports on and each hop makes them
+ * older by that time. The previous weights are taken from either report, because a control node that joined recently does not know them.
  */
-const earlier = (known: WeightsSince, heard: WeightsSince, onTheWayMicroseconds: number): WeightsSince => {
-  const isKnown =
+const mergeWeightsSince = (known: WeightsSince, heard: WeightsSince, transitMicroseconds: number): WeightsSince => {
+  const keepsKnown =
     heard.sinceMicroseconds === null ||
-    (known.sinceMicroseconds !== null && known.sinceMicroseconds <= heard.sinceMicroseconds + onTheWayMicroseconds);
-  const [first, second] = isKnown ? [known, heard] : [heard, known];
+    (known.sinceMicroseconds !== null && known.sinceMicroseconds <= heard.sinceMicroseconds + transitMicroseconds);
+  const [first, second] = keepsKnown ? [known, heard] : [heard, known];
   return { ...first, previous: first.previous ?? second.previous };
 };
--- a/source/shared/freshness/textDelta.ts
+++ b/source/shared/freshness/textDelta.ts
@@ -1,14 +1,15 @@
 /**
- * What changed between two texts of one document, in pieces that end with an item of a list. Most changes touch a few of many
- * items, and a receiver that has the text before needs those alone.
+ * Delta between two texts of one document, in pieces that end at the end of a list item. Most changes touch a few of many items, and a
+ * receiver that has the base text needs only those.
  */
 
-/** Pieces of the text before that stand unchanged: the place of the first one, and how many. */
+/** Consecutive unchanged pieces of the base text: the index of the first one and their number. */
 type Run = readonly [first: number, count: number];
+/** The pieces of the new text in order: literal text or a run of the base text. */
 export type TextDelta = readonly (string | Run)[];
 
-/** Starting value, ours: a delta of more steps says less than the text itself. */
-const mostSteps = 100_000;
+/** Limit on received deltas: a delta of more steps has no advantage over the whole text. */
+const maxSteps = 100_000;
 
 const itemEnd = '},';
 
@@ -27,26 +28,26 @@
   Array.isArray(value) && value.length === 2 && value.every((item) => Number.isSafeInteger(item) && item >= 0);
 
 export const TextDeltas = {
-  /** How to make `after` from `before`. */
+  /** The delta that makes `after` from `before`. */
   between: (before: string, after: string): TextDelta => {
     const old = piecesOf(before);
-    const places = new Map(old.map((piece, place) => [piece, place]));
+    const indexes = new Map(old.map((piece, index) => [piece, index]));
     const steps: (string | [number, number])[] = [];
     for (const piece of piecesOf(after)) {
       const last = steps.at(-1);
       const next = last === undefined || typeof last === 'string' ? -1 : last[0] + last[1];
-      // Why the one that follows first: equal pieces may stand at several places.
-      const place = next >= 0 && old[next] === piece ? next : places.get(piece);
-      if (place === undefined) steps.push(typeof last === 'string' ? `${String(steps.pop())}${piece}` : piece);
-      else if (last !== undefined && typeof last !== 'string' && place === next) last[1] += 1;
-      else steps.push([place, 1]);
+      // The piece after the current run is tried first, because equal pieces may occur at several indexes.
+      const index = next >= 0 && old[next] === piece ? next : indexes.get(piece);
+      if (index === undefined) steps.push(typeof last === 'string' ? `${String(steps.pop())}${piece}` : piece);
+      else if (last !== undefined && typeof last !== 'string' && index === next) last[1] += 1;
+      else steps.push([index, 1]);
     }
     return steps;
   },
 
-  /** The text after; undefined: this is no delta of that text. What comes out is checked by its digest. */
+  /** Applies a delta; undefined when it does not fit the base text. The caller checks the result by its digest. */
   applied: (before: string, delta: unknown): string | undefined => {
-    if (!Array.isArray(delta) || delta.length > mostSteps) return undefined;
+    if (!Array.isArray(delta) || delta.length > maxSteps) return undefined;
     const old = piecesOf(before);
     const made: string[] = [];
     for (const step of delta as readonly unknown[]) {
--- a/source/shared/loads/loadSums.ts
+++ b/source/shared/loads/loadSums.ts
@@ -1,23 +1,23 @@
 /**
- * Loads of many proxies added up by engine, class and service. What a proxy needs to know of the others is these sums, and their size goes
- * by the number of engines, whatever the number of proxies.
+ * Sums of the loads of many proxies by engine, class and service. A proxy needs only these sums of the others, and their size grows with
+ * the number of engines and not with the number of proxies.
  */
 import type { LoadFact } from '../news/factTypes';
 
-/** What is added up, each by its own names. */
+/** The tables of sums; the rows of each table have their own kind of name. */
 export const loadTables = ['engines', 'failing', 'answering', 'classes', 'waiting', 'mixes'] as const;
 export type LoadTable = (typeof loadTables)[number];
 
-/** Numbers that are added up place by place; what each place counts is told by the functions of `LoadSums`. */
+/** Numbers that are summed element by element. The functions of this module define what each element counts. */
 export type LoadVector = readonly number[];
 export type LoadRow = Readonly<{ table: LoadTable; name: string; vector: LoadVector }>;
 
 /** Sums by table and name; a name that is missing counts as zero. */
 export type LoadSumTables = Readonly<Record<LoadTable, ReadonlyMap<string, LoadVector>>>;
 
-type GrowingTables = Readonly<Record<LoadTable, Map<string, LoadVector>>>;
+type MutableTables = Readonly<Record<LoadTable, Map<string, LoadVector>>>;
 
-const noTables = (): GrowingTables => ({
+const emptyTables = (): MutableTables => ({
   engines: new Map(),
   failing: new Map(),
   answering: new Map(),
@@ -26,7 +26,7 @@
   mixes: new Map(),
 });
 
-/** Names come from elsewhere, and some stand in every record. */
+/** Names are received from peers, and some of them could be members of Object.prototype. */
 const ownValue = <Value>(record: Readonly<Record<string, Value>>, name: string): Value | undefined =>
   Object.hasOwn(record, name) ? record[name] : undefined;
 
@@ -37,10 +37,10 @@
       const [reading, tokens] = ownValue(work, name) ?? [0, 0];
       return { table: 'engines', name, vector: [sends, reading, tokens] };
     }),
-    ...Object.entries(failing).map(([name, [failed, good, tellers = 1]]): LoadRow => ({
+    ...Object.entries(failing).map(([name, [failed, good, proxies = 1]]): LoadRow => ({
       table: 'failing',
       name,
-      vector: [failed, good, tellers],
+      vector: [failed, good, proxies],
     })),
     ...answering.map((name): LoadRow => ({ table: 'answering', name, vector: [1] })),
     ...Object.entries(classes).map(([name, running]): LoadRow => ({ table: 'classes', name, vector: [running] })),
@@ -53,8 +53,8 @@
   ];
 };
 
-const added = (left: LoadVector | undefined, right: LoadVector, sign: 1 | -1): LoadVector =>
-  right.map((value, place) => (left?.[place] ?? 0) + sign * value);
+const addVectors = (left: LoadVector | undefined, right: LoadVector, sign: 1 | -1): LoadVector =>
+  right.map((value, index) => (left?.[index] ?? 0) + sign * value);
 
 const recordOf = <Value>(
   table: ReadonlyMap<string, LoadVector>,
@@ -63,31 +63,31 @@
   Object.fromEntries([...table].map(([name, vector]) => [name, valueOf(vector)] as const));
 
 export const LoadSums = {
-  none: (): LoadSumTables => noTables(),
+  none: (): LoadSumTables => emptyTables(),
 
   of: (loads: readonly LoadFact[]): LoadSumTables => {
-    const sums = noTables();
+    const sums = emptyTables();
     for (const load of loads)
       for (const { table, name, vector } of rowsOf(load))
-        sums[table].set(name, added(sums[table].get(name), vector, 1));
+        sums[table].set(name, addVectors(sums[table].get(name), vector, 1));
     return sums;
   },
 
-  /** Sums without one load that is part of them. Never below zero: the load may have changed since it was counted. */
+  /** Subtracts one load from sums that include it. Never below zero, because the load may have changed since it was counted. */
   without: (sums: LoadSumTables, load: LoadFact): LoadSumTables => {
-    const left = noTables();
+    const left = emptyTables();
     for (const table of loadTables) for (const [name, vector] of sums[table]) left[table].set(name, vector);
     for (const { table, name, vector } of rowsOf(load)) {
       const known = left[table].get(name);
       if (known === undefined) continue;
-      const rest = added(known, vector, -1).map((value) => Math.max(0, value));
+      const rest = addVectors(known, vector, -1).map((value) => Math.max(0, value));
       if (rest.some((value) => value > 0)) left[table].set(name, rest);
       else left[table].delete(name);
     }
     return left;
   },
 
-  /** The sums in the form of one load. `agent`: who told them. */
+  /** The sums in the form of one load. `agent`: the agent that sent them. */
   asLoad: (sums: LoadSumTables, agent: string): LoadFact => ({
     agent,
     engines: recordOf(sums.engines, ([sends = 0]) => sends),
@@ -96,7 +96,7 @@
     waiting: recordOf(sums.waiting, ([held = 0]) => held),
     tenants: {},
     mix: recordOf(sums.mixes, ([short = 0, long = 0]) => [short, long] as const),
-    failing: recordOf(sums.failing, ([failed = 0, good = 0, tellers = 0]) => [failed, good, tellers] as const),
+    failing: recordOf(sums.failing, ([failed = 0, good = 0, proxies = 0]) => [failed, good, proxies] as const),
     answering: [...sums.answering.keys()],
   }),
 } as const;
--- a/source/shared/loads/loadUpdates.ts
+++ b/source/shared/loads/loadUpdates.ts
@@ -1,35 +1,36 @@
-/** How an agent tells its proxies the sums of all proxies' loads: what has changed since the last update that a proxy took. */
+/** Updates by which an agent sends its proxies the sums of all proxies' loads: the changes since the last update that a proxy applied. */
 import type { FactVersion } from '../news/facts';
 import { loadTables, type LoadTable, type LoadVector } from './loadSums';
 
-/** Up to which change of whose sums a proxy has everything. A new book counts its changes anew. */
+/** The last change of an agent's sums that a proxy has. `book` identifies the counter, which restarts with the agent. */
 export type LoadPosition = Readonly<{ book: string; change: number }>;
 
+/** Changed sums since a position, or all of them. */
 export type LoadUpdate = Readonly<{
   book: string;
-  /** The change that this update continues; null: it holds everything. */
+  /** The change that this update continues from; null: it holds all sums. */
   from: number | null;
   change: number;
-  /** Rows that changed, by table and name; an empty one is gone. */
+  /** Changed rows by table and name; an empty vector removes the row. */
   rows: Readonly<Partial<Record<LoadTable, Readonly<Record<string, LoadVector>>>>>;
-  /** Names of the proxies that are counted; missing: as before. */
+  /** Names of the proxies that are counted; missing: unchanged. */
   proxies?: readonly string[];
-  /** Proxies that are known to have belonged to the fleet lately. */
+  /** Number of proxies that are known to have belonged to the fleet recently. */
   everSeen: number;
-  /** The version of the asker's own load that is part of the sums; null: none is. */
+  /** The version of the requesting proxy's own load that the sums include; null: none. */
   counted: FactVersion | null;
 }>;
 
-/** Longest vector of any table. */
-const mostPlaces = 8;
+/** Limit on the length of a received vector. */
+const maxElements = 8;
 
 const isRecord = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
 const isVector = (value: unknown): value is LoadVector =>
   Array.isArray(value) &&
-  value.length <= mostPlaces &&
-  value.every((place) => typeof place === 'number' && Number.isFinite(place));
+  value.length <= maxElements &&
+  value.every((element) => typeof element === 'number' && Number.isFinite(element));
 
 const isRows = (value: unknown): value is LoadUpdate['rows'] =>
   isRecord(value) &&
--- a/source/shared/news/factTypes.ts
+++ b/source/shared/news/factTypes.ts
@@ -1,6 +1,8 @@
 import type { FactVersion } from './facts';
 
+/** What the membership protocol knows of an agent; `gone`: it failed, `left`: it announced its leave. */
 export type MemberState = 'alive' | 'suspect' | 'gone' | 'left';
+/** Gossip entry on one agent of the fleet. */
 export type MemberFact = Readonly<{
   name: string;
   zone: string;
@@ -11,7 +13,7 @@
   state: MemberState;
 }>;
 
-/** What a steward last heard from its engine. */
+/** Gossip entry on an engine: the status that its engine controller last received. */
 export type EngineFact = Readonly<{
   engine: string;
   kind: 'engine' | 'store';
@@ -24,59 +26,61 @@
   changing: boolean;
   reachable: boolean;
 }>;
+/** Gossip entry on the lease of an engine: which agent controls it. */
 export type StewardFact = Readonly<{
   engine: string;
-  /** Empty: given up. */
+  /** Empty: the lease was released. */
   holder: string;
   term: number;
-  /** Given up: for so long no directive had left under this term, or any before it. */
+  /** On a released lease: how long no directive had been sent under this term or any earlier one. */
   restMicroseconds?: number;
 }>;
-/** Work of short and of long orders that a proxy placed lately, in hundredths of a second of an engine's time. */
+/** Work of the short and the long requests that a proxy placed recently, in hundredths of a second of engine time. */
 export type WorkMix = readonly [short: number, long: number];
 
-/** What a proxy says of itself, under its own name; the proxy is its author. */
+/** Gossip entry on the load of a proxy, written by the proxy itself. */
 export type LoadFact = Readonly<{
-  /** Name of the agent through which the proxy says it; while that one is gone it does not count. */
+  /** Name of the agent through which the proxy publishes the entry. The entry does not count while that agent is gone. */
   agent: string;
-  /** The agent has not heard the proxy for a while: it counts as gone until it refutes that. */
+  /** The agent has not heard from the proxy for a while: the proxy counts as gone until it refutes that. */
   isSilent?: boolean;
   engines: Readonly<Record<string, number>>;
   classes: Readonly<Record<string, number>>;
   waiting: Readonly<Record<string, number>>;
   tenants: Readonly<Record<string, number>>;
-  /** Tokens that its sends have an engine read before their first events, and tokens of all its sends there. */
+  /** By engine: tokens to be read before the first event of the proxy's open sends, and all tokens of these sends. */
   work?: Readonly<Record<string, readonly [reading: number, tokens: number]>>;
-  /** By pool, faded with time; missing: none was placed lately. */
+  /** By pool, with exponential decay; missing: none was placed recently. */
   mix?: Readonly<Record<string, WorkMix>>;
   /**
-   * Answers that failed lately and good ones, only of engines where some failed; missing: none did anywhere. `tellers`: how many
-   * proxies these are counts of, where several are added up.
+   * Recent failed and successful answers, only of engines with failures; missing: there were none. `proxies`: number of proxies that the
+   * counts include, where several are summed.
    */
-  failing?: Readonly<Record<string, readonly [failed: number, good: number, tellers?: number]>>;
-  /** Engines whose stewards hear nothing of them, and that answered an order here all the same; missing: none. */
+  failing?: Readonly<Record<string, readonly [failed: number, good: number, proxies?: number]>>;
+  /** Engines that their controllers cannot reach but that answered a request here; missing: none. */
   answering?: readonly string[];
 }>;
 
+/** Keys of gossip entries: the kind, a slash and the name. */
 export const FactKeys = {
   member: (name: string): string => `member/${name}`,
   engine: (name: string): string => `engine/${name}`,
   steward: (name: string): string => `steward/${name}`,
   load: (proxy: string): string => `load/${proxy}`,
-  /** What a proxy is asked for most. */
+  /** The prompts that a proxy is asked for most often. */
   demand: (proxy: string): string => `demand/${proxy}`,
-  /** Who reads the list of engines, and places long orders for all. */
+  /** The lease of the agent that reads the list of engines and schedules long requests for the fleet. */
   listDuty: 'duty/list',
 } as const;
 
 const ranks: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, gone: 2, left: 3 };
 
 export const MemberStates = {
-  /** Suspects still count: one watcher's doubt must not move work. */
+  /** Suspected members count as present, so that the suspicion of a single agent does not move work. */
   isPresent: ({ state }: Pick<MemberFact, 'state'>): boolean => state === 'alive' || state === 'suspect',
 } as const;
 
 export const MemberVersions = {
-  /** Within one incarnation worse news stands; a higher incarnation refutes it. */
+  /** Within one incarnation the worse state wins; a higher incarnation refutes it. */
   of: (incarnation: number, state: MemberState): FactVersion => [incarnation, ranks[state]],
 } as const;
--- a/source/shared/news/facts.ts
+++ b/source/shared/news/facts.ts
@@ -1,10 +1,12 @@
 import { createHash } from 'node:crypto';
 
-/** A piece of news with one author at a time and a version that rises. The higher version stands. */
+/** Version of a gossip entry. An entry has one author at a time, who raises the version, and the higher version wins. */
 export type FactVersion = readonly [major: number, minor: number];
+/** One versioned value that is spread by gossip. */
 export type Fact = Readonly<{ key: string; version: FactVersion; value: unknown }>;
-/** By kind, and within a kind by the rest of the key. */
+/** Versions of known entries by kind, and within a kind by the rest of the key. */
 export type FactDigest = Readonly<Record<string, Readonly<Record<string, FactVersion>>>>;
+/** Checksum over the versions of all entries of a kind, by kind. */
 export type FactSums = Readonly<Record<string, string>>;
 
 export const FactLimits = { facts: 20_000, perMessage: 2000 } as const;
@@ -13,24 +15,25 @@
   compare: (left: FactVersion, right: FactVersion): number => left[0] - right[0] || left[1] - right[1],
 } as const;
 
-/** What a fact tells of: the first word of its key. */
+/** The kind of an entry: the first segment of its key. */
 const kindOf = (key: string): string => key.slice(0, Math.max(0, key.indexOf('/')));
 
 export const FactKinds = { of: kindOf } as const;
 
 const allKinds = (): boolean => true;
-/** The rest of the key; all of it where it names no kind. */
+/** The key without its kind; the whole key when it has no kind. */
 const nameOf = (key: string, kind: string): string => (kind === '' ? key : key.slice(kind.length + 1));
 const keyOf = (kind: string, name: string): string => (kind === '' ? name : `${kind}/${name}`);
 
+/** One daemon's gossip entries, with a count of changes, digests and checksums for the exchange with peers. */
 export class FactBook {
   private changeCount = 0;
   private readonly facts = new Map<string, Fact>();
-  /** The facts of each kind, so that what is at rest is neither told nor summed again. */
+  /** Entries by kind, so that a kind without changes is neither sent nor hashed again. */
   private readonly kinds = new Map<string, Map<string, Fact>>();
-  private readonly sumsNow = new Map<string, string>();
+  private readonly checksumsByKind = new Map<string, string>();
   private readonly kindChanges = new Map<string, number>();
-  /** At which change each fact came; in that order. */
+  /** The change at which each entry was last set, in that order. */
   private readonly changedAt = new Map<string, number>();
 
   public get(key: string): Fact | undefined {
@@ -46,30 +49,30 @@
     return [...(kind ?? this.facts).values()].filter(({ key }) => key.startsWith(prefix));
   }
 
-  /** Rises with every change, so that what was worked out from the facts need not be worked out again. */
+  /** Rises with every change, so that values computed from the entries can be cached. */
   public get changes(): number {
     return this.changeCount;
   }
 
-  /** The same for the facts of one kind. */
+  /** The count of changes to entries of one kind. */
   public changesOf(kind: string): number {
     return this.kindChanges.get(kind) ?? 0;
   }
 
-  /** How many facts of one kind are known. */
+  /** Number of known entries of one kind. */
   public countOf(kind: string): number {
     return this.kinds.get(kind)?.size ?? 0;
   }
 
-  /** True when the fact was newer than what was known. */
+  /** Stores an entry. True when it was newer than the known one. */
   public put(fact: Fact): boolean {
     const known = this.facts.get(fact.key);
     if (known !== undefined && FactVersions.compare(fact.version, known.version) <= 0) return false;
-    // Why a bound: news of strangers must not fill the memory.
+    // The number of entries is bounded so that peers cannot exhaust the memory.
     if (known === undefined && this.facts.size >= FactLimits.facts) return false;
     this.facts.set(fact.key, fact);
     this.changeCount += 1;
-    // Why taken out first: what is put in anew stands last.
+    // Deleting first moves the key to the end of the map's order.
     this.changedAt.delete(fact.key);
     this.changedAt.set(fact.key, this.changeCount);
     const kind = kindOf(fact.key);
@@ -93,11 +96,12 @@
     return this.facts.size;
   }
 
-  /** One short sum over the versions of each kind: what has equal sums needs no digest. */
+  /** A short checksum over the versions of each kind; kinds with equal checksums need no digest. */
   public sums(): FactSums {
-    return Object.fromEntries([...this.kinds].map(([kind, facts]) => [kind, this.sumOf(kind, facts)]));
+    return Object.fromEntries([...this.kinds].map(([kind, facts]) => [kind, this.checksumOf(kind, facts)]));
   }
 
+  /** One checksum over all kinds. */
   public sum(): string {
     return createHash('sha256')
       .update(JSON.stringify(Object.entries(this.sums()).sort()))
@@ -105,15 +109,15 @@
       .slice(0, 16);
   }
 
-  /** The versions of those kinds whose sums differ, as far as they are wanted. */
-  public digest(theirs: FactSums = {}, isWanted: (kind: string) => boolean = allKinds): FactDigest {
+  /** The versions of the wanted kinds whose checksums differ from the peer's. */
+  public digest(peerSums: FactSums = {}, isWanted: (kind: string) => boolean = allKinds): FactDigest {
     const differing = [...this.kinds].filter(
-      ([kind, facts]) => isWanted(kind) && this.sumOf(kind, facts) !== theirs[kind],
+      ([kind, facts]) => isWanted(kind) && this.checksumOf(kind, facts) !== peerSums[kind],
     );
     return Object.fromEntries(
-      // Why those without facts too: the other side has some, and must be told that they are unknown here.
+      // Kinds without entries are included, because the peer has some and must learn that they are unknown here.
       [
-        ...Object.keys(theirs)
+        ...Object.keys(peerSums)
           .filter((kind) => !this.kinds.has(kind) && isWanted(kind))
           .map((kind) => [kind, {}] as const),
       ].concat(
@@ -125,7 +129,7 @@
     );
   }
 
-  /** What this book has that the digest lacks; `kinds`: those that it tells of, if it is not of all. */
+  /** Entries that are newer than the digest or missing in it; `kinds`: the kinds that the digest covers, if not all. */
   public newerThan(digest: FactDigest, kinds: Iterable<string> = this.kinds.keys()): readonly Fact[] {
     const newer: Fact[] = [];
     for (const kind of kinds)
@@ -137,17 +141,17 @@
     return newer;
   }
 
-  /** What came after a change of this book, the earliest first, and up to which change that is all. */
+  /** Entries that were set after a change of this store, the earliest first, and the change up to which they are complete. */
   public changedSince(
     change: number,
-    most: number = FactLimits.perMessage,
+    maxEntries: number = FactLimits.perMessage,
     isWanted: (kind: string) => boolean = allKinds,
   ): Readonly<{ facts: readonly Fact[]; change: number }> {
     const found: Fact[] = [];
     let upTo = change;
     for (const [key, at] of this.changedAt) {
       if (at <= change || !isWanted(kindOf(key))) continue;
-      if (found.length >= most) return { facts: found, change: upTo };
+      if (found.length >= maxEntries) return { facts: found, change: upTo };
       const fact = this.facts.get(key);
       if (fact !== undefined) found.push(fact);
       upTo = at;
@@ -155,7 +159,7 @@
     return { facts: found, change: this.changeCount };
   }
 
-  /** What the digest has that this book lacks. */
+  /** Keys of entries that the digest has in a newer version than this store. */
   public lacks(digest: FactDigest): readonly string[] {
     const keys = Object.entries(digest).flatMap(([kind, versions]) =>
       Object.entries(versions).flatMap(([name, version]) => {
@@ -168,16 +172,16 @@
   }
 
   private changed(kind: string): void {
-    this.sumsNow.delete(kind);
+    this.checksumsByKind.delete(kind);
     this.kindChanges.set(kind, this.changesOf(kind) + 1);
   }
 
-  private sumOf(kind: string, facts: ReadonlyMap<string, Fact>): string {
-    const known = this.sumsNow.get(kind);
+  private checksumOf(kind: string, facts: ReadonlyMap<string, Fact>): string {
+    const known = this.checksumsByKind.get(kind);
     if (known !== undefined) return known;
-    const lines = [...facts.values()].map(({ key, version }) => `${key}@${version[0]}.${version[1]}`).sort();
-    const sum = createHash('sha256').update(lines.join('\n')).digest('hex').slice(0, 12);
-    this.sumsNow.set(kind, sum);
+    const versionLines = [...facts.values()].map(({ key, version }) => `${key}@${version[0]}.${version[1]}`).sort();
+    const sum = createHash('sha256').update(versionLines.join('\n')).digest('hex').slice(0, 12);
+    this.checksumsByKind.set(kind, sum);
     return sum;
   }
 }
@@ -187,6 +191,7 @@
 const isRecord = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
+/** Checks of received gossip messages. */
 export const Facts = {
   isList: (value: unknown): value is readonly Fact[] =>
     Array.isArray(value) &&
--- a/source/shared/news/newsExchange.ts
+++ b/source/shared/news/newsExchange.ts
@@ -12,6 +12,7 @@
 
 import type { FleetName } from '../fleet/fleetName';
 
+/** The state that the exchange keeps in step with peers. */
 export type NewsParts = Readonly<{
   fleet: FleetName;
   facts: FactBook;
@@ -21,51 +22,51 @@
 }>;
 type Revisions = Readonly<Partial<Record<DocumentKey, number>>>;
 
-/** Up to which change of whose book a follower has everything. */
-type Follows = Readonly<{ book: string; change: number }>;
-const isFollows = (value: unknown): value is Follows => {
-  const { book, change } = (value ?? {}) as Partial<Follows>;
+/** The last change of a peer's gossip store that a follower has. `book` identifies the store. */
+type FollowPosition = Readonly<{ book: string; change: number }>;
+const isFollowPosition = (value: unknown): value is FollowPosition => {
+  const { book, change } = (value ?? {}) as Partial<FollowPosition>;
   return typeof book === 'string' && Number.isSafeInteger(change);
 };
 
-/** How many entries of one kind an asker takes at a time. */
-const entriesFor = ({ mostEntries: wanted }: Message): number =>
-  typeof wanted === 'number' && wanted >= 1 ? Math.min(mostEntries, wanted) : mostEntries;
+/** Limit of the requesting peer on entries of one kind in one answer. */
+const requestedEntries = ({ mostEntries: requested }: Message): number =>
+  typeof requested === 'number' && requested >= 1 ? Math.min(maxEntriesPerAnswer, requested) : maxEntriesPerAnswer;
 
-/** Which kinds of facts an asker wants: all but those that it names. */
+/** The kinds of entries that the requesting peer wants: all except those that it names. */
 const wantedBy = ({ omits }: Message): ((kind: string) => boolean) => {
   const omitted = new Set(Array.isArray(omits) ? (omits as readonly unknown[]) : []);
   return (kind) => !omitted.has(kind);
 };
 
 /**
- * `mutual`: each gives the other what it lacks. `following`: the asker takes what came since it last asked, in one answer;
- * it is for those who have little news of their own.
+ * `mutual`: both sides send each other what is missing. `following`: one answer brings the changes since the last request; it suits
+ * daemons that write few entries themselves.
  */
 export type ExchangeManner = 'mutual' | 'following';
 
-/** Entries of one kind in one answer, where the asker says no less. */
-const mostEntries = 5000;
+/** Entries of one kind in one answer, unless the requesting peer sets a lower limit. */
+const maxEntriesPerAnswer = 5000;
 
-/** A follower has few that it follows at a time; the longest unheard are begun anew. */
-const mostFollowed = 8;
+/** Peers that are followed at a time. The one that was followed least recently is dropped, and starts again with a full exchange. */
+const maxFollowedPeers = 8;
 
 /**
- * One exchange of news: the asker says sums of what it has; the answer brings versions where they differ, and then each
- * side gives the other what it lacks. Agents do it with their few colleagues. Each proxy follows its agent: once they have
- * met, it is told what has changed in the agent's book since, by the number of the change.
+ * Anti-entropy gossip. A request carries checksums; the answer carries versions where the checksums differ, and then each side sends the
+ * other what is missing. Agents exchange with a few peer agents. A proxy follows its agent: after a first exchange it receives the
+ * changes to the agent's store since the last change that it has, by the number of the change.
  */
 export class NewsExchange {
-  /** Why a name: a book of an agent that started anew counts its changes anew. */
+  /** Random identifier of this store, because the count of changes restarts when the agent restarts. */
   private readonly book: string;
-  private readonly followed = new Map<string, Follows>();
+  private readonly followed = new Map<string, FollowPosition>();
   private readonly transfers: BodyTransfers;
-  private readonly paces = new AnswerPaces();
+  private readonly batchSizes = new AnswerPaces();
 
   public constructor(
     private readonly parts: NewsParts,
     private readonly effects: Effects,
-    /** Hears of each long document that has come. */
+    /** Called for each long document that was received. */
     received?: (document: ReceivedDocument) => void,
   ) {
     this.book = effects.random.name();
@@ -73,8 +74,8 @@
   }
 
   /**
-   * Asks one colleague. False when it stayed silent. `extra` and `onAnswer` carry what only one pair says. `patienceMicroseconds`: a
-   * first answer that comes after the limit, but not later than this, is taken too.
+   * Exchanges with one peer. False when it did not answer. `extra` and `onAnswer` carry additional data of one pair of daemons.
+   * `patienceMicroseconds`: a first answer that arrives after the limit, but within this time, is accepted too.
    */
   public async ask(
     address: string,
@@ -85,74 +86,75 @@
     patienceMicroseconds = limitMicroseconds,
   ): Promise<boolean> {
     const { facts, shards } = this.parts;
-    const asked = this.effects.clock.nowMicroseconds();
+    const askedMicroseconds = this.effects.clock.nowMicroseconds();
     const follows = manner === 'following' ? this.followed.get(address) : undefined;
-    const pace = this.paces.of(address);
-    const opening = {
+    const batchSize = this.batchSizes.of(address);
+    const request = {
       kind: 'news',
       ...(follows === undefined ? { sums: facts.sums() } : {}),
       ...(manner === 'following' ? { follows: follows ?? null } : {}),
       marks: shards.marks(),
       revisions: this.revisions(),
       takesParts: true,
-      mostEntries: pace.amount,
+      mostEntries: batchSize.amount,
       ...extra,
     };
-    const answer = await this.effects.transport.ask(address, opening, patienceMicroseconds);
+    const answer = await this.effects.transport.ask(address, request, patienceMicroseconds);
     if (answer.kind !== 'answered' || answer.message.kind !== 'newsBack') {
       this.transfers.silent(address);
-      pace.silent();
+      batchSize.silent();
       return false;
     }
-    pace.answered(this.effects.clock.nowMicroseconds() - asked, limitMicroseconds);
+    batchSize.answered(this.effects.clock.nowMicroseconds() - askedMicroseconds, limitMicroseconds);
     const message = answer.message;
     onAnswer(message);
-    // Why deaf until then: who does not know its own fleet cannot tell whose news this is.
-    if (!this.isOurs(message)) return true;
-    this.take(message, asked);
+    // Ignored until this daemon knows its own fleet, because it cannot tell before which fleet the message belongs to.
+    if (!this.isFromOwnFleet(message)) return true;
+    this.applyMessage(message, askedMicroseconds);
     this.transfers.answered(address, (message['revisions'] ?? {}) as Revisions);
-    const follow = isFollows(message['follow']) ? message['follow'] : undefined;
+    const follow = isFollowPosition(message['follow']) ? message['follow'] : undefined;
     if (follow === undefined) this.followed.delete(address);
-    // Why no more to a keeper asked as a seed: it keeps no news, and tells no versions.
+    // A control node that was contacted as a seed keeps no gossip entries and sends no versions, so there is nothing more to exchange.
     if (!Facts.isDigest(message['digest']) && follow === undefined) return true;
-    const lacks = this.lacking(message, pace.amount);
+    const lacks = this.lacking(message, batchSize.amount);
     const wanted = Facts.isDigest(message['digest']) ? facts.lacks(message['digest']) : [];
     if (lacks === undefined && wanted.length === 0) {
       this.follow(address, follow);
       return true;
     }
-    const wants = wanted.slice(0, pace.amount);
+    const wants = wanted.slice(0, batchSize.amount);
     const more = await this.effects.transport.ask(address, { ...lacks, kind: 'newsMore', wants }, limitMicroseconds);
-    if (more.kind !== 'answered') pace.silent();
-    if (more.kind !== 'answered' || !this.isOurs(more.message)) return true;
-    this.takeFacts(more.message);
-    // Why not where some may be left: a follower is never told again of what came before.
+    if (more.kind !== 'answered') batchSize.silent();
+    if (more.kind !== 'answered' || !this.isFromOwnFleet(more.message)) return true;
+    this.applyEntries(more.message);
+    // Follows only once nothing is left, because a follower is not sent earlier changes again.
     if (wants.length === wanted.length && wanted.length < FactLimits.perMessage) this.follow(address, follow);
     return true;
   }
 
-  private follow(address: string, follow: Follows | undefined): void {
+  private follow(address: string, follow: FollowPosition | undefined): void {
     if (follow === undefined) return;
     this.followed.delete(address);
     this.followed.set(address, follow);
     const [oldest] = this.followed.keys();
-    if (this.followed.size > mostFollowed && oldest !== undefined) this.followed.delete(oldest);
+    if (this.followed.size > maxFollowedPeers && oldest !== undefined) this.followed.delete(oldest);
   }
 
+  /** Answers the request of a peer. */
   public answer(message: Message): Message {
     const { shards, freshness, pulses } = this.parts;
-    const theirs = (message['marks'] ?? {}) as ShardMarkBook;
+    const peerMarks = (message['marks'] ?? {}) as ShardMarkBook;
     return {
       kind: 'newsBack',
       statements: freshness.statements(),
       pulses: pulses.say(),
       ...this.factsFor(message),
-      // Why only those: of the others the asker has nothing that is lacked here.
-      marks: shards.marksBehind(theirs),
+      // Only the positions of shards of which the requesting peer has changes that are missing here.
+      marks: shards.marksBehind(peerMarks),
       revisions: this.revisions(),
       takesParts: true,
       bodies: this.bodiesFor(message),
-      shards: shards.since(theirs, entriesFor(message)).map(ShardChangeCodec.pack),
+      shards: shards.since(peerMarks, requestedEntries(message)).map(ShardChangeCodec.pack),
     };
   }
 
@@ -160,38 +162,40 @@
     const { facts } = this.parts;
     const { follows, sums } = message;
     const wanted = wantedBy(message);
-    if (isFollows(follows) && follows.book === this.book && follows.change <= facts.changes) {
+    if (isFollowPosition(follows) && follows.book === this.book && follows.change <= facts.changes) {
       const { facts: changed, change } = facts.changedSince(
         follows.change,
-        Math.min(FactLimits.perMessage, entriesFor(message)),
+        Math.min(FactLimits.perMessage, requestedEntries(message)),
         wanted,
       );
       return {
         digest: null,
-        facts: [...changed, ...this.refuted(message, wanted)],
+        facts: [...changed, ...this.refutations(message, wanted)],
         follow: { book: this.book, change },
       };
     }
     const follow = follows === undefined ? {} : { follow: { book: this.book, change: facts.changes } };
-    // Why nothing to one that follows another book: it told no sums, and begins anew with its next ask.
+    // A peer that follows an earlier store sent no checksums. It receives no entries and starts over with its next request.
     if (!Facts.isSums(sums)) return { digest: null };
-    return { digest: facts.digest(sums, wanted), facts: this.refuted(message, wanted), ...follow };
+    return { digest: facts.digest(sums, wanted), facts: this.refutations(message, wanted), ...follow };
   }
 
-  /** Facts that the asker is the author of and does not want in general, where a later version than the one it says is known. */
-  private refuted({ facts: said }: Message, wanted: (kind: string) => boolean): readonly Fact[] {
-    if (!Facts.isList(said)) return [];
-    return said.flatMap(({ key, version }) => {
+  /** Entries of unwanted kinds that the requesting peer wrote itself and of which a later version than the sent one is known here. */
+  private refutations({ facts: sent }: Message, wanted: (kind: string) => boolean): readonly Fact[] {
+    if (!Facts.isList(sent)) return [];
+    return sent.flatMap(({ key, version }) => {
       const known = this.parts.facts.get(key);
       const isLater = known !== undefined && FactVersions.compare(known.version, version) > 0;
       return isLater && !wanted(FactKinds.of(key)) ? [known] : [];
     });
   }
 
-  /** News pushed on after an exchange. It brings bodies and facts, but no statements: those must be asked for. */
+  /**
+   * Takes what a peer pushes after an exchange: bodies and entries, but no statements, whose age is only known in the answer to a request.
+   */
   public more(message: Message): Message {
-    if (!this.isOurs(message)) return { kind: 'heard' };
-    this.take({ ...message, statements: [], pulses: [] }, this.effects.clock.nowMicroseconds());
+    if (!this.isFromOwnFleet(message)) return { kind: 'heard' };
+    this.applyMessage({ ...message, statements: [], pulses: [] }, this.effects.clock.nowMicroseconds());
     const wants = Facts.isKeys(message['wants']) ? message['wants'] : [];
     return { kind: 'heard', facts: wants.flatMap((key) => this.parts.facts.get(key) ?? []) };
   }
@@ -200,18 +204,18 @@
     return Object.fromEntries(DocumentKeys.map((key) => [key, this.parts.freshness.revision(key)]));
   }
 
-  private isOurs(message: Message): boolean {
+  private isFromOwnFleet(message: Message): boolean {
     return this.parts.fleet.name !== '' && message['fleet'] === this.parts.fleet.name;
   }
 
-  /** A part of a document that another daemon asks for. */
+  /** Answers a request for a part of a document. */
   public part(message: Message): Message {
     return BodyParts.answer(this.parts.freshness, message);
   }
 
   /**
-   * What the one that said its revisions lacks. Long documents are left out for those that ask for them in parts: an answer that
-   * holds one may take longer than its asker waits, and asked for again it would only take longer still.
+   * Bodies of the revisions that the peer lacks. Long documents are left out for peers that request them in parts: an answer with a long
+   * document may take longer than the time limit of the request, and repeated requests would make it take longer still.
    */
   private bodiesFor(message: Message): readonly SentBody[] {
     const theirs = (message['revisions'] ?? {}) as Revisions;
@@ -222,10 +226,10 @@
     });
   }
 
-  /** What the one that sent these versions, marks and revisions lacks. */
+  /** What the peer that sent these versions, positions and revisions lacks. */
   private lacking(
     message: Message,
-    most: number,
+    maxEntries: number,
   ):
     | Readonly<{ facts: readonly Fact[]; bodies: readonly SentBody[]; shards: readonly PackedShardChange[] }>
     | undefined {
@@ -234,13 +238,13 @@
       ? facts.newerThan(message['digest'], Object.keys(message['digest']))
       : [];
     const bodies = this.bodiesFor(message);
-    const changes = shards.sinceOf((message['marks'] ?? {}) as ShardMarkBook, most);
+    const changes = shards.sinceOf((message['marks'] ?? {}) as ShardMarkBook, maxEntries);
     return newer.length === 0 && bodies.length === 0 && changes.length === 0
       ? undefined
       : { facts: newer, bodies, shards: changes.map(ShardChangeCodec.pack) };
   }
 
-  private take(message: Message, askedMicroseconds: number): void {
+  private applyMessage(message: Message, askedMicroseconds: number): void {
     const { shards, freshness, pulses } = this.parts;
     pulses.hear(message['pulses'], askedMicroseconds);
     const statements = message['statements'];
@@ -248,14 +252,14 @@
     const bodies = message['bodies'];
     if (Array.isArray(bodies))
       for (const body of bodies as readonly unknown[]) if (Statements.isBody(body)) freshness.give(body);
-    this.takeFacts(message);
+    this.applyEntries(message);
     const changes = message['shards'];
     if (Array.isArray(changes))
       for (const change of changes.filter(ShardChangeCodec.is)) shards.apply(ShardChangeCodec.unpack(change));
   }
 
-  private takeFacts(message: Message): void {
-    const news = message['facts'];
-    if (Facts.isList(news)) for (const fact of news) this.parts.facts.put(fact);
+  private applyEntries(message: Message): void {
+    const received = message['facts'];
+    if (Facts.isList(received)) for (const fact of received) this.parts.facts.put(fact);
   }
 }
--- a/source/shared/news/pulses.ts
+++ b/source/shared/news/pulses.ts
@@ -1,33 +1,37 @@
 import type { Clock } from '../effects/clock/clock';
 
-/** "The steward saw this holder under (term, epoch)", with the age of that look. Like statements, it must be asked for. */
+/**
+ * States that the engine controller reached this holder under (term, epoch), with the age of that contact. Like statements, it is only
+ * accepted in answers to requests, which bound its age.
+ */
 export type Pulse = Readonly<{ holder: string; term: number; epoch: number; ageMicroseconds: number }>;
 
-type Heard = Readonly<{ term: number; epoch: number; asOfMicroseconds: number }>;
+type Contact = Readonly<{ term: number; epoch: number; asOfMicroseconds: number }>;
 
 export const PulseLimits = {
-  /** Kept blocks are named, or imported, only under a look no older than this. */
+  /** Cached blocks are referenced or imported only if the last contact is not older than this. */
   freshMicroseconds: 1_000_000,
-  /** So long after fencing an engine its steward lets it change weights: by then nobody names its old blocks. */
+  /** Time between fencing an engine and letting it change weights; after it nobody references the old blocks any more. */
   quietMicroseconds: 1_300_000,
   holders: 4096,
 } as const;
 
-const later = (left: Heard, right: Heard): boolean =>
+const isLater = (left: Contact, right: Contact): boolean =>
   left.term - right.term > 0 ||
   (left.term === right.term &&
     (left.epoch > right.epoch || (left.epoch === right.epoch && left.asOfMicroseconds > right.asOfMicroseconds)));
 
-/** How recently each holder was seen by its steward, as far as this daemon can prove. */
+/** When each holder was last reached by its engine controller, as far as this daemon can prove. */
 export class Pulses {
-  private readonly heard = new Map<string, Heard>();
+  private readonly heard = new Map<string, Contact>();
 
   public constructor(private readonly clock: Clock) {}
 
   public saw(holder: string, term: number, epoch: number, asOfMicroseconds: number): void {
-    const next: Heard = { term, epoch, asOfMicroseconds };
+    const next: Contact = { term, epoch, asOfMicroseconds };
     const known = this.heard.get(holder);
-    if (known === undefined ? this.heard.size < PulseLimits.holders : later(next, known)) this.heard.set(holder, next);
+    if (known === undefined ? this.heard.size < PulseLimits.holders : isLater(next, known))
+      this.heard.set(holder, next);
   }
 
   public hear(pulses: unknown, askedMicroseconds: number): void {
@@ -55,7 +59,7 @@
     }));
   }
 
-  /** How long ago the holder was last seen to answer, under whatever epoch. */
+  /** How long ago the holder last answered its controller, under any epoch. */
   public ageMicroseconds(holder: string): number {
     const known = this.heard.get(holder);
     return known === undefined ? Infinity : this.clock.nowMicroseconds() - known.asOfMicroseconds;
--- a/source/shared/pace/answerPace.ts
+++ b/source/shared/pace/answerPace.ts
@@ -1,49 +1,50 @@
 /**
- * How much is asked of one daemon at a time, learned from how fast its answers come. Where many share a thin link an answer that holds
- * all that is new takes longer than its asker waits, and is sent in vain; in small answers everything comes, a little later.
+ * Adapts how much is requested from one daemon at a time to the speed of its answers. Where many daemons share a slow link, an answer with
+ * everything new takes longer than the time limit of the request and is wasted; in small answers everything arrives, a little later.
  */
 
-/** Bounds of what is asked for at a time, and which answers are fast and slow, as parts of the limit of an ask. */
+/** Bounds of the amount requested at a time, and which answers count as fast and slow, as fractions of the time limit of a request. */
 export type PaceBounds = Readonly<{ least: number; first: number; most: number; fastPart: number; slowPart: number }>;
 
-/** Starting values, ours: entries of one kind in one answer. */
+/** Entries of one kind in one answer. */
 export const entryPace: PaceBounds = { least: 20, first: 100, most: 200, fastPart: 0.2, slowPart: 0.5 };
 
-/** How much the next answer should hold: twice as much after a fast one, half after a slow one, the least after silence. */
+/** The amount to request next: doubled after a fast answer, halved after a slow one, the minimum after a timeout. */
 export class AnswerPace {
-  private wanted: number;
+  private currentAmount: number;
 
   public constructor(private readonly bounds: PaceBounds = entryPace) {
-    this.wanted = bounds.first;
+    this.currentAmount = bounds.first;
   }
 
   public get amount(): number {
-    return this.wanted;
+    return this.currentAmount;
   }
 
   public answered(tookMicroseconds: number, limitMicroseconds: number): void {
     const { least, most, fastPart, slowPart } = this.bounds;
-    if (tookMicroseconds <= limitMicroseconds * fastPart) this.wanted = Math.min(most, this.wanted * 2);
-    else if (tookMicroseconds >= limitMicroseconds * slowPart) this.wanted = Math.max(least, this.wanted / 2);
+    if (tookMicroseconds <= limitMicroseconds * fastPart) this.currentAmount = Math.min(most, this.currentAmount * 2);
+    else if (tookMicroseconds >= limitMicroseconds * slowPart)
+      this.currentAmount = Math.max(least, this.currentAmount / 2);
   }
 
   public silent(): void {
-    this.wanted = this.bounds.least;
+    this.currentAmount = this.bounds.least;
   }
 }
 
-/** The pace of each daemon that is asked; bounded, the longest unasked is begun anew. */
+/** The adaptive amount of each peer by address. Bounded: the least recently used address is dropped and starts again. */
 export class AnswerPaces {
-  private readonly paces = new Map<string, AnswerPace>();
+  private readonly batchSizes = new Map<string, AnswerPace>();
 
-  public constructor(private readonly mostAddresses = 128) {}
+  public constructor(private readonly maxAddresses = 128) {}
 
   public of(address: string): AnswerPace {
-    const pace = this.paces.get(address) ?? new AnswerPace();
-    this.paces.delete(address);
-    this.paces.set(address, pace);
-    const [oldest] = this.paces.keys();
-    if (this.paces.size > this.mostAddresses && oldest !== undefined) this.paces.delete(oldest);
-    return pace;
+    const batchSize = this.batchSizes.get(address) ?? new AnswerPace();
+    this.batchSizes.delete(address);
+    this.batchSizes.set(address, batchSize);
+    const [oldest] = this.batchSizes.keys();
+    if (this.batchSizes.size > this.maxAddresses && oldest !== undefined) this.batchSizes.delete(oldest);
+    return batchSize;
   }
 }
--- a/source/shared/pace/fleetPace.ts
+++ b/source/shared/pace/fleetPace.ts
@@ -1,11 +1,11 @@
-/** Starting value, ours: among so many daemons everything is said and looked at as often as the settings say. */
-const promptDaemons = 24;
+/** Up to this number of daemons, intervals are as long as the settings say. */
+const unscaledDaemons = 24;
 
 /**
- * How much longer pauses are in a large fleet. Why at all: what a daemon spends on talk with others is a part of its machine
- * that is lost to orders, and of what all of them know each daemon's own part gets smaller as the fleet grows.
+ * Lengthens intervals in a large fleet. Communication between daemons takes resources away from requests, and as the fleet grows each
+ * daemon contributes a smaller share of what all of them know.
  */
 export const FleetPace = {
-  /** A factor of at least 1 and at most `most`, in step with the number of daemons. */
-  of: (daemons: number, most: number): number => Math.min(most, Math.max(1, daemons / promptDaemons)),
+  /** The factor by which intervals are longer, between 1 and `maxFactor` and proportional to the number of daemons. */
+  of: (daemons: number, maxFactor: number): number => Math.min(maxFactor, Math.max(1, daemons / unscaledDaemons)),
 } as const;
--- a/tests/agent-news.test.ts
+++ b/tests/agent-news.test.ts
@@ -65,16 +65,16 @@
   return { world, network, made: side, one, two };
 };
 
-const exchanged = async (world: World, from: Side, to: string): Promise<void> => {
+const runExchange = async (world: World, from: Side, to: string): Promise<void> => {
   const done = from.exchange.ask(`${to}:1`, 1_000_000);
   await world.runFor(100_000);
   assert.equal(await done, true);
 };
 const fact = (key: string, minor: number): Fact => ({ key, version: [1, minor], value: `${key}@${minor}` });
-const told = ({ facts }: Side): readonly string[] =>
+const entriesOf = ({ facts }: Side): readonly string[] =>
   ['a/', 'b/', 'c/'].flatMap((kind) => facts.withPrefix(kind).map(({ key, version }) => `${key}@${version[1]}`)).sort();
 
-test('one exchange brings both sides to the same news, whoever had what', async () => {
+test('one gossip exchange brings both sides to the same entries, whichever side had them', async () => {
   const items = fc.array(
     fc.record({ kind: fc.constantFrom('a', 'b', 'c'), name: fc.constantFrom('x', 'y', 'z/deep'), minor: fc.nat(4) }),
     { maxLength: 12 },
@@ -84,8 +84,8 @@
       const { world, one, two } = sides();
       for (const { kind, name, minor } of left) one.facts.put(fact(`${kind}/${name}`, minor));
       for (const { kind, name, minor } of right) two.facts.put(fact(`${kind}/${name}`, minor));
-      await exchanged(world, one, 'two');
-      assert.deepEqual(told(one), told(two));
+      await runExchange(world, one, 'two');
+      assert.deepEqual(entriesOf(one), entriesOf(two));
       assert.deepEqual(one.facts.sums(), two.facts.sums());
       assert.equal(one.facts.sum(), two.facts.sum());
     }),
@@ -93,11 +93,11 @@
   );
 });
 
-test('sides that agree say sums and no more, however much they know', async () => {
+test('sides with equal entries exchange only checksums, however many entries they have', async () => {
   const { world, one, two } = sides();
   for (let number = 0; number < 500; number += 1)
     for (const side of [one, two]) side.facts.put(fact(`a/fact-${number}`, 1));
-  await exchanged(world, one, 'two');
+  await runExchange(world, one, 'two');
   assert.deepEqual(
     one.asked.map(({ kind }) => kind),
     ['news'],
@@ -105,23 +105,23 @@
   );
   assert.ok(JSON.stringify(one.asked).length < 300, JSON.stringify(one.asked));
   two.facts.put(fact('b/new', 1));
-  await exchanged(world, one, 'two');
-  assert.ok(JSON.stringify(one.asked).length < 900, 'a kind that differs does not bring up the others');
+  await runExchange(world, one, 'two');
+  assert.ok(JSON.stringify(one.asked).length < 900, 'a kind that differs does not cause the others to be sent');
   assert.ok(one.facts.get('b/new') !== undefined);
 });
 
-test('changes of shards pass in both directions, and only where one side is behind', async () => {
+test('changes of an index are sent in both directions, and only where one side is behind', async () => {
   const { world, one, two } = sides();
   const shard = new ShardNews({ holder: 'e', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 });
   one.shards.set('e', shard);
   shard.put({ physical: 's/a', logical: 'a', name: 's/a', size: 600 });
-  await exchanged(world, one, 'two');
-  assert.equal(two.shards.get('e')?.size, 1, 'the asker pushes');
+  await runExchange(world, one, 'two');
+  assert.equal(two.shards.get('e')?.size, 1, 'the requesting side pushes');
   shard.put({ physical: 's/b', logical: 'b', name: 's/b', size: 700 });
-  await exchanged(world, two, 'one');
-  assert.equal(two.shards.get('e')?.size, 2, 'and is given');
+  await runExchange(world, two, 'one');
+  assert.equal(two.shards.get('e')?.size, 2, 'and receives');
   one.asked.length = 0;
-  await exchanged(world, one, 'two');
+  await runExchange(world, one, 'two');
   assert.deepEqual(
     one.asked.map(({ kind }) => kind),
     ['news'],
@@ -134,7 +134,7 @@
   return done;
 };
 
-test('a follower misses nothing, whatever came when and which answers were lost, and is told nothing twice', async () => {
+test('a follower misses no change and receives none twice, whatever the order of changes and lost answers', async () => {
   const step = fc.oneof(
     fc.record({
       kind: fc.constant('put' as const),
@@ -150,13 +150,13 @@
         if (item.kind === 'put') two.facts.put(fact(item.name, item.minor));
         else if (item.kind === 'forget') two.facts.forget('c/w');
         else {
-          const mend = item.kind === 'lost' ? network.cut('two', 'one') : undefined;
+          const restore = item.kind === 'lost' ? network.cut('two', 'one') : undefined;
           assert.equal(await follows(world, one, 'two'), item.kind === 'ask');
-          mend?.();
+          restore?.();
         }
       }
       assert.ok(await follows(world, one, 'two'));
-      for (const key of told(two)) assert.ok(told(one).includes(key), key);
+      for (const key of entriesOf(two)) assert.ok(entriesOf(one).includes(key), key);
       one.asked.length = 0;
       assert.ok(await follows(world, one, 'two'));
       assert.deepEqual(
@@ -168,59 +168,65 @@
       two.facts.put(fact('a/last', 1));
       assert.ok(await follows(world, one, 'two'));
       assert.equal(one.facts.get('a/last')?.version[1], 1);
-      assert.equal(one.asked.length, 2, 'a change comes with the answer');
+      assert.equal(one.asked.length, 2, 'a change is part of the first answer');
     }),
     { seed: 6, numRuns: 60 },
   );
 });
 
-test('a follower begins anew where the book is another one, and gives it what it lacks', async () => {
+test('a follower starts over when the store is a new one, and sends it the missing entries', async () => {
   const { world, one, two, made } = sides();
   two.facts.put(fact('a/x', 3));
   assert.ok(await follows(world, one, 'two'));
   two.end();
-  const anew = made('two');
-  anew.listen();
-  anew.facts.put(fact('b/new', 1));
-  assert.ok(await follows(world, one, 'two'), 'it learns that this is another book');
+  const restarted = made('two');
+  restarted.listen();
+  restarted.facts.put(fact('b/new', 1));
+  assert.ok(await follows(world, one, 'two'), 'it learns that this is a new store');
   assert.ok(await follows(world, one, 'two'));
-  assert.deepEqual(told(one), ['a/x@3', 'b/new@1']);
-  assert.deepEqual(told(anew), ['a/x@3', 'b/new@1'], 'an agent that starts anew learns from its proxy');
+  assert.deepEqual(entriesOf(one), ['a/x@3', 'b/new@1']);
+  assert.deepEqual(entriesOf(restarted), ['a/x@3', 'b/new@1'], 'a restarted agent learns from its proxy');
 });
 
-test('a book of very many facts is followed in parts, none of them left out', async () => {
+test('a store with very many entries is followed in parts without omissions', async () => {
   const { world, one, two } = sides();
   assert.ok(await follows(world, one, 'two'));
   for (let number = 0; number < FactLimits.perMessage * 2 + 5; number += 1) two.facts.put(fact(`a/${number}`, 1));
-  // Each part as long as the pace allows: a fast answer lets the next one be longer, up to the most.
+  // The adaptive batch size bounds each part: a fast answer doubles the next one, up to the maximum.
   const rounds = Math.ceil(two.facts.size / entryPace.most) + 1;
   for (let round = 1; round <= rounds; round += 1) {
     const before = one.facts.size;
     assert.ok(await follows(world, one, 'two'));
-    const came = one.facts.size - before;
-    assert.ok(came > 0 && came <= entryPace.most, `round ${round}: ${came}`);
+    const added = one.facts.size - before;
+    assert.ok(added > 0 && added <= entryPace.most, `round ${round}: ${added}`);
     if (one.facts.size === two.facts.size) break;
   }
   assert.equal(one.facts.size, two.facts.size);
 });
 
-test('nonsense in the place of sums, versions and keys changes nothing and breaks nothing', () => {
+test('malformed checksums, versions and keys change nothing and cause no error', () => {
   const { one } = sides();
   one.facts.put(fact('a/x', 1));
-  for (const strange of [null, 7, 'x', [], { a: 5 }, { a: { x: [1] } }, { a: null }, { book: 5 }, { book: 'b' }]) {
-    const followed = one.exchange.answer({ kind: 'news', fleet: 'f', follows: strange, marks: {}, revisions: {} });
+  for (const malformed of [null, 7, 'x', [], { a: 5 }, { a: { x: [1] } }, { a: null }, { book: 5 }, { book: 'b' }]) {
+    const followed = one.exchange.answer({ kind: 'news', fleet: 'f', follows: malformed, marks: {}, revisions: {} });
     assert.equal(followed.kind, 'newsBack');
-    const answer = one.exchange.answer({ kind: 'news', fleet: 'f', sums: strange, marks: {}, revisions: {} });
+    const answer = one.exchange.answer({ kind: 'news', fleet: 'f', sums: malformed, marks: {}, revisions: {} });
     assert.equal(answer.kind, 'newsBack');
-    const more = one.exchange.more({ kind: 'newsMore', fleet: 'f', facts: strange, wants: strange, bodies: strange });
+    const more = one.exchange.more({
+      kind: 'newsMore',
+      fleet: 'f',
+      facts: malformed,
+      wants: malformed,
+      bodies: malformed,
+    });
     assert.equal(more.kind, 'heard');
   }
   assert.equal(one.facts.size, 1);
 });
 
-test('few agents read the core for all, and a change is still applied everywhere within a second', async () => {
-  const read = async (shared: number): Promise<number> => {
-    const fleet = new HeldFleet(new World(3), 9, { sharedReadMicroseconds: shared });
+test('few agents read the control nodes for all, and a change is still applied everywhere within a second', async () => {
+  const bytesRead = async (sharedReadMicroseconds: number): Promise<number> => {
+    const fleet = new HeldFleet(new World(3), 9, { sharedReadMicroseconds });
     const names = fleet.addEngines(3);
     await fleet.start();
     assert.ok(await fleet.world.runUntil(() => fleet.settled(names), 12_000_000));
@@ -241,6 +247,6 @@
     assert.ok(fleet.agents.every(({ agent }) => agent.freshness.ageMicroseconds() < 1_000_000));
     return cost;
   };
-  const [shared, each] = [await read(350_000), await read(0)];
+  const [shared, each] = [await bytesRead(350_000), await bytesRead(0)];
   assert.ok(shared < each * 0.95, `${shared} of ${each} bytes`);
 });
--- a/tests/answer-pace.test.ts
+++ b/tests/answer-pace.test.ts
@@ -4,25 +4,25 @@
 import { ShardMarks, ShardNews, type ShardHead } from '../source/shared/directory/shardNews';
 import { AnswerPace, AnswerPaces, entryPace } from '../source/shared/pace/answerPace';
 
-const limit = 500_000;
+const limitMicroseconds = 500_000;
 
-describe('how much is asked of one daemon at a time', () => {
-  test('more after a fast answer, less after a slow one, least after silence', () => {
+describe('adaptive batch size of the requests to one daemon', () => {
+  test('doubles after a fast answer, halves after a slow one, falls to the minimum after a timeout', () => {
     const pace = new AnswerPace();
     assert.equal(pace.amount, entryPace.first);
-    for (let turn = 0; turn < 9; turn += 1) pace.answered(5_000, limit);
+    for (let turn = 0; turn < 9; turn += 1) pace.answered(5_000, limitMicroseconds);
     assert.equal(pace.amount, entryPace.most);
-    pace.answered(150_000, limit);
+    pace.answered(150_000, limitMicroseconds);
     assert.equal(pace.amount, entryPace.most, 'neither fast nor slow');
-    pace.answered(400_000, limit);
+    pace.answered(400_000, limitMicroseconds);
     assert.equal(pace.amount, entryPace.most / 2);
     pace.silent();
     assert.equal(pace.amount, entryPace.least);
-    pace.answered(400_000, limit);
+    pace.answered(400_000, limitMicroseconds);
     assert.equal(pace.amount, entryPace.least);
   });
 
-  test('each address has its own, and those that were not asked for longest are forgotten', () => {
+  test('each address has its own, and the least recently used address is dropped', () => {
     const paces = new AnswerPaces(2);
     paces.of('a').silent();
     paces.of('b');
@@ -36,12 +36,12 @@
 const head: ShardHead = { holder: 'h', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 };
 const keyOf = (name: number, size: number) => ({ physical: `p${name}`, logical: `l${name}`, name: `n${name}`, size });
 
-type Step = Readonly<{ kind: 'put' | 'remove' | 'pull' | 'relay'; name: number; size: number; most: number }>;
+type Step = Readonly<{ kind: 'put' | 'remove' | 'pull' | 'relay'; name: number; size: number; maxBlocks: number }>;
 const stepOf = fc.record({
   kind: fc.constantFrom<Step['kind']>('put', 'put', 'put', 'remove', 'pull', 'relay'),
   name: fc.nat(11),
   size: fc.nat(2),
-  most: fc.integer({ min: 1, max: 4 }),
+  maxBlocks: fc.integer({ min: 1, max: 4 }),
 });
 
 const entriesOf = (shard: ShardNews): readonly string[] =>
@@ -50,53 +50,53 @@
     .map(({ physical, size }) => `${physical}/${String(size)}`)
     .sort();
 
-/** One ask and its answer. */
-const pull = (from: ShardNews, to: ShardNews, most: number): void => {
-  const change = from.since(ShardMarks.of(to.present), most);
+/** One request and its answer. */
+const pull = (from: ShardNews, to: ShardNews, maxBlocks: number): void => {
+  const change = from.since(ShardMarks.of(to.present), maxBlocks);
   if (change !== undefined) to.apply(change);
 };
 
-const pullAll = (from: ShardNews, to: ShardNews, most: number): void => {
-  for (let asked = 0; asked < 60; asked += 1) pull(from, to, most);
+const pullAll = (from: ShardNews, to: ShardNews, maxBlocks: number): void => {
+  for (let asked = 0; asked < 60; asked += 1) pull(from, to, maxBlocks);
 };
 
-describe('an index that is followed in parts', () => {
-  test('whatever happens meanwhile, and whoever is asked, all that is kept arrives and nothing that is gone stays', () => {
+describe('an index that is replicated in parts', () => {
+  test('follower and relay end with exactly the blocks of the controller, whatever changes meanwhile and whichever source is asked', () => {
     fc.assert(
-      fc.property(fc.array(stepOf, { maxLength: 80 }), fc.integer({ min: 1, max: 4 }), (steps, most) => {
-        const steward = new ShardNews(head);
+      fc.property(fc.array(stepOf, { maxLength: 80 }), fc.integer({ min: 1, max: 4 }), (steps, maxBlocks) => {
+        const controller = new ShardNews(head);
         const relay = new ShardNews({ ...head, version: -1 });
         const follower = new ShardNews({ ...head, version: -1 });
         for (const step of steps) {
-          if (step.kind === 'put') steward.put(keyOf(step.name, step.size));
-          else if (step.kind === 'remove') steward.remove(`p${step.name}`);
-          else if (step.kind === 'relay') pull(steward, relay, step.most);
-          else pull(step.size === 0 ? relay : steward, follower, step.most);
+          if (step.kind === 'put') controller.put(keyOf(step.name, step.size));
+          else if (step.kind === 'remove') controller.remove(`p${step.name}`);
+          else if (step.kind === 'relay') pull(controller, relay, step.maxBlocks);
+          else pull(step.size === 0 ? relay : controller, follower, step.maxBlocks);
         }
-        pullAll(steward, relay, most);
-        pullAll(relay, follower, most);
-        assert.deepEqual(entriesOf(relay), entriesOf(steward));
-        assert.deepEqual(entriesOf(follower), entriesOf(steward));
+        pullAll(controller, relay, maxBlocks);
+        pullAll(relay, follower, maxBlocks);
+        assert.deepEqual(entriesOf(relay), entriesOf(controller));
+        assert.deepEqual(entriesOf(follower), entriesOf(controller));
         assert.equal(follower.present.framedAt, undefined);
       }),
       { numRuns: 2_000, seed: 29 },
     );
   });
 
-  test('a frame of many blocks comes in parts, with what was removed since it began taken back', () => {
-    const steward = new ShardNews(head);
-    for (let name = 0; name < 100; name += 1) steward.put(keyOf(name, 1));
+  test('a snapshot of many blocks arrives in parts, and its last part removes what was removed since the first', () => {
+    const controller = new ShardNews(head);
+    for (let name = 0; name < 100; name += 1) controller.put(keyOf(name, 1));
     const other = new ShardNews({ ...head, epoch: 0 });
-    pull(steward, other, 40);
+    pull(controller, other, 40);
     assert.equal(other.size, 40);
     assert.ok(other.present.framedAt !== undefined);
-    assert.equal(other.since(undefined), undefined, 'what is only partly here is not passed on');
-    steward.remove('p3');
-    steward.remove('p90');
+    assert.equal(other.since(undefined), undefined, 'an incomplete snapshot is not passed on');
+    controller.remove('p3');
+    controller.remove('p90');
     for (const expected of [80, 98]) {
-      pull(steward, other, 40);
+      pull(controller, other, 40);
       assert.equal(other.size, expected);
     }
-    assert.deepEqual(entriesOf(other), entriesOf(steward));
+    assert.deepEqual(entriesOf(other), entriesOf(controller));
   });
 });
--- a/tests/bodies.test.ts
+++ b/tests/bodies.test.ts
@@ -31,7 +31,7 @@
 
 const bodyOf = (text: string): Body => ({ key: 'blueprint', revision: 1, digest: digestOf(text), text });
 
-test('long texts travel packed, at a small part of their size, and come out as they were', () => {
+test('long texts are sent compressed to less than a fifth of their size and decompress unchanged', () => {
   const packer = new BodyPacker();
   const body = bodyOf(longText());
   const sent = packer.sent(body);
@@ -39,12 +39,12 @@
   if (!('packed' in sent)) return;
   assert.ok(sent.packed.length * 5 < body.text.length, `${sent.packed.length} of ${body.text.length}`);
   assert.equal(Bodies.text(sent), body.text);
-  assert.equal((packer.sent(body) as typeof sent).packed, sent.packed, 'packed once');
+  assert.equal((packer.sent(body) as typeof sent).packed, sent.packed, 'compressed once');
   const short = bodyOf('short');
   assert.equal(packer.sent(short), short);
 });
 
-test('a packed body is applied like a plain one, and a spoilt or unfolding one is not', () => {
+test('applies a compressed body like a plain one, and rejects a damaged, oversized or wrong one', () => {
   const world = new World(1);
   const freshness = new Freshness(world.clock, platformDialect);
   const body = bodyOf(longText());
@@ -60,7 +60,7 @@
   assert.deepEqual(freshness.sent('blueprint'), sent);
 });
 
-test('an ask that gets no answer does not take the conn from another whose answer is on its way', async () => {
+test('a request without an answer does not close the connection of another request whose answer is under way', async () => {
   const transport = new TcpTransport(realClock);
   let release: (answer: Message) => void = () => undefined;
   const held = new Promise<Message>((resolve) => {
--- a/tests/body-parts.test.ts
+++ b/tests/body-parts.test.ts
@@ -25,18 +25,18 @@
 
 type Ask = Readonly<{ address: string; message: Message; settle: (answer: Answer) => void }>;
 
-/** A transport that answers when the test says so. */
+/** A transport whose answers are given by the test. */
 const heldTransport = () => {
   const asks: Ask[] = [];
   const transport: Transport = {
     ask: (address, message) => new Promise((settle) => asks.push({ address, message, settle })),
-    listen: () => Promise.reject(new Error('nobody listens')),
+    listen: () => Promise.reject(new Error('this transport does not listen')),
     close: () => Promise.resolve(),
   };
   return { asks, transport };
 };
 
-const settled = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const pendingPromisesRun = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 const setUp = (revision: number, text: string) => {
   const receiver = new Freshness(handClock());
@@ -44,23 +44,23 @@
   const { asks, transport } = heldTransport();
   const clock = handClock();
   const transfers = new BodyTransfers(receiver, transport, clock);
-  /** `took`: of a slow sender unless the test says otherwise, so that parts stay small. */
-  const answerNext = async (holder: Freshness, took = 700_000): Promise<Message> => {
+  /** The default `tookMicroseconds` is that of a slow sender, so that parts stay small. */
+  const answerNext = async (holder: Freshness, tookMicroseconds = 700_000): Promise<Message> => {
     const ask = asks.shift();
     assert.ok(ask !== undefined);
-    clock.now += took;
+    clock.now += tookMicroseconds;
     ask.settle({ kind: 'answered', message: BodyParts.answer(holder, ask.message) });
-    await settled();
+    await pendingPromisesRun();
     return ask.message;
   };
   return { receiver, asks, transfers, answerNext };
 };
 
-describe('what changed between two texts', () => {
+describe('delta between two texts', () => {
   const piece = fc.constantFrom('{a},', '{b},', '{c},', 'x', '},', '', '[{');
   const text = fc.array(piece, { maxLength: 12 }).map((pieces) => pieces.join(''));
 
-  test('applied to the one before it gives the one after', () => {
+  test('applying the delta to the base gives the new text', () => {
     fc.assert(
       fc.property(text, text, (before, after) => {
         const delta: unknown = JSON.parse(JSON.stringify(TextDeltas.between(before, after)));
@@ -69,7 +69,7 @@
     );
   });
 
-  test('of a long list in which one item changed it is short, and what is no delta is not applied', () => {
+  test('the delta of a long list with one changed item is short, and an invalid delta is not applied', () => {
     const [before, after] = [textOf('w1'), textOf('w2')];
     const delta = TextDeltas.between(before, after);
     assert.ok(JSON.stringify(delta).length < 2_000, JSON.stringify(delta).slice(0, 200));
@@ -79,17 +79,17 @@
 });
 
 describe('long documents in parts', () => {
-  test('one part after the other, and the document is applied with the last', async () => {
+  test('requests one part after the other and applies the document with the last', async () => {
     const text = textOf('w1');
     const holder = holderOf(3, text);
     const { receiver, asks, transfers, answerNext } = setUp(3, text);
     transfers.answered('a:1', { blueprint: 2 });
-    assert.equal(asks.length, 0, 'this one has not got it yet');
+    assert.equal(asks.length, 0, 'this sender does not have the revision yet');
     transfers.answered('a:1', { blueprint: 3 });
     transfers.answered('b:1', { blueprint: 3 });
     let parts = 0;
     for (; receiver.revision('blueprint') === 0; parts += 1) {
-      assert.equal(asks.length, 1, 'one ask at a time, at one sender');
+      assert.equal(asks.length, 1, 'one request at a time, to one sender');
       const { from, mostBytes } = await answerNext(holder);
       assert.equal(from, [0, 4, 6, 7, 8, 9][parts]! * partBytes);
       assert.equal(mostBytes, Math.max(partBytes, (4 * partBytes) / 2 ** parts), 'half as much after each slow part');
@@ -99,7 +99,7 @@
     assert.equal(receiver.applied('blueprint')?.text, text);
   });
 
-  test('parts of a fast sender get longer, and the smallest are asked for after silence', async () => {
+  test('parts of a fast sender grow, and the smallest size is requested after a timeout', async () => {
     const text = textOf('w1', 4_000);
     const holder = holderOf(3, text);
     const { receiver, asks, transfers, answerNext } = setUp(3, text);
@@ -107,7 +107,7 @@
     assert.equal((await answerNext(holder, 100_000))['mostBytes'], 4 * partBytes);
     assert.equal(asks[0]?.message['mostBytes'], 8 * partBytes);
     asks.shift()?.settle({ kind: 'silent', reason: 'limit passed' });
-    await settled();
+    await pendingPromisesRun();
     transfers.answered('a:1', { blueprint: 3 });
     assert.equal((await answerNext(holder, 300_000))['mostBytes'], partBytes);
     assert.equal(asks[0]?.message['mostBytes'], partBytes, 'neither fast nor slow');
@@ -116,7 +116,7 @@
     assert.equal(receiver.applied('blueprint')?.text, text);
   });
 
-  test('a sender that falls silent: another one goes on where it stopped', async () => {
+  test('another sender continues the transfer when a sender stops answering', async () => {
     const text = textOf('w1');
     const holder = holderOf(3, text);
     const { receiver, asks, transfers, answerNext } = setUp(3, text);
@@ -136,7 +136,7 @@
     assert.equal(receiver.applied('blueprint')?.text, text);
   });
 
-  test('what was begun is finished where a newer revision comes up, and that one follows', async () => {
+  test('a transfer that has begun is finished when a newer revision appears, which follows it', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const holder = holderOf(3, first);
     const { receiver, transfers, answerNext } = setUp(3, first);
@@ -155,7 +155,7 @@
     assert.deepEqual(applied, [0, 3, 4]);
   });
 
-  test('a sender that does not have the revision any more: what it has now is asked for next', async () => {
+  test('requests the present revision of a sender that does not have the wanted one any more', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const { receiver, transfers, answerNext } = setUp(3, first);
     transfers.answered('a:1', { blueprint: 4 });
@@ -169,7 +169,7 @@
     assert.equal(receiver.revision('blueprint'), 4);
   });
 
-  test('one that has the text before is sent what changed, in one part', async () => {
+  test('a receiver with the previous text is sent a delta in one part', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const sender = holderOf(3, first);
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
@@ -183,7 +183,7 @@
     assert.equal(asks.length, 0);
   });
 
-  test('one whose text the sender skipped is sent what changed since an earlier text that both had, in one part', async () => {
+  test('a receiver whose text the sender skipped is sent a delta against an earlier common text in one part', async () => {
     const [first, second, third] = [textOf('w1'), textOf('w2'), textOf('w3')];
     const sender = holderOf(3, first);
     sender.sent('blueprint');
@@ -199,7 +199,7 @@
     assert.equal(asks.length, 0);
   });
 
-  test('one that has a text which the sender applied and sent to nobody is sent what changed, in one part', async () => {
+  test('a receiver is sent a delta against a text that the sender applied but never sent, in one part', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const sender = holderOf(3, first);
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
@@ -212,7 +212,7 @@
     assert.equal(asks.length, 0);
   });
 
-  test('a delta that makes no sense: the whole document is asked for', async () => {
+  test('requests the whole document after an invalid delta', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
     assert.ok(receiver.give({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
@@ -221,7 +221,7 @@
     const bytes = Buffer.from('no delta');
     const message = { kind: 'bodyPart', digest: digestOf(second), base: digestOf(first), from: 0, total: 8, bytes };
     asks.shift()?.settle({ kind: 'answered', message });
-    await settled();
+    await pendingPromisesRun();
     transfers.answered('a:1', { blueprint: 4 });
     assert.equal(asks[0]?.message['base'], '');
     const sender = holderOf(4, second);
@@ -229,7 +229,7 @@
     assert.equal(receiver.applied('blueprint')?.text, second);
   });
 
-  test('what is no part, or of another document, is not taken', async () => {
+  test('ignores malformed parts and parts of another document', async () => {
     const text = textOf('w1');
     const { receiver, asks, transfers } = setUp(3, text);
     for (const message of [
@@ -240,7 +240,7 @@
     ]) {
       transfers.answered('a:1', { blueprint: 3 });
       asks.shift()?.settle({ kind: 'answered', message });
-      await settled();
+      await pendingPromisesRun();
     }
     assert.equal(receiver.revision('blueprint'), 0);
     assert.equal(
--- a/tests/clocks.test.ts
+++ b/tests/clocks.test.ts
@@ -17,10 +17,10 @@
 
 const settings = { numRuns: Number(process.env['POSTDRUM_TEST_RUNS'] ?? 200), seed: 1907 };
 
-test('elapsed time never goes back and never lags behind a sleep by more than three steps of the boot clock', () => {
-  const nap = fc.record({ awake: fc.nat(400_000), asleep: fc.oneof(fc.constant(0), fc.nat(5_000_000)) });
+test('elapsed time never decreases and lags behind a suspension by at most three steps of the boot clock', () => {
+  const awakeAndAsleep = fc.record({ awake: fc.nat(400_000), asleep: fc.oneof(fc.constant(0), fc.nat(5_000_000)) });
   fc.assert(
-    fc.property(fc.array(nap, { minLength: 1, maxLength: 20 }), fc.nat(9999), (naps, phase) => {
+    fc.property(fc.array(awakeAndAsleep, { minLength: 1, maxLength: 20 }), fc.nat(9999), (periods, phase) => {
       let real = phase;
       let slept = 0;
       const clock = new ElapsedTime({
@@ -29,7 +29,7 @@
       });
       const start = clock.nowMicroseconds();
       let before = start;
-      for (const { awake, asleep } of naps) {
+      for (const { awake, asleep } of periods) {
         real += awake + asleep;
         slept += asleep;
         const now = clock.nowMicroseconds();
@@ -43,7 +43,7 @@
   );
 });
 
-test('a boot clock that leaps back, stops, or cannot be read changes nothing; one that leaps forward only adds', () => {
+test('a boot clock that jumps back, stops or cannot be read has no effect, and a jump forward only adds time', () => {
   let monotonic = 5_000_000;
   let boot: number | undefined = 9_000_000;
   const clock = new ElapsedTime({ monotonicMicroseconds: () => monotonic, bootMicroseconds: () => boot });
@@ -54,14 +54,14 @@
     assert.equal(clock.nowMicroseconds(), monotonic);
   }
   boot = 19_000_000;
-  const leapt = clock.nowMicroseconds();
-  assert.ok(leapt - monotonic >= 9_000_000);
+  const afterJump = clock.nowMicroseconds();
+  assert.ok(afterJump - monotonic >= 9_000_000);
   boot = 9_000_000;
   monotonic += 1000;
-  assert.equal(clock.nowMicroseconds(), leapt + 1000);
+  assert.equal(clock.nowMicroseconds(), afterJump + 1000);
 });
 
-test('a daemon whose machine slept knows at once that its setup is old', async () => {
+test('a daemon whose machine was suspended knows immediately that its configuration may be outdated', async () => {
   const world = new World(3);
   const process = new SimProcess(world, 'proxy', '10.2.0.1');
   const freshness = new Freshness(process.clock);
@@ -84,22 +84,22 @@
   assert.ok(freshness.ageMicroseconds() > 4_200_000);
 });
 
-test('a timer waits on through a sleep', async () => {
+test('a timer does not count the time of a suspension', async () => {
   const world = new World(4);
   const process = new SimProcess(world, 'one', '10.2.0.1');
-  let rang = false;
-  process.clock.after(1_000_000, () => (rang = true));
+  let hasFired = false;
+  process.clock.after(1_000_000, () => (hasFired = true));
   await world.runFor(400_000);
   process.suspend();
   await world.runFor(5_000_000);
   process.wake();
   await world.runFor(500_000);
-  assert.equal(rang, false);
+  assert.equal(hasFired, false);
   await world.runFor(110_000);
-  assert.equal(rang, true);
+  assert.equal(hasFired, true);
 });
 
-/** Whether the voter gives the duty to another while the holder still thinks that it has it. */
+/** Whether the voter grants the lease to another candidate while the holder still considers it valid. */
 const overlaps = async (holderDrift: number, voterDrift: number, voterLeaps = 0): Promise<boolean> => {
   const world = new World(8);
   const network = new SimNetwork(world);
@@ -134,7 +134,7 @@
   }
 };
 
-test('a lease ends for its holder before its voter lets go, with clocks 5 per mille wrong on either side', async () => {
+test('a lease ends for its holder before its voter grants it again, with clock errors of 5 per mille on either side', async () => {
   for (const [holder, voter] of [
     [-5000, 5000],
     [5000, -5000],
@@ -144,7 +144,7 @@
     assert.equal(await overlaps(holder, voter), false, `${holder} and ${voter} parts per million`);
 });
 
-test('a voter whose boot clock leaps forward does not let a lease go early', async () => {
+test('a voter whose boot clock jumps forward does not grant a lease again too early', async () => {
   assert.equal(await overlaps(0, 0, 3_000_000), false);
   assert.equal(await overlaps(-5000, 5000, 60_000_000), false);
 });
--- a/tests/directory.test.ts
+++ b/tests/directory.test.ts
@@ -62,7 +62,7 @@
   );
 });
 
-test('chains: two prompts share exactly the blocks of their common beginning', () => {
+test('hash chains: two prompts share exactly the blocks of their common prefix', () => {
   fc.assert(
     fc.property(
       fc.string({ maxLength: 60 }),
@@ -99,7 +99,7 @@
   fc.record({ kind: fc.constant('reclaimFenced' as const), epoch: fc.integer({ min: 1, max: 4 }) }),
 );
 
-test('blocks: readable only after an attested fill was confirmed; a quarantined one is freed by attestation or a higher epoch alone', () => {
+test('blocks: readable only after an attested fill was confirmed, and freed from quarantine only by an attestation or a higher epoch', () => {
   fc.assert(
     fc.property(fc.array(blockEvent, { maxLength: 30 }), (events) => {
       let state: BlockState = BlockStates.absent;
@@ -145,7 +145,7 @@
   last: from + keys.length - 1,
 });
 
-test("shard: committed takes an order, its attestation and the holder's word, in any order of the last two", () => {
+test("shard: a block is committed after the request, its attestation and the holder's event, with the last two in any order", () => {
   for (const eventFirst of [true, false]) {
     const shard = shardAt();
     const keys = keysOf(3, 'f');
@@ -158,7 +158,7 @@
   }
 });
 
-test('shard: a key nobody ordered is no hit, whether told by event or list', () => {
+test('shard: a key that was not requested is no hit, whether an event or a listing reports it', () => {
   const shard = shardAt();
   shard.events(stored(keysOf(2, 'stranger')));
   shard.list({ bootEpoch: 'boot', sequence: 2, keys: keysOf(2, 'stranger').map(({ name }) => name) });
@@ -179,20 +179,20 @@
   }
 });
 
-test('shard: a gap asks for the list, which takes away what is gone and confirms what was ordered', () => {
+test('shard: a gap in the events requires a listing, which removes absent blocks and confirms requested ones', () => {
   const shard = shardAt();
   const keys = keysOf(3, 'f');
   shard.note({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
   shard.note({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
-  const told = stored(keys);
-  assert.equal(shard.events({ ...told, events: told.events.slice(1) }), false);
+  const reported = stored(keys);
+  assert.equal(shard.events({ ...reported, events: reported.events.slice(1) }), false);
   shard.list({ bootEpoch: 'boot', sequence: 3, keys: keys.slice(0, 2).map(({ name }) => name) });
   assert.equal(shard.news.size, 2);
-  assert.equal(shard.events({ ...told, last: 3 }), true);
+  assert.equal(shard.events({ ...reported, last: 3 }), true);
   assert.equal(shard.news.size, 2);
 });
 
-test('shard: a failed import is quarantined, counted as used, refused to others, and freed by a new boot', () => {
+test('shard: blocks of a failed import are quarantined, count as used, are refused to others and are freed by a new boot', () => {
   const shard = shardAt();
   const keys = keysOf(4, 'f');
   assert.equal(shard.grant('f', shard.epoch, keys).kind, 'granted');
@@ -211,7 +211,7 @@
   assert.deepEqual(shard.grant('i', epoch, keys), { kind: 'refused', reason: 'otherEpoch' });
 });
 
-test('shard: a fill of a daemon that is gone is given up, its charge is free, its blocks stay quarantined', () => {
+test('shard: a fill of a daemon that stopped is abandoned, which frees its charge and leaves its blocks quarantined', () => {
   let now = 0;
   const shard = new ShardDirectory('engine', 1, ShardLimits.usual, true, () => now);
   shard.observe('boot', 'w');
@@ -222,7 +222,7 @@
   shard.giveUpFills(now - 30_000_000);
   assert.deepEqual([shard.charged, shard.quarantined, shard.fillNotice('f')], [0, 4, 'failed']);
   assert.deepEqual(shard.grant('g', shard.epoch, keysOf(1, 'g')), { kind: 'refused', reason: 'quarantined' });
-  // However long it takes: time alone never frees them.
+  // Time alone never frees them.
   now = 9_000_000_000;
   shard.giveUpFills(now);
   assert.equal(shard.quarantined, 4);
@@ -230,7 +230,7 @@
   assert.equal(shard.quarantined, 0);
 });
 
-test('shard: a new boot fences fills in flight; their late attestation is no hit', () => {
+test('shard: a new boot fences fills in flight, and their late attestation makes no hit', () => {
   const shard = shardAt();
   const keys = keysOf(2, 'f');
   assert.equal(shard.grant('f', shard.epoch, keys).kind, 'granted');
@@ -241,7 +241,7 @@
   assert.equal(shard.news.size, 0);
 });
 
-test('shard: an order that was never sent leaves nothing behind', () => {
+test('shard: a request that was never sent leaves no blocks behind', () => {
   const shard = shardAt();
   assert.equal(shard.grant('f', shard.epoch, keysOf(2, 'f')).kind, 'granted');
   shard.note({ kind: 'notSent', holder: 'engine', fill: 'f' });
@@ -249,7 +249,7 @@
   assert.equal(shard.grant('g', shard.epoch, keysOf(2, 'g')).kind, 'granted');
 });
 
-test('shard: grants stay inside their limits', () => {
+test('shard: grants stay within their limits', () => {
   const shard = new ShardDirectory(
     'engine',
     1,
@@ -268,7 +268,7 @@
   assert.deepEqual(shard.grant('g', shard.epoch, others), { kind: 'refused', reason: 'limit' });
 });
 
-test('news of a shard: whatever changes are lost or late, a follower that applies what it gets is never ahead and ends equal', () => {
+test('replication of an index: with lost and late changes, a follower is never ahead of the source and ends equal to it', () => {
   const step = fc.oneof(
     fc.record({ put: fc.nat(20) }),
     fc.record({ gone: fc.nat(20) }),
@@ -280,17 +280,17 @@
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const leader = new ShardNews({ holder: 'e', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 });
       const book = new ShardBook();
-      let kept = leader.since(undefined);
+      let lastChange = leader.since(undefined);
       let epoch = 1;
       for (const item of steps) {
         if ('put' in item) leader.put({ physical: `p${item.put}`, logical: `l${item.put}`, name: `n${item.put}` });
         else if ('gone' in item) leader.remove(`p${item.gone}`);
         else if ('fence' in item) leader.fence({ term: 1, epoch: ++epoch, bootEpoch: 'b', weights: 'w' });
         else if ('late' in item) {
-          if (kept !== undefined) book.apply(kept);
+          if (lastChange !== undefined) book.apply(lastChange);
         } else {
-          kept = leader.since(book.marks()['e']);
-          if (kept !== undefined) book.apply(kept);
+          lastChange = leader.since(book.marks()['e']);
+          if (lastChange !== undefined) book.apply(lastChange);
           assert.deepEqual(
             [...(book.get('e')?.entries() ?? [])].map(({ name }) => name).sort(),
             leader
--- a/tests/fleet-pace.test.ts
+++ b/tests/fleet-pace.test.ts
@@ -5,12 +5,12 @@
 import { FleetPace } from '../source/shared/pace/fleetPace';
 import { HeldFleet, type HeldAgent } from './support/heldFleet';
 
-test('pauses grow with the fleet, within their bound, and small fleets keep their own', () => {
+test('intervals grow with the fleet up to their bound, and stay unscaled in small fleets', () => {
   const size = fc.integer({ min: 1, max: 2000 });
   fc.assert(
-    fc.property(size, size, fc.integer({ min: 1, max: 4 }), (one, two, most) => {
-      const [few, many] = [FleetPace.of(Math.min(one, two), most), FleetPace.of(Math.max(one, two), most)];
-      assert.ok(few >= 1 && few <= many && many <= most);
+    fc.property(size, size, fc.integer({ min: 1, max: 4 }), (one, two, maxFactor) => {
+      const [few, many] = [FleetPace.of(Math.min(one, two), maxFactor), FleetPace.of(Math.max(one, two), maxFactor)];
+      assert.ok(few >= 1 && few <= many && many <= maxFactor);
     }),
     { seed: 8 },
   );
@@ -19,7 +19,7 @@
   assert.equal(FleetPace.of(60, 2.5), 2.5);
 });
 
-test('in a large fleet a daemon says less, and a document or an engine that leaves is known as soon', async () => {
+test('in a large fleet a daemon sends fewer messages, and a new document or a draining engine is still known as soon', async () => {
   const run = async (agents: number) => {
     const fleet = new HeldFleet(new World(11), agents);
     const names = fleet.addEngines(6);
@@ -36,14 +36,14 @@
       return fleet.world.clock.nowMicroseconds() - begun;
     };
     await fleet.name('w2');
-    const change = await until('the change', ({ agent }) => {
+    const change = await until('the change of the configuration', ({ agent }) => {
       const pool = agent.freshness.blueprint?.services['pool'];
       return pool?.kind === 'pool' && pool.weights === 'w2';
     });
     await fleet.world.runFor(3_000_000);
     fleet.engines.get('engine-3').state = 'draining';
     const draining = await until(
-      'the engine that leaves',
+      'the draining engine',
       ({ agent }) => agent.freshness.engines?.engines['engine-3']?.state === 'draining',
     );
     return { each, change, draining };
@@ -51,5 +51,5 @@
   const [small, large] = [await run(12), await run(60)];
   assert.ok(large.each < small.each * 0.6, `${large.each} messages a second instead of ${small.each}`);
   assert.ok(large.change < 1_200_000, `a change after ${large.change}`);
-  assert.ok(large.draining < 1_500_000, `an engine that leaves after ${large.draining}`);
+  assert.ok(large.draining < 1_500_000, `a draining engine after ${large.draining}`);
 });
--- a/tests/incident-busy-agents.test.ts
+++ b/tests/incident-busy-agents.test.ts
@@ -1,19 +1,22 @@
-/** What users saw: a confirmed change was not in force in time, in a fleet that had no word from its control nodes for 5 s while it was overloaded. */
+/**
+ * Guards against a confirmed change of the configuration taking effect too late in an overloaded fleet whose control nodes were unreachable
+ * for 5 s.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { SimProcessor } from '../source/fleet-simulator/world/simProcessor';
 import { blueprintOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
-/** 7 Mbit/s: what an edge machine's link carries. */
+/** 7 Mbit/s, the capacity of an edge machine's link. */
 const linkBytesPerSecond = 875_000;
 const proxyCount = 39;
 const routes = 350;
-/** Within this time of its confirmation a change is in force on each machine in touch. */
+/** A change is in force within this time of its confirmation on each machine that is in contact. */
 const applyMicroseconds = 2_500_000;
 const settledMicroseconds = 4_000_000;
 const outageMicroseconds = 5_000_000;
 
-/** From now on each message and timer takes the machines with an agent so long. */
+/** From now on each message and timer takes the machines with an agent this long to process. */
 const slowAgents = ({ world, fleet }: FedFleet, actMicroseconds: number): void => {
   for (const edge of fleet.edges.filter((one) => fleet.hasAgent(one))) {
     const processor = new SimProcessor(world, actMicroseconds);
--- a/tests/incident-starved-proxies.test.ts
+++ b/tests/incident-starved-proxies.test.ts
@@ -1,32 +1,31 @@
 /**
- * What users saw: a confirmed change was not in force in time, and work went on under old weights for longer than allowed, in a
- * fleet that seemed well: every machine in touch, the control nodes settled, requests served.
+ * Guards against a confirmed change taking effect too late, and against work that continues under old weights for longer than allowed, in a
+ * fleet that otherwise works: every machine in contact, control nodes stable, requests served.
  *
- * What happened: agents run on three machines a zone and feed all proxies there. Two of three are lost while their machines'
- * neighbours are well. A change is confirmed, and the configuration, with many routes, goes to all proxies of the zone through
- * one agent's thin link. A proxy waits half a second for its news. The answer holds the whole configuration, and takes longer than
- * that when many are on their way. It is thrown away when it comes and asked for again, so the link stays full of answers that
- * nobody waits for any more, and most proxies never learn the change. As nothing is promised of proxies that are out of touch, they
- * go on with what they know.
+ * Agents run on three machines of a zone and feed all proxies there. When two of them are lost, the configuration with many routes goes to
+ * all proxies of the zone through one agent's slow link. A proxy waits half a second for a gossip answer. An answer with the whole
+ * configuration takes longer when many are under way; it is discarded on arrival and requested again, so the link stays full of answers
+ * that nobody waits for, and most proxies never learn the change. Nothing is guaranteed for proxies that are out of contact, so they
+ * continue with what they know.
  *
- * Evidence, of the code before: 30 proxies, one agent with a link of 7 Mbit/s, 1,480 routes (32 kB packed). 1 MB is enough for all, and
- * takes the link 1.1 s. After 3 s 15 of 30 had the change, all only after 7.5 s and 7.2 MB; the next one, of nothing but new
- * weights, had reached 26 of 30 after 7.5 s. With 42 proxies 15 had it after 7.5 s, and none had the next one.
+ * Seen before the fix, with 30 proxies, one agent with a link of 7 Mbit/s and 1,480 routes (32 kB compressed), where 1 MB is enough for
+ * all and takes the link 1.1 s: 15 of 30 proxies had the change after 3 s, all of them only after 7.5 s and 7.2 MB; the next change, of
+ * weights only, had reached 26 of 30 after 7.5 s. With 42 proxies, 15 had the first change after 7.5 s, and none had the second.
  *
- * The index of kept prompts travelled in the same answers, up to 5,000 entries in each, and does the same without any agent lost: 30
- * proxies, three agents, 750 entries more an engine, as after new weights or with a new engine controller. From then on no proxy's
- * configuration was confirmed any more, for as long as the test looked, while 124 MB went over the links.
+ * The index of cached prompts was sent in the same answers, up to 5,000 entries in each, which has the same effect without the loss of an
+ * agent: 30 proxies, three agents and 750 more entries for each engine, as after new weights or with a new engine controller. From then
+ * on no proxy's configuration was confirmed any more until the end of the test, while 124 MB were sent over the links.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { blueprintOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
-/** 7 Mbit/s: what an edge machine's link carries. */
+/** 7 Mbit/s, the capacity of an edge machine's link. */
 const linkBytesPerSecond = 875_000;
 const manyRoutes = 1_480;
-/** Within this time of its confirmation a change is in force on each machine in touch. */
+/** A change is in force within this time of its confirmation on each machine that is in contact. */
 const applyMicroseconds = 2_500_000;
-/** Until agents that are gone are known to be, and their proxies are fed by another. */
+/** Time until lost agents are detected and other agents feed their proxies. */
 const movedMicroseconds = 4_000_000;
 
 const confirmed = async ({ world, fleet }: FedFleet, routes: number, weights: string): Promise<void> => {
@@ -34,7 +33,7 @@
   await world.runFor(applyMicroseconds);
 };
 
-/** A configuration that was confirmed so long ago may be another one by now. */
+/** After this time without confirmation the configuration may have changed. */
 const confirmedMicroseconds = 1_500_000;
 
 const loseAgents = async ({ world, fleet }: FedFleet, count: number): Promise<void> => {
@@ -42,13 +41,13 @@
   await world.runFor(movedMicroseconds);
 };
 
-/** Until a large index has gone to all proxies over the links of three agents. */
+/** Time until a large index has reached all proxies over the links of three agents. */
 const settledMicroseconds = 12_000_000;
 
-/** Until agents that came up early have given engines to the agents that are to hold them, who read their index anew. */
-const dutiesSettledMicroseconds = 14_000_000;
+/** Time until agents that started early have handed engine leases over to the intended agents, which read the index of their engines again. */
+const leasesSettledMicroseconds = 14_000_000;
 
-/** What the engines keep grows at once, as after new weights. */
+/** Adds entries to the index of every engine at once, as after new weights. */
 const growIndex = ({ fleet }: FedFleet, entries: number): void => {
   for (const { agent } of fleet.edges.filter((edge) => fleet.hasAgent(edge)))
     for (const { name } of agent.stewardship.held().filter(({ name: engine }) => engine.startsWith('engine-')))
@@ -63,7 +62,7 @@
     .filter(({ proxy }) => proxy.freshness.ageMicroseconds() > confirmedMicroseconds)
     .map(({ name, proxy }) => `${name}: ${proxy.freshness.ageMicroseconds()}`);
 
-describe('incident: proxies that are fed by few agents over thin links', () => {
+describe('incident: proxies that are fed by few agents over slow links', () => {
   for (const seed of [3, 4])
     test(`two of three agents are lost: a large configuration and new weights reach all proxies in time, seed ${seed}`, async () => {
       const fed = await startedFleet(seed, { edges: 30, agents: 3 }, linkBytesPerSecond);
@@ -82,9 +81,9 @@
       assert.deepEqual(unconfirmedProxies(fed), []);
     });
 
-  test('all proxies start anew beside a large index: they are ready in time, and learn all of it', async () => {
+  test('all proxies restart while the index is large: they are ready in time and receive all of it', async () => {
     const fed = await startedFleet(3, { edges: 30, agents: 3 }, linkBytesPerSecond);
-    await fed.world.runFor(dutiesSettledMicroseconds);
+    await fed.world.runFor(leasesSettledMicroseconds);
     growIndex(fed, 750);
     await fed.world.runFor(settledMicroseconds);
     for (const edge of fed.fleet.edges) {
@@ -98,11 +97,11 @@
     const agents = fed.fleet.edges.filter((edge) => fed.fleet.hasAgent(edge));
     const whole = Math.max(...agents.map(({ agent }) => agent.shards.size));
     const known = fed.fleet.edges.map(({ proxy }) => proxy.indexSize());
-    assert.equal(whole, 750 * fed.fleet.engineNames.length, 'all that the engines keep');
-    assert.equal(Math.min(...known), whole, 'the least that one knows');
+    assert.equal(whole, 750 * fed.fleet.engineNames.length, 'all entries of the engines');
+    assert.equal(Math.min(...known), whole, 'the smallest index of a proxy');
   });
 
-  test('changes in quick succession: none of them is late for the ones that follow', async () => {
+  test('changes in quick succession: later changes do not delay the last one', async () => {
     const fed = await startedFleet(5, { edges: 30, agents: 3 }, linkBytesPerSecond);
     await loseAgents(fed, 1);
     for (let change = 2; change <= 9; change += 1) {
--- a/tests/large-fleet-links.test.ts
+++ b/tests/large-fleet-links.test.ts
@@ -3,13 +3,13 @@
 import { largeFleet } from './support/largeFleet';
 import { runRush } from './support/rush';
 
-describe('regression: news fills the links of the agents of a large fleet', () => {
+describe('regression: gossip fills the links of the agents of a large fleet', () => {
   for (const seed of [1, 2])
-    test(`long requests get the word of the work queue in time, seed ${seed}`, async () => {
+    test(`long requests get the answer of the work queue in time, seed ${seed}`, async () => {
       const { deskWords, orders, doubled, unanswered } = await runRush(seed, largeFleet);
       const { placed = 0, ...missed } = deskWords;
       assert.deepEqual({ doubled, unanswered }, { doubled: 0, unanswered: 0 });
-      // Why not exactly as many: a request that is sent again asks again.
+      // There may be more answers than requests, because a request that is sent again asks the queue again.
       assert.ok(placed >= orders, `${placed} of ${orders}`);
       assert.deepEqual(missed, { silent: 0, declined: 0, resting: 0, unknown: 0 });
     });
--- a/tests/shard-change-codec.test.ts
+++ b/tests/shard-change-codec.test.ts
@@ -21,7 +21,7 @@
 
 const sorted = (values: readonly unknown[]): readonly string[] => values.map((value) => JSON.stringify(value)).sort();
 
-test('a change of an index is the same after its way, whatever names its entries have', () => {
+test('decoding an encoded change of an index gives the same change, whatever names its entries have', () => {
   fc.assert(
     fc.property(change, ({ put, gone }) => {
       const given: ShardChange = { head, from: 3, put, gone };
@@ -34,7 +34,7 @@
   );
 });
 
-test('parts whose keys follow from their names take less than a third of their entries', () => {
+test('parts whose keys are derived from their names are encoded in less than a third of the size of plain entries', () => {
   const put = Array.from({ length: 100 }, (_, index): NamedKey => {
     const id = (index * 2_246_822_519).toString(16).slice(0, 8).padStart(8, '0');
     return { physical: `0123456789abcdef/${id}`, logical: id, name: `0123456789abcdef/${id}`, size: 3_720 };
--- a/tests/support/busyFleet.ts
+++ b/tests/support/busyFleet.ts
@@ -1,30 +1,30 @@
-/** One zone of a large fleet: its agents hear of many proxies elsewhere, whose load and whose engines' index change all the time. */
+/** One zone of a large fleet, whose agents receive entries on many proxies of other zones; their loads and the indexes of their engines change constantly. */
 import type { ShardNews } from '../../source/shared/directory/shardNews';
 import { seededRandom } from '../../source/shared/effects/random/random';
 import { FactKeys, type LoadFact } from '../../source/shared/news/factTypes';
 import type { FedFleet } from './largeConfiguration';
 
-/** How busy the rest of the fleet is. */
+/** Activity of the rest of the fleet. */
 export type Elsewhere = Readonly<{
   /** Proxies of other zones. */
   proxies: number;
-  /** Engines that these send to. */
+  /** Engines that these proxies send to. */
   engines: number;
-  /** Loads that all of them say a second. */
+  /** Load entries that all of them publish in a second. */
   loadsPerSecond: number;
-  /** Parts of prompts that engines begin to keep a second, and as many that they drop. */
+  /** Prompt parts that the engines add in a second, and as many that they drop. */
   partsPerSecond: number;
 }>;
 
 const stepMicroseconds = 100_000;
 const stepsPerSecond = 10;
-const mostKeptParts = 600;
+const maxKeptParts = 600;
 
 const hex = (value: number, digits: number): string => value.toString(16).padStart(digits, '0').slice(-digits);
 
 const engineNamed = (index: number): string => `i-${hex(index * 2_654_435_761, 10)}`;
 
-/** A load as a proxy says it that has two to four requests under way. */
+/** The load entry of a proxy with two to four requests under way. */
 const loadOf = (agent: string, engines: readonly string[]): LoadFact => ({
   agent,
   engines: Object.fromEntries(engines.map((name) => [name, 1])),
@@ -35,23 +35,23 @@
   mix: { pool: [12, 345] },
 });
 
-/** From now on the agents hear of so much, until the world ends. */
+/** Starts the activity, which lasts until the simulation ends. */
 export const makeBusy = ({ world, fleet }: FedFleet, elsewhere: Elsewhere): void => {
   const random = seededRandom(17);
   const agents = fleet.edges.filter((edge) => fleet.hasAgent(edge));
   const names = Array.from({ length: elsewhere.engines }, (_, index) => engineNamed(index));
-  let said = 0;
+  let published = 0;
   let parts = 0;
-  const sayLoads = (): void => {
+  const publishLoads = (): void => {
     for (let count = 0; count < elsewhere.loadsPerSecond / stepsPerSecond; count += 1) {
-      said += 1;
+      published += 1;
       const engines = names.filter(() => random.fraction() < 3 / names.length);
-      const key = FactKeys.load(`elsewhere-${said % elsewhere.proxies}`);
-      const agent = agents[said % agents.length]?.name ?? '';
-      for (const edge of agents) edge.agent.facts.put({ key, version: [1, said], value: loadOf(agent, engines) });
+      const key = FactKeys.load(`elsewhere-${published % elsewhere.proxies}`);
+      const agent = agents[published % agents.length]?.name ?? '';
+      for (const edge of agents) edge.agent.facts.put({ key, version: [1, published], value: loadOf(agent, engines) });
     }
   };
-  const shardsHeld = (): readonly ShardNews[] =>
+  const controlledIndexes = (): readonly ShardNews[] =>
     agents
       .filter(({ agentProcess }) => agentProcess.alive)
       .flatMap(({ agent }) =>
@@ -62,17 +62,17 @@
       );
   const nameOf = (index: number): string => `0123456789abcdef/${hex(index * 2_246_822_519, 8)}`;
   const changeIndex = (): void => {
-    const shards = shardsHeld();
+    const shards = controlledIndexes();
     for (let count = 0; count < elsewhere.partsPerSecond / stepsPerSecond; count += 1) {
       parts += 1;
-      const [name, dropped] = [nameOf(parts), nameOf(parts - mostKeptParts)];
+      const [name, dropped] = [nameOf(parts), nameOf(parts - maxKeptParts)];
       const shard = shards[parts % Math.max(1, shards.length)];
       shard?.put({ physical: name, logical: name.slice(name.indexOf('/') + 1), name, size: 3_720 });
       shard?.remove(dropped);
     }
   };
   const step = (): void => {
-    sayLoads();
+    publishLoads();
     changeIndex();
     world.plan(stepMicroseconds, step);
   };
--- a/tests/support/largeConfiguration.ts
+++ b/tests/support/largeConfiguration.ts
@@ -1,11 +1,11 @@
-/** A fleet whose proxies are fed by few agents over thin links, and configurations with many routes. */
+/** A fleet whose proxies are fed by few agents over slow links, and configurations with many routes. */
 import { SimBlueprints, SimFleet, usualShape } from '../../source/fleet-simulator/machines/simFleet';
 import { World } from '../../source/fleet-simulator/world/world';
 import type { Blueprint, Mapping } from '../../source/shared/blueprint/types';
 
 const letters = 'abcdefghijklmnopqrstuvwxyz0123456789';
 
-/** Letters that repeat nowhere, so that a document of many routes does not pack to nothing. */
+/** A pseudo-random name, so that a document of many routes does not compress to almost nothing. */
 export const nameOf = (seed: number, length: number): string => {
   let state = Math.imul(seed + 1, 0x9e3779b1) >>> 0;
   return Array.from({ length }, () => {
@@ -20,18 +20,18 @@
   host: `${nameOf(3 * index + 1, 6)}.example`,
 });
 
-/** The simulator's first blueprint with so many routes more, on these weights. */
+/** The simulator's first configuration with this number of additional routes and these weights. */
 export const blueprintOf = (routes: number, weights: string): Blueprint => {
   const first = SimBlueprints.first(weights);
   const base = first.mappings['short'];
-  if (base === undefined) throw new Error('the first blueprint has no such route');
+  if (base === undefined) throw new Error("the simulator's first configuration has no mapping named short");
   const more = Array.from({ length: routes }, (_, index) => [nameOf(3 * index + 2, 9), routeOf(base, index)] as const);
   return { ...first, mappings: { ...first.mappings, ...Object.fromEntries(more) } };
 };
 
 export type FedFleet = Readonly<{ world: World; fleet: SimFleet }>;
 
-/** A fleet that has come up with the first blueprint; from now on each machine's link carries so many bytes a second. */
+/** A fleet that has started with the first configuration, after which the links of its machines are limited. */
 export const startedFleet = async (
   seed: number,
   shape: Readonly<{ edges: number; agents: number }>,
@@ -45,26 +45,26 @@
   return { world, fleet };
 };
 
-/** Proxies that apply a blueprint with these weights. */
+/** Number of proxies that apply a configuration with these weights. */
 export const proxiesOn = ({ fleet }: FedFleet, weights: string): number =>
   fleet.edges.filter(({ proxy }) => {
     const pool = proxy.freshness.blueprint?.services['pool'];
     return pool?.kind === 'pool' && pool.weights === weights;
   }).length;
 
-/** News of a busy fleet: so many facts of so many bytes each, of which each is said anew after the period. */
+/** Gossip of a busy fleet: the number of entries, the size of each, and the period after which each is written again. */
 export type Talk = Readonly<{ facts: number; periodMicroseconds: number; bytes: number }>;
 
-/** From now on agents hear facts that change all the time, as loads and words on engines do; they go to all proxies. */
+/** From now on agents receive entries that change constantly, like loads and engine statuses, and pass them on to all proxies. */
 export const keepTalking = ({ world, fleet }: FedFleet, { facts, periodMicroseconds, bytes }: Talk): void => {
   const filler = 'x'.repeat(bytes);
-  let said = 0;
-  const say = (): void => {
-    world.plan(periodMicroseconds / facts, say);
-    said += 1;
+  let written = 0;
+  const writeNext = (): void => {
+    world.plan(periodMicroseconds / facts, writeNext);
+    written += 1;
     const agents = fleet.edges.filter((edge) => fleet.hasAgent(edge) && edge.agentProcess.alive);
-    const key = `talk/${periodMicroseconds}-${said % facts}`;
-    agents[said % Math.max(1, agents.length)]?.agent.facts.put({ key, version: [1, said], value: { filler } });
+    const key = `talk/${periodMicroseconds}-${written % facts}`;
+    agents[written % Math.max(1, agents.length)]?.agent.facts.put({ key, version: [1, written], value: { filler } });
   };
-  say();
+  writeNext();
 };
--- a/tests/support/largeFleet.ts
+++ b/tests/support/largeFleet.ts
@@ -1,9 +1,9 @@
 import { RushOptions } from './rush';
 
-/** 7 Mbit/s: what an edge machine's link carries. */
+/** 7 Mbit/s, the capacity of an edge machine's link. */
 const linkBytesPerSecond = 875_000;
 
-/** 195 proxies fed by 15 agents before 41 engines, at the traffic of a busy day; more prefixes than engines keep. */
+/** 195 proxies, fed by 15 agents, in front of 41 engines, at the traffic of a busy day and with more prefixes than the engines keep. */
 export const largeFleet: RushOptions = {
   ...RushOptions.usual,
   agents: 15,
