--- a/source/shared/directory/derivedNames.ts
+++ b/source/shared/directory/derivedNames.ts
@@ -25,7 +25,7 @@
  * report is therefore enough for an entry, and a wrong entry costs one failed read.
  */
 export class DerivedNames {
-  private readonly entriesByName = new Map<string, DerivedEntry>();
+  private readonly kept = new Map<string, DerivedEntry>();
   private readonly gone = new Map<string, number>();
   private isPublished: (name: string) => boolean = () => true;
 
@@ -36,17 +36,17 @@
   ) {}
 
   public get size(): number {
-    return this.entriesByName.size;
+    return this.kept.size;
   }
 
   public clear(): void {
-    this.entriesByName.clear();
+    this.kept.clear();
     this.gone.clear();
   }
 
   /** Publishes all entries again after a fence has cleared the published index. */
   public sayAgain(): void {
-    for (const [name, { size }] of this.entriesByName) this.publishOrRemove(name, size);
+    for (const [name, { size }] of this.kept) this.publishOrRemove(name, size);
   }
 
   /** Sets which names are published. The others are remembered here but not published. */
@@ -57,7 +57,7 @@
 
   /** Events may arrive late, twice and out of order: for each name the highest sequence number wins. */
   public event({ sequence, kind, key, size = 0 }: KvEvent): void {
-    if ((this.entriesByName.get(key)?.sequence ?? this.gone.get(key) ?? -1) >= sequence) return;
+    if ((this.kept.get(key)?.sequence ?? this.gone.get(key) ?? -1) >= sequence) return;
     // An eviction with a size above 0 is a truncation: the holder drops the end of the part and keeps the rest.
     if (kind === 'evicted' && size === 0) this.removeEntry(key, sequence);
     else this.keep(key, size, sequence);
@@ -66,28 +66,28 @@
   /** Takes the holder's complete listing as of `sequence`. */
   public list({ keys, sizes, sequence }: KvList): void {
     const listed = new Set(keys);
-    for (const [name, entry] of [...this.entriesByName])
+    for (const [name, entry] of [...this.kept])
       if (!listed.has(name) && entry.sequence <= sequence) this.removeEntry(name, sequence);
     keys.forEach((name, index) => {
-      if ((this.entriesByName.get(name)?.sequence ?? -1) <= sequence) this.keep(name, sizes?.[index] ?? 0, sequence);
+      if ((this.kept.get(name)?.sequence ?? -1) <= sequence) this.keep(name, sizes?.[index] ?? 0, sequence);
     });
   }
 
   private keep(name: string, size: number, sequence: number): void {
     this.gone.delete(name);
     // Deleting first moves the name to the end of the map, whose order is that of the last report; the oldest entries are dropped first.
-    this.entriesByName.delete(name);
-    this.entriesByName.set(name, { size, sequence });
+    this.kept.delete(name);
+    this.kept.set(name, { size, sequence });
     this.publishOrRemove(name, size);
-    for (const oldest of this.entriesByName.keys()) {
-      if (this.entriesByName.size <= this.limits.entries) break;
-      this.entriesByName.delete(oldest);
+    for (const oldest of this.kept.keys()) {
+      if (this.kept.size <= this.limits.entries) break;
+      this.kept.delete(oldest);
       this.remove(oldest);
     }
   }
 
   private removeEntry(name: string, sequence: number): void {
-    this.entriesByName.delete(name);
+    this.kept.delete(name);
     this.remove(name);
     this.gone.delete(name);
     this.gone.set(name, sequence);
--- a/source/shared/directory/lookup.ts
+++ b/source/shared/directory/lookup.ts
@@ -12,7 +12,9 @@
   | Readonly<{ kind: 'miss'; reason: MissReason }>;
 
 export const LookUps = {
-  /** Finds how many leading blocks of the chain each holder keeps. Only committed blocks of the current boot and the same identity count. */
+  /**
+   * Finds how many leading blocks of the chain each holder keeps. Only committed blocks of the current boot and the same identity count.
+   */
   find: (shards: ShardBook, keys: readonly BlockKey[], bootEpochOf: (holder: string) => string | undefined): LookUp => {
     if (keys.length === 0) return { kind: 'miss', reason: 'noBlocks' };
     const physicals = keys.map(({ physical }) => physical);
--- a/source/shared/directory/shardDirectory.ts
+++ b/source/shared/directory/shardDirectory.ts
@@ -156,7 +156,7 @@
   }
 
   /**
-   * Abandons fills that began before this time and were not reported on since, and frees their charge for others: the daemon that
+   * Abandons fills that began before this time and whose end was not reported, and frees their charge for others: the daemon that
    * requested them may have stopped. Time never ends a quarantine: blocks that were being imported become quarantined here, and stay so
    * until a late attestation arrives or the epoch rises.
    */
@@ -197,7 +197,9 @@
     this.nextSequence = list.sequence + 1;
   }
 
-  /** Gaps in the sequence numbers are accepted: a few events never arrive, and a full listing for each would cost more than the lost events. */
+  /**
+   * Accepts gaps in the sequence numbers: a few events never arrive, and a full listing for each would cost more than the lost events.
+   */
   private derivedEvents(read: KvEvents): boolean {
     for (const event of read.events) this.derived.event(event);
     this.nextSequence = read.last + 1;
--- a/source/shared/freshness/bodyParts.ts
+++ b/source/shared/freshness/bodyParts.ts
@@ -98,7 +98,7 @@
 
 type Transfer = Readonly<{
   of: MissingRevision;
-  begunMicroseconds: number;
+  transferStartMicroseconds: number;
   /** Possible bases of a delta: the texts that were applied here when the transfer began and before. */
   before: readonly Readonly<{ digest: string; text: string }>[];
   parts: BodyPart[];
@@ -159,8 +159,8 @@
   }
 
   private transferOf(of: MissingRevision): Transfer {
-    const begunMicroseconds = this.clock.nowMicroseconds();
-    this.open ??= { of, begunMicroseconds, before: this.freshness.lateTexts(of.key), parts: [] };
+    const transferStartMicroseconds = this.clock.nowMicroseconds();
+    this.open ??= { of, transferStartMicroseconds, before: this.freshness.lateTexts(of.key), parts: [] };
     return this.open;
   }
 
@@ -208,14 +208,14 @@
     return isApplied;
   }
 
-  private reportReceived({ of: { key, revision }, begunMicroseconds, parts }: Transfer, address: string): void {
+  private reportReceived({ of: { key, revision }, transferStartMicroseconds, parts }: Transfer, address: string): void {
     this.received({
       key,
       revision,
       parts: parts.length,
       bytes: totalBytes(parts),
       isWhole: parts[0]?.base === '',
-      tookMicroseconds: this.clock.nowMicroseconds() - begunMicroseconds,
+      tookMicroseconds: this.clock.nowMicroseconds() - transferStartMicroseconds,
       address,
     });
   }
--- a/source/shared/freshness/freshness.ts
+++ b/source/shared/freshness/freshness.ts
@@ -11,7 +11,7 @@
 /** Which weights a service runs, which ones it ran before, and since when by this daemon's clock; null: unknown. */
 export type WeightsSince = Readonly<{ weights: string; previous: string | null; sinceMicroseconds: number | null }>;
 
-/** States that a revision was current at a time, which is given as an age because daemons share no clock. */
+/** States that a revision was current at a moment in the past, which is given as an age instead of a time. */
 export type Statement = Readonly<{
   key: DocumentKey;
   revision: number;
--- a/source/shared/freshness/textDelta.ts
+++ b/source/shared/freshness/textDelta.ts
@@ -30,14 +30,14 @@
 export const TextDeltas = {
   /** The delta that makes `after` from `before`. */
   between: (before: string, after: string): TextDelta => {
-    const old = piecesOf(before);
-    const indexes = new Map(old.map((piece, index) => [piece, index]));
+    const basePieces = piecesOf(before);
+    const indexes = new Map(basePieces.map((piece, index) => [piece, index]));
     const steps: (string | [number, number])[] = [];
     for (const piece of piecesOf(after)) {
       const last = steps.at(-1);
       const next = last === undefined || typeof last === 'string' ? -1 : last[0] + last[1];
       // The piece after the current run is tried first, because equal pieces may occur at several indexes.
-      const index = next >= 0 && old[next] === piece ? next : indexes.get(piece);
+      const index = next >= 0 && basePieces[next] === piece ? next : indexes.get(piece);
       if (index === undefined) steps.push(typeof last === 'string' ? `${String(steps.pop())}${piece}` : piece);
       else if (last !== undefined && typeof last !== 'string' && index === next) last[1] += 1;
       else steps.push([index, 1]);
@@ -48,14 +48,14 @@
   /** Applies a delta; undefined when it does not fit the base text. The caller checks the result by its digest. */
   applied: (before: string, delta: unknown): string | undefined => {
     if (!Array.isArray(delta) || delta.length > maxSteps) return undefined;
-    const old = piecesOf(before);
-    const made: string[] = [];
+    const basePieces = piecesOf(before);
+    const resultPieces: string[] = [];
     for (const step of delta as readonly unknown[]) {
-      if (typeof step === 'string') made.push(step);
-      else if (isRun(step) && step[0] + step[1] <= old.length)
-        made.push(old.slice(step[0], step[0] + step[1]).join(''));
+      if (typeof step === 'string') resultPieces.push(step);
+      else if (isRun(step) && step[0] + step[1] <= basePieces.length)
+        resultPieces.push(basePieces.slice(step[0], step[0] + step[1]).join(''));
       else return undefined;
     }
-    return made.join('');
+    return resultPieces.join('');
   },
 } as const;
--- a/source/shared/news/factTypes.ts
+++ b/source/shared/news/factTypes.ts
@@ -1,6 +1,6 @@
 import type { FactVersion } from './facts';
 
-/** What the membership protocol knows of an agent; `gone`: it failed, `left`: it announced its leave. */
+/** What the membership protocol knows of an agent; `gone`: it is considered failed, `left`: it left on purpose. */
 export type MemberState = 'alive' | 'suspect' | 'gone' | 'left';
 /** Gossip entry on one agent of the fleet. */
 export type MemberFact = Readonly<{
--- a/tests/agent-news.test.ts
+++ b/tests/agent-news.test.ts
@@ -225,8 +225,8 @@
 });
 
 test('few agents read the control nodes for all, and a change is still applied everywhere within a second', async () => {
-  const bytesRead = async (sharedReadMicroseconds: number): Promise<number> => {
-    const fleet = new HeldFleet(new World(3), 9, { sharedReadMicroseconds });
+  const bytesRead = async (intervalMicroseconds: number): Promise<number> => {
+    const fleet = new HeldFleet(new World(3), 9, { sharedReadMicroseconds: intervalMicroseconds });
     const names = fleet.addEngines(3);
     await fleet.start();
     assert.ok(await fleet.world.runUntil(() => fleet.settled(names), 12_000_000));
--- a/tests/directory.test.ts
+++ b/tests/directory.test.ts
@@ -99,7 +99,7 @@
   fc.record({ kind: fc.constant('reclaimFenced' as const), epoch: fc.integer({ min: 1, max: 4 }) }),
 );
 
-test('blocks: readable only after an attested fill was confirmed, and freed from quarantine only by an attestation or a higher epoch', () => {
+test('blocks: readable only after an attested fill was confirmed; only an attestation or a higher epoch ends a quarantine', () => {
   fc.assert(
     fc.property(fc.array(blockEvent, { maxLength: 30 }), (events) => {
       let state: BlockState = BlockStates.absent;
--- a/tests/incident-starved-proxies.test.ts
+++ b/tests/incident-starved-proxies.test.ts
@@ -44,7 +44,7 @@
 /** Time until a large index has reached all proxies over the links of three agents. */
 const settledMicroseconds = 12_000_000;
 
-/** Time until agents that started early have handed engine leases over to the intended agents, which read the index of their engines again. */
+/** Time until agents that started early have handed engine leases over to the intended agents, which read their engines' index again. */
 const leasesSettledMicroseconds = 14_000_000;
 
 /** Adds entries to the index of every engine at once, as after new weights. */
@@ -101,7 +101,7 @@
     assert.equal(Math.min(...known), whole, 'the smallest index of a proxy');
   });
 
-  test('changes in quick succession: later changes do not delay the last one', async () => {
+  test('changes in quick succession: earlier changes do not delay the last one', async () => {
     const fed = await startedFleet(5, { edges: 30, agents: 3 }, linkBytesPerSecond);
     await loseAgents(fed, 1);
     for (let change = 2; change <= 9; change += 1) {
--- a/tests/support/busyFleet.ts
+++ b/tests/support/busyFleet.ts
@@ -1,4 +1,7 @@
-/** One zone of a large fleet, whose agents receive entries on many proxies of other zones; their loads and the indexes of their engines change constantly. */
+/**
+ * One zone of a large fleet, whose agents receive entries on many proxies of other zones. The loads of these proxies and the indexes of
+ * their engines change constantly.
+ */
 import type { ShardNews } from '../../source/shared/directory/shardNews';
 import { seededRandom } from '../../source/shared/effects/random/random';
 import { FactKeys, type LoadFact } from '../../source/shared/news/factTypes';
