--- a/source/shared/news/newsExchange.ts
+++ b/source/shared/news/newsExchange.ts
@@ -123,10 +123,10 @@
       return true;
     }
     const wants = wanted.slice(0, batchSize.amount);
-    const more = await this.effects.transport.ask(address, { ...lacks, kind: 'newsMore', wants }, limitMicroseconds);
-    if (more.kind !== 'answered') batchSize.silent();
-    if (more.kind !== 'answered' || !this.isFromOwnFleet(more.message)) return true;
-    this.applyEntries(more.message);
+    const pushAnswer = await this.effects.transport.ask(address, { ...lacks, kind: 'newsMore', wants }, limitMicroseconds);
+    if (pushAnswer.kind !== 'answered') batchSize.silent();
+    if (pushAnswer.kind !== 'answered' || !this.isFromOwnFleet(pushAnswer.message)) return true;
+    this.applyEntries(pushAnswer.message);
     // Follows only once nothing is left, because a follower is not sent earlier changes again.
     if (wants.length === wanted.length && wanted.length < FactLimits.perMessage) this.follow(address, follow);
     return true;
