--- a/source/shared/news/newsExchange.ts
+++ b/source/shared/news/newsExchange.ts
@@ -123,7 +123,11 @@
       return true;
     }
     const wants = wanted.slice(0, batchSize.amount);
-    const pushAnswer = await this.effects.transport.ask(address, { ...lacks, kind: 'newsMore', wants }, limitMicroseconds);
+    const pushAnswer = await this.effects.transport.ask(
+      address,
+      { ...lacks, kind: 'newsMore', wants },
+      limitMicroseconds,
+    );
     if (pushAnswer.kind !== 'answered') batchSize.silent();
     if (pushAnswer.kind !== 'answered' || !this.isFromOwnFleet(pushAnswer.message)) return true;
     this.applyEntries(pushAnswer.message);
