--- a/source/core-keeper/coreKeeper.ts
+++ b/source/core-keeper/controlNode.ts
@@ -9,11 +9,11 @@
 import { LimitedLogs } from '../shared/log/limitedLog';
 import { Logs, type Log } from '../shared/log/log';
 import { Metrics } from '../shared/metrics/metrics';
-import type { KeyWord } from '../shared/register/types';
-import { DutyVoter } from './duties/dutyVoter';
-import { Ledger, type LedgerOpened } from './ledger/ledger';
-import { KeeperStates, type Standing } from './ledger/keeperState';
-import type { KeeperSettings } from './controlSettings';
+import type { KeyStatement } from '../shared/register/types';
+import { LeaseVoter } from './leases/leaseVoter';
+import { WriteAheadLog, type LogOpenOutcome } from './write-ahead-log/writeAheadLog';
+import { ReplicaStates, type MembershipStatus } from './write-ahead-log/replicaState';
+import type { ControlNodeSettings } from './controlNodeSettings';
 import { AgentContacts } from './operators/agentContacts';
 import { Acceptor } from './register/acceptor';
 import { ChangeFetcher } from './register/changeFetcher';
@@ -22,20 +22,20 @@
 import { Heartbeats } from './register/heartbeats';
 import { RecentEntries } from './register/recentEntries';
 import { ReplicaReport, type KeyLeader, type ReplicaStatus } from './register/replicaReport';
-import { Vacancies } from './register/vacancies';
+import { Elections } from './register/elections';
 import { MessageHandler } from './messages/messageHandler';
-import { KeeperCore } from './register/keeperCore';
+import { ReplicaCore } from './register/replicaCore';
 import type { ChangeOrder, ChangeOutcome } from './register/messages';
-import { Ownership } from './register/ownership';
+import { Leadership } from './register/leadership';
 import { QuorumReader, type ReadOutcome } from './register/quorumReader';
 import { QuorumWatch } from './register/quorumWatch';
 import { RegisterMetrics } from './register/registerMetrics';
 import { WeightsAges } from './register/weightsAges';
 import { WaitingChanges } from './register/waitingChanges';
-import { LeaderWatch } from './standing/leaderWatch';
-import { MemberChanges } from './standing/memberChanges';
-import { MemberWatch } from './standing/memberWatch';
-import { Replaced, StandingKeeper } from './standing/standing';
+import { LeaderTracker } from './membership/leaderTracker';
+import { MemberChanges } from './membership/memberChanges';
+import { MemberFailureDetector } from './membership/memberFailureDetector';
+import { MemberRemoval, FleetMembership } from './membership/fleetMembership';
 
 /** A leader steps down after this many leader timeouts without heartbeat responses from a majority. */
 const quorumTimeoutMultiplier = 2;
@@ -44,27 +44,27 @@
 const memberChangePeriodMicroseconds = 150_000;
 
 /** A control node: a replica of the control state, with its elections, its membership and its message handling. */
-export class CoreKeeper {
-  public readonly news = new Emittery<{ standing: Standing; broken: string }>();
-  public readonly core: KeeperCore;
-  public readonly duties: DutyVoter;
+export class ControlNode {
+  public readonly events = new Emittery<{ standing: MembershipStatus; broken: string }>();
+  public readonly core: ReplicaCore;
+  public readonly duties: LeaseVoter;
   public readonly metrics = new Metrics();
   private readonly registerMetrics = new RegisterMetrics(this.metrics);
   private readonly effects: Effects;
-  private readonly ledger: Ledger;
+  private readonly ledger: WriteAheadLog;
   private readonly acceptor: Acceptor;
   private readonly entryTransfer: EntryTransfer;
-  private readonly standing: StandingKeeper;
-  private readonly leaderships: ReadonlyMap<DocumentKey, Ownership>;
-  private readonly leaderWatch: LeaderWatch;
+  private readonly standing: FleetMembership;
+  private readonly leaderships: ReadonlyMap<DocumentKey, Leadership>;
+  private readonly leaderWatch: LeaderTracker;
   private readonly quorumReader: QuorumReader;
   private readonly weightsAges: WeightsAges;
-  private readonly memberWatch: MemberWatch;
+  private readonly memberWatch: MemberFailureDetector;
   private readonly quorumWatch: QuorumWatch;
-  private readonly members: MemberChanges;
+  private readonly memberChanges: MemberChanges;
   private readonly tickers: readonly Ticker[];
   private readonly log: Log;
-  private readonly notice: Log;
+  private readonly noticeLog: Log;
   private listener: Listener | undefined;
   private readonly startedMicroseconds: number;
   private readonly agentContacts: AgentContacts;
@@ -72,14 +72,14 @@
   private readonly waitingChanges = new WaitingChanges();
   private readonly recentEntries = new RecentEntries();
   private readonly heartbeats: Heartbeats;
-  private readonly vacancies: Vacancies;
+  private readonly vacancies: Elections;
   private readonly replicaReport: ReplicaReport;
   private readonly messageHandler: MessageHandler;
 
   public constructor(
     baseEffects: Effects,
     disk: Disk,
-    private readonly settings: KeeperSettings,
+    private readonly settings: ControlNodeSettings,
     uncachedDialect: Dialect = ownDialect,
   ) {
     const dialect = rememberingDialect(uncachedDialect);
@@ -88,35 +88,35 @@
     const transport = new FleetTransport(baseEffects.transport, () => this.standing.fleet());
     this.effects = { ...baseEffects, transport };
     this.log = Logs.part(`keeper:${settings.name}`);
-    this.notice = Logs.part(`keeper:${settings.name}:notice`);
-    this.ledger = new Ledger(disk, clock, this.notice, settings.rewriteBytes);
-    this.core = new KeeperCore(settings.name, this.ledger, clock);
+    this.noticeLog = Logs.part(`keeper:${settings.name}:notice`);
+    this.ledger = new WriteAheadLog(disk, clock, this.noticeLog, settings.rewriteBytes);
+    this.core = new ReplicaCore(settings.name, this.ledger, clock);
     this.acceptor = new Acceptor(this.core);
     this.entryTransfer = new EntryTransfer(this.core, this.acceptor, transport, settings.askMicroseconds);
-    this.duties = new DutyVoter(this.core, clock);
+    this.duties = new LeaseVoter(this.core, clock);
     this.weightsAges = new WeightsAges(clock, dialect);
-    this.memberWatch = new MemberWatch(this.core, clock, settings.memberSilentMicroseconds);
-    this.leaderWatch = new LeaderWatch(clock, settings.ownerSilentMicroseconds);
+    this.memberWatch = new MemberFailureDetector(this.core, clock, settings.memberSilentMicroseconds);
+    this.leaderWatch = new LeaderTracker(clock, settings.ownerSilentMicroseconds);
     this.quorumWatch = new QuorumWatch(
       this.core,
       clock,
       settings.ownerSilentMicroseconds * quorumTimeoutMultiplier,
-      LimitedLogs.of(this.notice, clock),
+      LimitedLogs.of(this.noticeLog, clock),
     );
-    this.members = new MemberChanges(
+    this.memberChanges = new MemberChanges(
       this.core,
       clock,
       transport,
       this.memberWatch,
       {
         leadership: () => this.leadership('core-members'),
-        words: () => this.replicaReport.words(),
+        keyStatements: () => this.replicaReport.keyStatements(),
         read: (key) => this.read(key),
         change: (order) => this.change(order),
       },
       settings,
     );
-    this.standing = new StandingKeeper(
+    this.standing = new FleetMembership(
       this.core,
       transport,
       random,
@@ -129,17 +129,17 @@
         isFirstStart: settings.isFirstStart,
         joins: settings.joins,
         isOnlyFleet: settings.isOnlyFleet,
-        foundingPatienceMicroseconds: settings.foundingPatienceMicroseconds,
+        majorityFoundingDelayMicroseconds: settings.majorityFoundingDelayMicroseconds,
       },
-      this.notice,
-      () => this.duties.waitOneLease(settings.leaseMicroseconds),
+      this.noticeLog,
+      () => this.duties.delayGrants(settings.leaseMicroseconds),
     );
     this.agentContacts = new AgentContacts(clock);
     this.changeRouter = new ChangeRouter(
       {
         leadership: (key) => this.leadership(key),
         leaderAddress: (key) => this.leaderAddress(key),
-        ledMembers: () => this.standing.ledMembers(),
+        votingMembers: () => this.standing.followedMembers(),
       },
       transport,
       clock,
@@ -151,7 +151,7 @@
       {
         fleet: () => this.standing.fleet(),
         members: () => this.membersToQuery(),
-        ownAnswer: () => (this.core.votes() ? this.replicaReport.wordsAnswer() : undefined),
+        ownAnswer: () => (this.core.votes() ? this.replicaReport.statementsAnswer() : undefined),
         heldText: (key, digest) => this.replicaReport.heldText(key, digest),
       },
       transport,
@@ -163,13 +163,13 @@
       changeMicroseconds: settings.changeMicroseconds,
       firstMembersText: () => this.firstMembersText(),
       dialect,
-      learnMembers: (address: string) => this.entryTransfer.takeMembers(address),
+      learnMembers: (address: string) => this.entryTransfer.fetchMembers(address),
       metrics: this.registerMetrics,
     };
     this.leaderships = new Map(
       DocumentKeys.map((key) => [
         key,
-        new Ownership(
+        new Leadership(
           key,
           this.core,
           this.acceptor,
@@ -177,7 +177,7 @@
           clock,
           random,
           leadershipSettings,
-          LimitedLogs.of(this.notice, clock),
+          LimitedLogs.of(this.noticeLog, clock),
         ),
       ]),
     );
@@ -213,7 +213,7 @@
       quorum: this.quorumWatch,
       ages: this.weightsAges,
     });
-    this.vacancies = new Vacancies({
+    this.vacancies = new Elections({
       core: this.core,
       clock,
       random,
@@ -233,7 +233,7 @@
         heartbeats: this.heartbeats,
         leaderWatch: this.leaderWatch,
         leadership: (key) => this.leadership(key),
-        members: this.members,
+        memberChanges: this.memberChanges,
         recentEntries: this.recentEntries,
         replicaReport: this.replicaReport,
         standing: this.standing,
@@ -242,13 +242,13 @@
       },
       this.startedMicroseconds,
       this.metrics,
-      LimitedLogs.of(this.notice, clock),
+      LimitedLogs.of(this.noticeLog, clock),
     );
     const logFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
     this.tickers = [
       new Ticker(
         clock,
-        () => (this.core.votes() ? 1_000_000 : this.standing.ledMembers().length > 0 ? 400_000 : 150_000),
+        () => (this.core.votes() ? 1_000_000 : this.standing.followedMembers().length > 0 ? 400_000 : 150_000),
         () => this.advanceMembership(),
         logFailure,
       ),
@@ -261,13 +261,13 @@
       new Ticker(
         clock,
         () => memberChangePeriodMicroseconds,
-        () => this.members.step(),
+        () => this.memberChanges.step(),
         logFailure,
       ),
       new Ticker(
         clock,
         () => 100_000 + Math.floor(random.fraction() * 100_000),
-        () => this.vacancies.fill(),
+        () => this.vacancies.campaignForVacantKeys(),
         logFailure,
       ),
     ];
@@ -275,13 +275,13 @@
 
   /** Replays the log, then starts to listen; returns the fault where the log cannot be read. */
   public async start(): Promise<
-    Readonly<{ kind: 'started'; address: string }> | Exclude<LedgerOpened, Readonly<{ kind: 'opened' }>>
+    Readonly<{ kind: 'started'; address: string }> | Exclude<LogOpenOutcome, Readonly<{ kind: 'opened' }>>
   > {
     const opened = await this.ledger.open();
     if (opened.kind !== 'opened') return opened;
-    this.ledger.news.on('broken', (text) => void this.news.emit('broken', text));
-    this.ledger.news.on('synced', (events) => {
-      this.recentEntries.written(events);
+    this.ledger.notifications.on('broken', (text) => void this.events.emit('broken', text));
+    this.ledger.notifications.on('synced', (events) => {
+      this.recentEntries.recordWritten(events);
       for (const event of events) {
         if (event.kind === 'accepted' && event.key === 'blueprint') this.weightsAges.accepted(event.entry);
         // Entries that arrive with the state of other replicas do not pass through this node's own accept step.
@@ -291,7 +291,7 @@
     this.restoreWeightsAges();
     if (opened.fresh && this.settings.isFirstStart)
       void this.ledger.write([{ kind: 'firstStarted', seeds: this.settings.seeds }]);
-    if (!opened.fresh) this.duties.waitOneLease(this.settings.leaseMicroseconds);
+    if (!opened.fresh) this.duties.delayGrants(this.settings.leaseMicroseconds);
     this.listener = await this.effects.transport.listen(
       this.settings.listenAddress || this.settings.member.address,
       async (message) => this.messageHandler.handle(message),
@@ -301,18 +301,18 @@
   }
 
   private restoreWeightsAges(): void {
-    const blueprint = KeeperStates.cell(this.core.state, 'blueprint').accepted;
+    const blueprint = ReplicaStates.acceptorState(this.core.state, 'blueprint').accepted;
     if (blueprint !== null) this.weightsAges.restored(blueprint.entry);
   }
 
   /** Replaces the addresses of the first contacts. */
-  public seedsAre(seeds: readonly string[]): void {
-    this.standing.seedsAre(seeds);
+  public setSeeds(seeds: readonly string[]): void {
+    this.standing.setSeeds(seeds);
   }
 
   /** A planned stop. Announces it, so that the others can take over this node's keys without waiting for the leader timeout. */
   public async leave(): Promise<void> {
-    await this.members.handOver(() => this.advanceMembership());
+    await this.memberChanges.handOver(() => this.advanceMembership());
     for (const ticker of this.tickers) ticker.stop();
     const message = { kind: 'ownerLeaves', owner: this.settings.name };
     await Promise.all(
@@ -334,7 +334,7 @@
   public async read(key: DocumentKey, limitMicroseconds = this.settings.changeMicroseconds): Promise<ReadOutcome> {
     const startMicroseconds = this.effects.clock.nowMicroseconds();
     const outcome = await this.quorumReader.read(key, limitMicroseconds);
-    this.registerMetrics.read(key, outcome.kind, this.effects.clock.nowMicroseconds() - startMicroseconds);
+    this.registerMetrics.countRead(key, outcome.kind, this.effects.clock.nowMicroseconds() - startMicroseconds);
     return outcome;
   }
 
@@ -357,8 +357,8 @@
   }
 
   /** The known leader of each key. */
-  public owners(): Readonly<Record<string, KeyLeader>> {
-    return this.replicaReport.owners();
+  public keyLeaders(): Readonly<Record<string, KeyLeader>> {
+    return this.replicaReport.keyLeaders();
   }
 
   public replicaStatus(): ReplicaStatus {
@@ -366,15 +366,15 @@
   }
 
   /** What this replica has accepted and knows to be decided, per key. */
-  public words(): readonly KeyWord[] {
-    return this.replicaReport.words();
+  public words(): readonly KeyStatement[] {
+    return this.replicaReport.keyStatements();
   }
 
   private membersToQuery(): readonly CoreMember[] {
-    return this.core.votes() ? this.core.others().map(([, member]) => member) : this.standing.ledMembers();
+    return this.core.votes() ? this.core.others().map(([, member]) => member) : this.standing.followedMembers();
   }
 
-  private leadership(key: DocumentKey): Ownership {
+  private leadership(key: DocumentKey): Leadership {
     const leadership = this.leaderships.get(key);
     if (leadership === undefined) throw new Error(`unknown key ${String(key)}`);
     return leadership;
@@ -395,8 +395,8 @@
   private async advanceMembership(): Promise<void> {
     const before = this.core.state.standing;
     await this.standing.step();
-    if (Replaced.isOut(this.core)) await this.ledger.write([{ kind: 'replaced' }]);
-    if (before !== this.core.state.standing) await this.news.emit('standing', this.core.state.standing);
+    if (MemberRemoval.isRemoved(this.core)) await this.ledger.write([{ kind: 'replaced' }]);
+    if (before !== this.core.state.standing) await this.events.emit('standing', this.core.state.standing);
   }
 
   private sendHeartbeats(): Promise<void> {
--- a/source/core-keeper/controlSettings.ts
+++ b/source/core-keeper/controlNodeSettings.ts
@@ -1,7 +1,7 @@
 import type { CoreMember } from '../shared/blueprint/types';
 
 /** Settings of a control node. */
-export type KeeperSettings = Readonly<{
+export type ControlNodeSettings = Readonly<{
   name: string;
   member: CoreMember;
   /** The address to listen on; empty: the address in `member`. */
@@ -37,17 +37,17 @@
   /** A member that a majority has not heard from for this long may be replaced by a standby. */
   memberSilentMicroseconds: number;
   /** How long a membership change waits for its new member to catch up before the new list applies alone. */
-  learnerMicroseconds: number;
+  learnerTimeoutMicroseconds: number;
   /** How long a stopping member continues to vote while its successor catches up. */
-  handOverMicroseconds: number;
+  handOverLimitMicroseconds: number;
   /** Whether no seed address can ever belong to another fleet, so that one responding seed is enough to find the fleet. */
   isOnlyFleet: boolean;
   /** How long a majority of the seeds waits for the others before it founds the fleet without them; only where `joins` is asks. */
-  foundingPatienceMicroseconds: number;
+  majorityFoundingDelayMicroseconds: number;
 }>;
 
 /** Default settings of a control node. */
-export const KeeperDefaults = {
+export const ControlNodeDefaults = {
   listenAddress: '',
   founders: 3,
   askMicroseconds: 700_000,
@@ -61,8 +61,8 @@
   joins: 'named',
   membersWanted: 3,
   memberSilentMicroseconds: 2_000_000,
-  learnerMicroseconds: 5_000_000,
-  handOverMicroseconds: 3_000_000,
-  foundingPatienceMicroseconds: 1_500_000,
+  learnerTimeoutMicroseconds: 5_000_000,
+  handOverLimitMicroseconds: 3_000_000,
+  majorityFoundingDelayMicroseconds: 1_500_000,
   isOnlyFleet: false,
 } as const;
--- a/source/core-keeper/duties/dutyVoter.ts
+++ b/source/core-keeper/leases/leaseVoter.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '../../shared/effects/clock/clock';
-import { KeeperStates } from '../ledger/keeperState';
-import type { KeeperCore } from '../register/keeperCore';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
+import type { ReplicaCore } from '../register/replicaCore';
 
 /** A candidate's request to be granted, or to renew, the lease of a duty under `term`. */
-export type Ballot = Readonly<{ duty: string; candidate: string; term: number; leaseMicroseconds: number }>;
+export type LeaseRequest = Readonly<{ duty: string; candidate: string; term: number; leaseMicroseconds: number }>;
 /** The vote of one replica, with the highest term and the holder that it knows for this duty. */
-export type BallotAnswer = Readonly<{
+export type LeaseVote = Readonly<{
   duty: string;
   granted: boolean;
   term: number;
@@ -34,7 +34,7 @@
  * One replica's votes on leases: it grants each duty to at most one holder until the granted lease expires. Expiry uses the steady
  * clock because a boot clock that jumps forward would end a lease that its holder still uses.
  */
-export class DutyVoter {
+export class LeaseVoter {
   private readonly leases = new Map<string, Lease>();
   /** Time of the last request for each duty during the current period of contact with agents. */
   private readonly requestedAt = new Map<string, number>();
@@ -44,19 +44,19 @@
   private lastPruned = -Infinity;
 
   public constructor(
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly clock: Clock,
   ) {
     this.votesFromMicroseconds = clock.steadyMicroseconds();
   }
 
   /** Delays new grants by one lease term: a replica that restarted or rejoined does not know which leases it granted before. */
-  public waitOneLease(leaseMicroseconds: number): void {
+  public delayGrants(leaseMicroseconds: number): void {
     this.votesFromMicroseconds = this.clock.steadyMicroseconds() + leaseMicroseconds;
   }
 
   /** The granted leases by duty, with the time left of each. */
-  public holders(): Readonly<Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>> {
+  public grantedLeases(): Readonly<Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>> {
     const now = this.clock.steadyMicroseconds();
     return Object.fromEntries(
       [...this.leases].map(([duty, lease]) => [
@@ -70,7 +70,7 @@
    * Votes on a batch of lease requests. A candidate that uses an older member list than this replica is refused: a majority of the old
    * list and a majority of the current list may be disjoint, and both could grant the same duty.
    */
-  public async vote(requests: readonly Ballot[], membersRevision: number): Promise<readonly BallotAnswer[]> {
+  public async vote(requests: readonly LeaseRequest[], membersRevision: number): Promise<readonly LeaseVote[]> {
     const counted = requests.slice(0, maxRequestsPerMessage);
     this.recordRequests(counted);
     if (membersRevision < this.core.members().revision) return counted.map((request) => this.refuseOutdated(request));
@@ -81,7 +81,7 @@
   }
 
   /** Releases the votes of a candidate that did not reach a majority; it never acted under that term. */
-  public withdraw(requests: readonly Pick<Ballot, 'duty' | 'candidate' | 'term'>[]): void {
+  public withdraw(requests: readonly Pick<LeaseRequest, 'duty' | 'candidate' | 'term'>[]): void {
     for (const { duty, candidate, term } of requests) {
       const lease = this.leases.get(duty);
       if (lease?.holder === candidate && lease.term === term) this.leases.delete(duty);
@@ -89,7 +89,7 @@
   }
 
   /** Records the requests, and starts a new period of contact after a gap. */
-  private recordRequests(requests: readonly Ballot[]): void {
+  private recordRequests(requests: readonly LeaseRequest[]): void {
     const now = this.clock.steadyMicroseconds();
     if (now - this.lastContact > contactGapMicroseconds) {
       this.contactSince = now;
@@ -119,17 +119,17 @@
     if (duties.length > 0) await this.core.ledger.write([{ kind: 'dutiesForgotten', duties }]);
   }
 
-  private refuseOutdated({ duty }: Ballot): BallotAnswer {
-    const { term, holder } = KeeperStates.duty(this.core.ledger.pending, duty);
+  private refuseOutdated({ duty }: LeaseRequest): LeaseVote {
+    const { term, holder } = ReplicaStates.dutyTerm(this.core.ledger.pending, duty);
     const floor = this.core.ledger.pending.dutyFloor;
     return { duty, granted: false, term, holder, waitMicroseconds: outdatedMembersRetryMicroseconds, floor };
   }
 
-  private async voteOne(request: Ballot): Promise<BallotAnswer> {
+  private async voteOne(request: LeaseRequest): Promise<LeaseVote> {
     const now = this.clock.steadyMicroseconds();
-    const stored = KeeperStates.duty(this.core.ledger.pending, request.duty);
+    const stored = ReplicaStates.dutyTerm(this.core.ledger.pending, request.duty);
     const floor = this.core.ledger.pending.dutyFloor;
-    const refuse = (waitMicroseconds: number): BallotAnswer => ({
+    const refuse = (waitMicroseconds: number): LeaseVote => ({
       duty: request.duty,
       granted: false,
       term: stored.term,
--- a/source/core-keeper/main.ts
+++ b/source/core-keeper/main.ts
@@ -7,10 +7,10 @@
 import { Logs } from '../shared/log/log';
 import { Programs } from '../shared/settings/program';
 import { SettingFormats, Settings, SharedSettings, type SettingSchema } from '../shared/settings/settings';
-import { KeeperDefaults } from './controlSettings';
-import { DoorDefaults } from './operators/operatorsDoor';
-import { ownOperatorsWords } from './operators/ownWords';
-import { startKeeper } from './program/keeperProgram';
+import { ControlNodeDefaults } from './controlNodeSettings';
+import { OperatorApiDefaults } from './operators/operatorApi';
+import { nativeOperatorApiFormat } from './operators/nativeOperatorApiFormat';
+import { startControlNode } from './program/controlNodeProgram';
 
 const schema: SettingSchema = {
   name: { doc: 'name of this keeper', format: SettingFormats.name, default: null, kind: 'text' },
@@ -49,11 +49,11 @@
   const text = (name: string): string => String(settings[name]);
   const noticeLog = Logs.part('keeper:notice');
   const member = { address: text('address'), operatorsAddress: text('operators'), zone: text('zone') };
-  const program = await startKeeper({
+  const program = await startControlNode({
     effects: { clock: realClock, random: realRandom, transport: new TcpTransport(realClock) },
     disk: await nodeDisk(text('folder')),
     settings: {
-      ...KeeperDefaults,
+      ...ControlNodeDefaults,
       name: text('name'),
       member,
       listenAddress: text('listen'),
@@ -61,13 +61,13 @@
       replaces: text('replaces'),
     },
     dialect: ownDialect,
-    words: ownOperatorsWords,
-    door: { ...DoorDefaults, address: member.operatorsAddress },
-    broken: (sentence) => {
+    operatorApiFormat: nativeOperatorApiFormat,
+    operatorApi: { ...OperatorApiDefaults, address: member.operatorsAddress },
+    onDiskFailure: (sentence) => {
       process.stderr.write(`core-keeper: ${sentence}\n`);
       process.exit(4);
     },
   });
-  noticeLog(`Control node ${text('name')} listens on ${program.address}; operator API on ${program.door.address}.`);
+  noticeLog(`Control node ${text('name')} listens on ${program.address}; operator API on ${program.operatorApi.address}.`);
   Programs.onTerm(Number(settings['stopLimitMicroseconds']), program.stop);
 });
--- a/source/core-keeper/standing/founding.ts
+++ b/source/core-keeper/membership/fleetBootstrap.ts
@@ -3,20 +3,20 @@
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import type { Log } from '../../shared/log/log';
 import { Stamps } from '../../shared/register/types';
-import type { AnswerOf } from '../messages/answers';
-import type { Ask } from '../messages/asks';
-import type { KeeperCore } from '../register/keeperCore';
+import type { ControlResponse } from '../messages/controlResponses';
+import type { ControlRequest } from '../messages/controlRequests';
+import type { ReplicaCore } from '../register/replicaCore';
 
-type Hello = AnswerOf<'hello'>;
+type Hello = ControlResponse<'hello'>;
 
 /** Settings of the bootstrap. `founders`: the number of seeds that found the fleet. */
-export type FoundingSettings = Readonly<{
+export type FleetBootstrapSettings = Readonly<{
   seeds: readonly string[];
   member: CoreMember;
   askMicroseconds: number;
   founders: number;
   /** After this delay a majority of the seeds founds the fleet without the others; only if `joins` is `asks`, which adds them later. */
-  foundingPatienceMicroseconds: number;
+  majorityFoundingDelayMicroseconds: number;
   /** `named`: a replica joins only as the replacement of the member that its settings name. `asks`: it asks the members to add it. */
   joins: 'named' | 'asks';
 }>;
@@ -25,21 +25,21 @@
  * Bootstraps a new fleet. Each seed votes for one fleet and stores that vote on its disk. Any two majorities of the seeds overlap, so two
  * fleets cannot both be founded, provided that a seed which lost its disk does not vote again.
  */
-export class Founding {
+export class FleetBootstrap {
   /** The time since which a majority of the seeds, but not all of them, could found the fleet. */
   private majoritySince: number | undefined;
 
   public constructor(
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly transport: Transport,
     private readonly random: Random,
-    private readonly settings: FoundingSettings,
+    private readonly settings: FleetBootstrapSettings,
     private readonly log: Log,
     private readonly describeSelf: () => Hello,
   ) {}
 
   /** Answers a founder's request: this replica votes for one fleet only and stores its vote before it answers. */
-  public async form({ fleet: requestedFleet, members }: Ask<'form'>): Promise<Message> {
+  public async vote({ fleet: requestedFleet, members }: ControlRequest<'form'>): Promise<Message> {
     // The pending state is checked because a vote under way counts: otherwise two concurrent founders could both receive a vote.
     const { standing, fleet } = this.core.ledger.pending;
     const isRepeated = standing === 'forming' && fleet === requestedFleet;
@@ -67,7 +67,7 @@
     if (leader !== this.core.name) return;
     const fleet = forming[0]?.fleet ?? this.random.name();
     const members = forming[0]?.firstMembers ?? Object.fromEntries(all.map(({ keeper, member }) => [keeper, member]));
-    const own = await this.form({ kind: 'form', fleet, members });
+    const own = await this.vote({ kind: 'form', fleet, members });
     if (own.kind !== 'formingToo') return;
     const answers = await Promise.all(
       founders.map(({ member }) =>
@@ -90,14 +90,14 @@
    * its disk may have forgotten a vote, so it does not count.
    */
   private canFound(hellos: readonly Hello[]): boolean {
-    const { founders, joins, foundingPatienceMicroseconds } = this.settings;
+    const { founders, joins, majorityFoundingDelayMicroseconds: foundingPatienceMicroseconds } = this.settings;
     const names = new Set(hellos.map(({ keeper }) => keeper));
     if (names.size !== hellos.length) return false;
     if (!hellos.every(({ standing }) => standing === 'empty' || standing === 'forming')) return false;
     const isOfFirstStart = ({ standing, isFirstStart }: Hello): boolean => standing === 'forming' || isFirstStart;
     // If all disks are empty and none records a first start, the fleet exists elsewhere.
     if (names.size === founders) return hellos.some(isOfFirstStart);
-    if (joins !== 'asks' || names.size < Stamps.majority(founders) || !hellos.every(isOfFirstStart)) return false;
+    if (joins !== 'asks' || names.size < Stamps.majoritySize(founders) || !hellos.every(isOfFirstStart)) return false;
     const now = this.core.clock.nowMicroseconds();
     this.majoritySince ??= now;
     return now - this.majoritySince >= foundingPatienceMicroseconds;
--- a/source/core-keeper/standing/standing.ts
+++ b/source/core-keeper/membership/fleetMembership.ts
@@ -3,22 +3,22 @@
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { FleetVotes } from '../../shared/fleet/fleetName';
 import type { Log } from '../../shared/log/log';
-import type { KeeperFrame } from '../ledger/keeperState';
-import { Answers, type AnswerOf } from '../messages/answers';
-import type { Ask } from '../messages/asks';
-import { KeeperStates } from '../ledger/keeperState';
+import type { TransferredState } from '../write-ahead-log/replicaState';
+import { ControlResponses, type ControlResponse } from '../messages/controlResponses';
+import type { ControlRequest } from '../messages/controlRequests';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
 import { Stamps } from '../../shared/register/types';
-import { Founding, type FoundingSettings } from './founding';
-import type { KeeperCore, MemberView } from '../register/keeperCore';
+import { FleetBootstrap, type FleetBootstrapSettings } from './fleetBootstrap';
+import type { ReplicaCore, MemberView } from '../register/replicaCore';
 
 /**
  * What a replica reports about itself. `isFirstStart`: its settings or its disk record the first start of the whole system. `led`: the
  * addresses of members that it knows, if it does not vote itself.
  */
-export type Hello = AnswerOf<'hello'>;
+export type Hello = ControlResponse<'hello'>;
 
 /** `replaces`: the name of the member that this replica replaces; empty if there is none. */
-export type StandingSettings = FoundingSettings &
+export type FleetMembershipSettings = FleetBootstrapSettings &
   Readonly<{
     replaces: string;
     isFirstStart: boolean;
@@ -27,26 +27,26 @@
   }>;
 
 /** Makes this replica a voting member: it founds a fleet with the other seeds, or joins one by copying the state of a majority. */
-export class StandingKeeper {
+export class FleetMembership {
   /** The voting replica that this one last followed while it did not vote. */
   private followed: Hello | undefined;
   private seeds: readonly string[];
-  private readonly founding: Founding;
+  private readonly founding: FleetBootstrap;
 
   public constructor(
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly transport: Transport,
     random: Random,
-    private readonly settings: StandingSettings,
+    private readonly settings: FleetMembershipSettings,
     private readonly log: Log,
     private readonly onJoined: () => void,
   ) {
     this.seeds = settings.seeds;
-    this.founding = new Founding(core, transport, random, settings, log, () => this.hello(core.name));
+    this.founding = new FleetBootstrap(core, transport, random, settings, log, () => this.hello(core.name));
   }
 
   /** Replaces the configured seeds. */
-  public seedsAre(seeds: readonly string[]): void {
+  public setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
@@ -63,7 +63,7 @@
       view: this.core.votes() ? this.core.members() : null,
       knownIncarnation: known[asker] ?? 0,
       isFirstStart: this.settings.isFirstStart || this.core.state.firstSeeds.length > 0,
-      led: this.ledMembers().map(({ address }) => address),
+      led: this.followedMembers().map(({ address }) => address),
     };
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Members of the fleet that this replica follows while it does not vote. */
-  public ledMembers(): readonly CoreMember[] {
+  public followedMembers(): readonly CoreMember[] {
     return this.core.votes() ? [] : Object.values(this.followed?.view?.members ?? {});
   }
 
@@ -93,7 +93,7 @@
 
   /** Addresses of the seeds and of all known members, since a seed address may no longer exist. */
   private knownAddresses(): readonly string[] {
-    const members = [...Object.values(this.core.members().members), ...this.ledMembers()];
+    const members = [...Object.values(this.core.members().members), ...this.followedMembers()];
     const addresses = new Set([...this.seeds, ...this.core.state.firstSeeds, ...members.map(({ address }) => address)]);
     return [...addresses].filter((address) => address !== this.settings.member.address);
   }
@@ -126,12 +126,12 @@
   }
 
   /** Answers a founder's request for a vote. */
-  public form(ask: Ask<'form'>): Promise<Message> {
-    return this.founding.form(ask);
+  public vote(ask: ControlRequest<'form'>): Promise<Message> {
+    return this.founding.vote(ask);
   }
 
   /** Sends the state to a joining replica, once its new incarnation is on this disk, so that answers of its earlier one no longer count. */
-  public async frame({ keeper, incarnation, fleet, membersRevision }: Ask<'frame'>): Promise<Message> {
+  public async transferState({ keeper, incarnation, fleet, membersRevision }: ControlRequest<'frame'>): Promise<Message> {
     if (!this.core.votes() || fleet !== this.core.state.fleet) return { kind: 'noVote' };
     // Refused: under an older member list this replica could still accept a value that the transferred state would lack.
     if (this.core.members().revision < membersRevision) return { kind: 'noVote' };
@@ -139,7 +139,7 @@
     const written = await this.core.ledger.write([{ kind: 'knew', keeper, incarnation }]);
     if (written !== 'synced') return { kind: 'noVote' };
     const { firstMembers, cells, learnedMembers, duties, dutyFloor, known } = this.core.state;
-    const frame = { firstMembers, cells, learnedMembers, duties, dutyFloor, known } satisfies KeeperFrame;
+    const frame = { firstMembers, cells, learnedMembers, duties, dutyFloor, known } satisfies TransferredState;
     return { kind: 'frame', frame };
   }
 
@@ -169,7 +169,7 @@
     );
     const [other] = seeds;
     const isFounded = other !== undefined && seeds.every((hello) => hello.fleet === other.fleet);
-    return isFounded && seeds.length >= Stamps.majority(this.settings.founders) ? other.fleet : fleet;
+    return isFounded && seeds.length >= Stamps.majoritySize(this.settings.founders) ? other.fleet : fleet;
   }
 
   /** The fleet to join for a replica without a log. A seed address may now belong to another fleet, which an empty disk cannot tell. */
@@ -193,7 +193,7 @@
         this.transport.ask(address, { kind: 'hello', asker: this.core.name }, this.settings.askMicroseconds),
       ),
     );
-    return answers.flatMap((answer) => Answers.read(answer, 'hello') ?? []);
+    return answers.flatMap((answer) => ControlResponses.read(answer, 'hello') ?? []);
   }
 
   private async join(voting: Hello): Promise<void> {
@@ -228,7 +228,7 @@
     const received = await Promise.all(
       sound.map(async ({ keeper, member }) => {
         const answer = await this.transport.ask(member.address, order, this.settings.askMicroseconds * 4);
-        const received = Answers.read(answer, 'frame');
+        const received = ControlResponses.read(answer, 'frame');
         return received === undefined ? [] : [{ keeper, frame: received.frame }];
       }),
     );
@@ -257,7 +257,7 @@
     return (isLearner ? [before] : view.sets).every((set) => {
       const others = set.filter((name) => name !== this.core.name);
       const answering = others.filter((name) => from.some(({ keeper }) => keeper === name));
-      return answering.length >= Math.min(others.length, Stamps.majority(set.length));
+      return answering.length >= Math.min(others.length, Stamps.majoritySize(set.length));
     });
   }
 
@@ -276,10 +276,10 @@
 }
 
 /** Detects that this replica was removed from the member list. */
-export const Replaced = {
+export const MemberRemoval = {
   /** Whether a completed list no longer contains this replica, which then stops voting for good. */
-  isOut: (core: KeeperCore): boolean => {
-    const accepted = KeeperStates.cell(core.state, 'core-members').accepted;
+  isRemoved: (core: ReplicaCore): boolean => {
+    const accepted = ReplicaStates.acceptorState(core.state, 'core-members').accepted;
     return (
       core.votes() &&
       accepted !== null &&
--- a/source/core-keeper/standing/leaderWatch.ts
+++ b/source/core-keeper/membership/leaderTracker.ts
@@ -1,25 +1,25 @@
 import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Epochs, type Epoch } from '../../shared/register/types';
-import type { OwnerWord } from '../register/messages';
+import type { LeaderStatement } from '../register/messages';
 
 type Contact = Readonly<{
   leader: string;
   epoch: Epoch;
   atMicroseconds: number;
   /** The last heartbeat's statement on this key; undefined before the first heartbeat. */
-  announced: OwnerWord | undefined;
+  announced: LeaderStatement | undefined;
 }>;
 
 /** A leader and its last statement on the key, if a heartbeat has arrived. */
-export type KnownLeader = Readonly<{ leader: string; announced: OwnerWord | undefined }>;
+export type KnownLeader = Readonly<{ leader: string; announced: LeaderStatement | undefined }>;
 
 /**
  * Tracks the leader of each key as this replica sees it. Heartbeats and accept requests identify a leader. It is dropped when it is silent for
  * the timeout or when its heartbeat no longer lists the key. A promise to a candidate blocks others for the same time, so that an election
  * under way can finish before another one starts.
  */
-export class LeaderWatch {
+export class LeaderTracker {
   private readonly contacts = new Map<DocumentKey, Contact>();
   private readonly promises = new Map<DocumentKey, Readonly<{ candidate: string; atMicroseconds: number }>>();
 
@@ -29,7 +29,7 @@
   ) {}
 
   /** Processes a heartbeat, which lists all keys that a node leads. Returns the statements that are not outdated. */
-  public heartbeat(leader: string, statements: readonly OwnerWord[]): readonly OwnerWord[] {
+  public recordHeartbeat(leader: string, statements: readonly LeaderStatement[]): readonly LeaderStatement[] {
     for (const key of DocumentKeys) {
       const contact = this.contacts.get(key);
       const hasAnnounced = contact?.leader === leader && contact.announced !== undefined;
@@ -39,17 +39,17 @@
   }
 
   /** Records an accept request; its epoch names the leader. */
-  public accepted(key: DocumentKey, epoch: Epoch): void {
+  public recordAccept(key: DocumentKey, epoch: Epoch): void {
     this.recordContact(key, epoch.keeper, epoch, undefined);
   }
 
   /** Records that this replica promised an epoch to a candidate. */
-  public promised(key: DocumentKey, epoch: Epoch): void {
+  public recordPromise(key: DocumentKey, epoch: Epoch): void {
     this.promises.set(key, { candidate: epoch.keeper, atMicroseconds: this.clock.nowMicroseconds() });
   }
 
   /** Drops a node that stops as the leader of all its keys. */
-  public forget(leader: string): void {
+  public removeLeader(leader: string): void {
     for (const [key, contact] of this.contacts) if (contact.leader === leader) this.contacts.delete(key);
   }
 
@@ -72,7 +72,7 @@
     return promise !== undefined && promise.candidate !== candidate && this.isRecent(promise.atMicroseconds);
   }
 
-  private recordContact(key: DocumentKey, leader: string, epoch: Epoch, announced: OwnerWord | undefined): boolean {
+  private recordContact(key: DocumentKey, leader: string, epoch: Epoch, announced: LeaderStatement | undefined): boolean {
     const known = this.contacts.get(key);
     if (known !== undefined && Epochs.compare(known.epoch, epoch) > 0) return false;
     const isSame = known?.leader === leader;
--- a/source/core-keeper/standing/memberChanges.ts
+++ b/source/core-keeper/membership/memberChanges.ts
@@ -1,14 +1,14 @@
 import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Answer, Message, Transport } from '../../shared/effects/transport/transport';
-import type { KeyWord } from '../../shared/register/types';
-import type { KeeperCore } from '../register/keeperCore';
+import type { KeyStatement } from '../../shared/register/types';
+import type { ReplicaCore } from '../register/replicaCore';
 import type { ChangeOrder, ChangeOutcome } from '../register/messages';
-import type { Ownership } from '../register/ownership';
-import { Answers, type AnswerOf } from '../messages/answers';
-import { LearnerProgress, type MemberHoldings } from './learnerProgress';
+import type { Leadership } from '../register/leadership';
+import { ControlResponses, type ControlResponse } from '../messages/controlResponses';
+import { LearnerProgress, type MemberReport } from './learnerProgress';
 import { MemberPlans, type MemberHealth } from './memberPlan';
-import type { MemberWatch } from './memberWatch';
+import type { MemberFailureDetector } from './memberFailureDetector';
 
 /** Settings of member changes. */
 export type MemberChangeSettings = Readonly<{
@@ -17,15 +17,15 @@
   membersWanted: number;
   askMicroseconds: number;
   /** How long a changed list waits for its learner to catch up before it takes effect without it. */
-  learnerMicroseconds: number;
+  learnerTimeoutMicroseconds: number;
   /** How long a member that stops keeps voting while its successor catches up. */
-  handOverMicroseconds: number;
+  handOverLimitMicroseconds: number;
 }>;
 
 /** The operations of the replicated register that member changes use. */
 export type MemberRegister = Readonly<{
-  leadership: () => Ownership;
-  words: () => readonly KeyWord[];
+  leadership: () => Leadership;
+  keyStatements: () => readonly KeyStatement[];
   read: (
     key: DocumentKey,
   ) => Promise<Readonly<{ kind: 'read'; revision: number; text: string }> | Readonly<{ kind: 'noMajority' }>>;
@@ -59,10 +59,10 @@
   private pendingChange: Readonly<{ revision: number; sinceMicroseconds: number }> | undefined;
 
   public constructor(
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly clock: Clock,
     private readonly transport: Transport,
-    private readonly watch: MemberWatch,
+    private readonly watch: MemberFailureDetector,
     private readonly register: MemberRegister,
     private readonly settings: MemberChangeSettings,
   ) {}
@@ -88,7 +88,7 @@
   }
 
   /** Records that a member is about to stop, and answers whether a standby replica can replace it. */
-  public hearLeaving(name: string): Message {
+  public recordLeaving(name: string): Message {
     this.leaving.set(name, this.clock.nowMicroseconds());
     return { kind: 'heard', hasStandby: this.hasStandby() };
   }
@@ -100,7 +100,7 @@
    */
   public async handOver(refresh: () => Promise<void>): Promise<void> {
     if (this.settings.joins !== 'asks') return;
-    const until = this.clock.nowMicroseconds() + this.settings.handOverMicroseconds;
+    const until = this.clock.nowMicroseconds() + this.settings.handOverLimitMicroseconds;
     let leaveAnswer: LeaveAnswer = 'unsure';
     while (this.core.votes() && this.clock.nowMicroseconds() < until) {
       if (leaveAnswer !== 'hasSuccessor') leaveAnswer = await this.announceLeaving();
@@ -114,7 +114,7 @@
     this.leaving.set(this.core.name, this.clock.nowMicroseconds());
     const message = { kind: 'memberLeaves', keeper: this.core.name, fleet: this.core.state.fleet };
     const answers = await this.askOthers(message);
-    const responses = answers.flatMap((answer) => Answers.read(answer, 'heard') ?? []);
+    const responses = answers.flatMap((answer) => ControlResponses.read(answer, 'heard') ?? []);
     if (this.hasStandby() || responses.some(({ hasStandby }) => hasStandby === true)) return 'hasSuccessor';
     return responses.length === this.core.others().length ? 'free' : 'unsure';
   }
@@ -130,7 +130,7 @@
     if (this.pendingChange?.revision !== revision)
       this.pendingChange = { revision, sinceMicroseconds: this.clock.nowMicroseconds() };
     if (learner === undefined || (await this.isChangeReady(learner, this.pendingChange.sinceMicroseconds)))
-      await this.register.leadership().settleMemberChange();
+      await this.register.leadership().completeMemberChange();
   }
 
   private async isChangeReady(learner: string, sinceMicroseconds: number): Promise<boolean> {
@@ -138,19 +138,19 @@
     const reports = await this.collectReports();
     if (!LearnerProgress.isNewListReady(view, reports)) return false;
     return (
-      LearnerProgress.isLearnerIn(learner, view, reports) ||
-      this.clock.nowMicroseconds() - sinceMicroseconds >= this.settings.learnerMicroseconds
+      LearnerProgress.isLearnerVoting(learner, view, reports) ||
+      this.clock.nowMicroseconds() - sinceMicroseconds >= this.settings.learnerTimeoutMicroseconds
     );
   }
 
-  private async collectReports(): Promise<readonly MemberHoldings[]> {
-    const own: MemberHoldings = {
+  private async collectReports(): Promise<readonly MemberReport[]> {
+    const own: MemberReport = {
       stamp: this.core.stamp(),
       membersRevision: this.core.members().revision,
-      words: this.register.words(),
+      words: this.register.keyStatements(),
     };
     const answers = await this.askOthers({ kind: 'words', fleet: this.core.state.fleet });
-    return [own, ...answers.flatMap((answer) => Answers.read(answer, 'words') ?? [])];
+    return [own, ...answers.flatMap((answer) => ControlResponses.read(answer, 'words') ?? [])];
   }
 
   private askOthers(message: Message): Promise<readonly Answer[]> {
@@ -176,7 +176,7 @@
     // A member that returns under a new address replaces itself.
     if (this.core.members().members[name] !== undefined)
       return this.changeList(name, member, () => ({ gone: name, id: `move ${name} to ${member.address}` }));
-    const planned = MemberPlans.next(memberHealth, this.settings.membersWanted);
+    const planned = MemberPlans.plan(memberHealth, this.settings.membersWanted);
     if (planned.kind === 'wait') return refusal;
     const gone = planned.kind === 'replace' ? planned.gone : '';
     return this.changeList(name, member, () => ({ gone, id: `take in ${name} for ${gone}` }));
@@ -213,7 +213,7 @@
     const names = Object.keys(view.members);
     const answers = await Promise.all(this.core.others().map(([name, { address }]) => this.checkMember(name, address)));
     const reports = [
-      { silent: this.watch.silent() },
+      { silent: this.watch.silentMembers() },
       ...answers.flatMap(({ silent }) => (silent === undefined ? [] : [{ silent }])),
     ];
     const healthOf = (name: string): MemberHealth => {
@@ -230,7 +230,7 @@
   private async checkMember(
     name: string,
     address: string,
-  ): Promise<Readonly<{ name: string; hello: AnswerOf<'hello'> | undefined; silent: readonly string[] | undefined }>> {
+  ): Promise<Readonly<{ name: string; hello: ControlResponse<'hello'> | undefined; silent: readonly string[] | undefined }>> {
     const ask = (message: Message): ReturnType<Transport['ask']> =>
       this.transport.ask(address, message, this.settings.askMicroseconds);
     const [hello, silent] = await Promise.all([
@@ -239,8 +239,8 @@
     ]);
     return {
       name,
-      hello: Answers.read(hello, 'hello'),
-      silent: Answers.read(silent, 'silentMembers')?.silent,
+      hello: ControlResponses.read(hello, 'hello'),
+      silent: ControlResponses.read(silent, 'silentMembers')?.silent,
     };
   }
 }
--- a/source/core-keeper/standing/memberPlan.ts
+++ b/source/core-keeper/membership/memberPlan.ts
@@ -17,7 +17,7 @@
    * How the list changes for a replica that asks to join. Members change one at a time, and only while no other member's state is in
    * doubt: each new member must have read the current state before the next change, or a majority could miss an accepted value.
    */
-  next: (health: Readonly<Record<string, MemberHealth>>, wantedCount: number): MemberPlan => {
+  plan: (health: Readonly<Record<string, MemberHealth>>, wantedCount: number): MemberPlan => {
     const names = Object.keys(health).sort();
     if (!names.every((name) => isCertain(health[name]))) return { kind: 'wait' };
     const gone = names.find((name) => health[name] === 'silent') ?? names.find((name) => health[name] === 'leaving');
--- a/source/core-keeper/messages/asks.ts
+++ b/source/core-keeper/messages/controlRequests.ts
@@ -4,7 +4,7 @@
 import { Schema, type Of } from '../../shared/schema/schema';
 import {
   Ballot,
-  ChangeOrder,
+  ChangeRequest,
   ChangeOutcome,
   Count,
   Entry,
@@ -16,7 +16,7 @@
   Members,
   Name,
   Withdrawal,
-} from './parts';
+} from './sharedSchemas';
 
 /** One agent requests leases for many engines at once. */
 const maxBallots = 65_536;
@@ -40,7 +40,7 @@
 
 const roundFields = { membersRevision: Count, key: Key, epoch: Epoch };
 const newMemberFields = { name: Name, member: Member };
-const changeFields = { order: ChangeOrder };
+const changeFields = { order: ChangeRequest };
 
 const schemas = {
   hello: requestSchema('hello', { asker: Name }),
@@ -82,26 +82,26 @@
 
 type RequestKind = keyof typeof schemas;
 /** A request of one of the given kinds. */
-export type Ask<Kind extends RequestKind = RequestKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
+export type ControlRequest<Kind extends RequestKind = RequestKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
 
 /** A request that has passed its schema, or the reason why it was refused. */
-export type AskRead =
-  Readonly<{ kind: 'good'; ask: Ask }> | Readonly<{ kind: 'refused'; of: RequestKind | 'unknown'; fault: string }>;
+export type ParsedRequest =
+  Readonly<{ kind: 'good'; request: ControlRequest }> | Readonly<{ kind: 'refused'; requestKind: RequestKind | 'unknown'; fault: string }>;
 
 const isRequestKind = (kind: string): kind is RequestKind => Object.hasOwn(schemas, kind);
 
 /** Checks incoming requests against their schemas. */
-export const Asks = {
+export const ControlRequests = {
   kinds: Object.keys(schemas) as readonly RequestKind[],
 
   schemaOf: (kind: RequestKind): TSchema => schemas[kind].type,
 
   /** Checks a message from another process. */
-  read: (message: Message): AskRead => {
-    if (!isRequestKind(message.kind)) return { kind: 'refused', of: 'unknown', fault: 'no such message' };
+  read: (message: Message): ParsedRequest => {
+    if (!isRequestKind(message.kind)) return { kind: 'refused', requestKind: 'unknown', fault: 'no such message' };
     const schema: Schema<(typeof schemas)[RequestKind]['type']> = schemas[message.kind] as never;
     return schema.is(message)
-      ? { kind: 'good', ask: message }
-      : { kind: 'refused', of: message.kind, fault: schema.fault(message) };
+      ? { kind: 'good', request: message }
+      : { kind: 'refused', requestKind: message.kind, fault: schema.fault(message) };
   },
 } as const;
--- a/source/core-keeper/messages/answers.ts
+++ b/source/core-keeper/messages/controlResponses.ts
@@ -3,7 +3,7 @@
 import type { Answer } from '../../shared/effects/transport/transport';
 import { Schema, type Of } from '../../shared/schema/schema';
 import {
-  ChangeOrder,
+  ChangeRequest,
   ChangeOutcome,
   Count,
   Entry,
@@ -19,7 +19,7 @@
   Snapshot,
   Stamp,
   View,
-} from './parts';
+} from './sharedSchemas';
 
 const responseSchema = <Kind extends string, Fields extends TProperties>(
   kind: Kind,
@@ -54,7 +54,7 @@
   }),
   frame: responseSchema('frame', { frame: Snapshot }),
   changed: responseSchema('changed', { outcome: Type.Union([ChangeOutcome, Type.Null()]) }),
-  fetchedChange: responseSchema('fetchedChange', { number: Count, order: ChangeOrder }),
+  fetchedChange: responseSchema('fetchedChange', { number: Count, order: ChangeRequest }),
   heard: responseSchema('heard', {
     promised: Type.Optional(Type.Array(Type.Object({ key: Key, epoch: Epoch }), { maxItems: 3 })),
     waiting: Type.Optional(Count),
@@ -66,21 +66,21 @@
 
 type ResponseKind = keyof typeof schemas;
 /** A response of one of the given kinds. */
-export type AnswerOf<Kind extends ResponseKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
+export type ControlResponse<Kind extends ResponseKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
 
 /** Checks the responses of control nodes against their schemas. */
-export const Answers = {
+export const ControlResponses = {
   kinds: Object.keys(schemas) as readonly ResponseKind[],
 
   schemaOf: (kind: ResponseKind): TSchema => schemas[kind].type,
 
   /** The response, if it is of one of these kinds and matches its schema. */
-  read: <Kind extends ResponseKind>(response: Answer, ...kinds: readonly Kind[]): AnswerOf<Kind> | undefined => {
+  read: <Kind extends ResponseKind>(response: Answer, ...kinds: readonly Kind[]): ControlResponse<Kind> | undefined => {
     if (response.kind !== 'answered') return undefined;
     const { message } = response;
     const kind = kinds.find((each) => each === message.kind);
     if (kind === undefined) return undefined;
     const schema: Schema<(typeof schemas)[Kind]['type']> = schemas[kind] as never;
-    return schema.is(message) ? (message as AnswerOf<Kind>) : undefined;
+    return schema.is(message) ? (message as ControlResponse<Kind>) : undefined;
   },
 } as const;
--- a/source/core-keeper/messages/messageHandler.ts
+++ b/source/core-keeper/messages/messageHandler.ts
@@ -3,43 +3,43 @@
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 import type { DocumentKey } from '../../shared/blueprint/types';
-import type { DutyVoter } from '../duties/dutyVoter';
-import { KeeperStates } from '../ledger/keeperState';
+import type { LeaseVoter } from '../leases/leaseVoter';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
 import type { AgentContacts } from '../operators/agentContacts';
 import type { Acceptor } from '../register/acceptor';
 import type { ChangeRouter } from '../register/changeRouter';
 import { Digests } from '../register/changes';
 import type { EntryTransfer } from '../register/entryTransfer';
 import type { Heartbeats } from '../register/heartbeats';
-import type { KeeperCore } from '../register/keeperCore';
+import type { ReplicaCore } from '../register/replicaCore';
 import type { Accept, ChangeOutcome, Prepare } from '../register/messages';
-import type { Ownership } from '../register/ownership';
+import type { Leadership } from '../register/leadership';
 import type { RecentEntries } from '../register/recentEntries';
 import type { ReplicaReport } from '../register/replicaReport';
 import type { WaitingChanges } from '../register/waitingChanges';
-import type { LeaderWatch } from '../standing/leaderWatch';
-import type { MemberChanges } from '../standing/memberChanges';
-import type { MemberWatch } from '../standing/memberWatch';
-import type { StandingKeeper } from '../standing/standing';
-import { Asks, type Ask } from './asks';
+import type { LeaderTracker } from '../membership/leaderTracker';
+import type { MemberChanges } from '../membership/memberChanges';
+import type { MemberFailureDetector } from '../membership/memberFailureDetector';
+import type { FleetMembership } from '../membership/fleetMembership';
+import { ControlRequests, type ControlRequest } from './controlRequests';
 
 /** The components of a control node that requests are dispatched to. */
 export type MessageHandlerParts = Readonly<{
-  core: KeeperCore;
+  core: ReplicaCore;
   acceptor: Acceptor;
   agentContacts: AgentContacts;
   changeRouter: ChangeRouter;
-  duties: DutyVoter;
+  duties: LeaseVoter;
   entryTransfer: EntryTransfer;
   heartbeats: Heartbeats;
-  leaderWatch: LeaderWatch;
-  leadership: (key: DocumentKey) => Ownership;
-  members: MemberChanges;
+  leaderWatch: LeaderTracker;
+  leadership: (key: DocumentKey) => Leadership;
+  memberChanges: MemberChanges;
   recentEntries: RecentEntries;
   replicaReport: ReplicaReport;
-  standing: StandingKeeper;
+  standing: FleetMembership;
   waitingChanges: WaitingChanges;
-  memberWatch: MemberWatch;
+  memberWatch: MemberFailureDetector;
 }>;
 
 const noVoteResponse: Message = { kind: 'noVote' };
@@ -60,21 +60,21 @@
    * carries other requests.
    */
   public handle(message: Message): Promise<Message> | Message {
-    const parsed = Asks.read(message);
-    if (parsed.kind === 'good') return this.answer(parsed.ask);
-    this.metrics.count('postdrum_messages_refused_total', { message: parsed.of });
-    this.refusalLog(`Message refused: kind ${parsed.of}, ${parsed.fault}.`);
+    const parsed = ControlRequests.read(message);
+    if (parsed.kind === 'good') return this.respond(parsed.request);
+    this.metrics.count('postdrum_messages_refused_total', { message: parsed.requestKind });
+    this.refusalLog(`Message refused: kind ${parsed.requestKind}, ${parsed.fault}.`);
     return { kind: 'refused' };
   }
 
-  private answer(request: Ask): Promise<Message> | Message {
+  private respond(request: ControlRequest): Promise<Message> | Message {
     switch (request.kind) {
       case 'hello':
         return this.parts.standing.hello(request.asker);
       case 'form':
-        return this.parts.standing.form(request);
+        return this.parts.standing.vote(request);
       case 'frame':
-        return this.parts.standing.frame(request);
+        return this.parts.standing.transferState(request);
       case 'prepare':
         return this.prepare(request);
       case 'accept':
@@ -82,44 +82,44 @@
       case 'confirm':
         return this.parts.acceptor.confirm(request);
       case 'owners':
-        return this.parts.heartbeats.hear(request);
+        return this.parts.heartbeats.receive(request);
       case 'fetchChange':
         return this.isOwnFleet(request.fleet) ? this.parts.waitingChanges.fetch(request) : noVoteResponse;
       case 'ownerLeaves':
-        this.parts.leaderWatch.forget(request.owner);
+        this.parts.leaderWatch.removeLeader(request.owner);
         return { kind: 'heard' };
       case 'words':
         return this.replicaStatements(request);
       case 'body':
-        return this.body(request);
+        return this.bodyResponse(request);
       case 'ballots':
         return this.vote(request);
       case 'withdraw':
         this.parts.duties.withdraw(request.ballots);
         return { kind: 'heard' };
       case 'change':
-        return this.changed(this.parts.changeRouter.changeAsLeader(request.order));
+        return this.changeResponse(this.parts.changeRouter.changeAsLeader(request.order));
       case 'relayChange':
-        return this.changed(this.parts.changeRouter.changeFromMember(request.order));
+        return this.changeResponse(this.parts.changeRouter.changeFromMember(request.order));
       case 'passChange':
-        return this.parts.core.votes() ? this.changed(this.parts.changeRouter.change(request.order)) : noVoteResponse;
+        return this.parts.core.votes() ? this.changeResponse(this.parts.changeRouter.change(request.order)) : noVoteResponse;
       case 'entry':
-        return this.parts.entryTransfer.give(request.key);
+        return this.parts.entryTransfer.acceptRequestFor(request.key);
       case 'replace':
-        return this.parts.members.replace(request.gone, request.name, request.member);
+        return this.parts.memberChanges.replace(request.gone, request.name, request.member);
       case 'takeIn':
-        return this.parts.members.takeIn(request.name, request.member);
+        return this.parts.memberChanges.takeIn(request.name, request.member);
       case 'memberLeaves':
-        return this.isOwnFleet(request.fleet) ? this.parts.members.hearLeaving(request.keeper) : noVoteResponse;
+        return this.isOwnFleet(request.fleet) ? this.parts.memberChanges.recordLeaving(request.keeper) : noVoteResponse;
       case 'mayLead':
-        return this.mayLead(request);
+        return this.preVote(request);
       case 'silentMembers':
         return this.parts.core.votes()
-          ? { kind: 'silentMembers', silent: this.parts.memberWatch.silent(), fleet: this.parts.core.state.fleet }
+          ? { kind: 'silentMembers', silent: this.parts.memberWatch.silentMembers(), fleet: this.parts.core.state.fleet }
           : noVoteResponse;
       case 'news':
         // A control node responds to gossip because an agent that has it as a seed finds the first other agents through it.
-        return this.parts.agentContacts.seedNews(request.own);
+        return this.parts.agentContacts.gossipResponse(request.own);
       case 'newsMore':
         return { kind: 'heard' };
       case 'ping':
@@ -131,23 +131,23 @@
     return fleet === this.parts.core.state.fleet;
   }
 
-  private async changed(change: Promise<ChangeOutcome | undefined>): Promise<Message> {
+  private async changeResponse(change: Promise<ChangeOutcome | undefined>): Promise<Message> {
     return { kind: 'changed', outcome: (await change) ?? null };
   }
 
   private async prepare(request: Prepare): Promise<Message> {
     const response = await this.parts.acceptor.prepare(request);
-    if (response.kind === 'promised') this.parts.leaderWatch.promised(request.key, request.epoch);
+    if (response.kind === 'promised') this.parts.leaderWatch.recordPromise(request.key, request.epoch);
     return response;
   }
 
   private async accept(request: Accept): Promise<Message> {
     const response = await this.parts.acceptor.accept(request);
-    if (response.kind === 'accepted') this.parts.leaderWatch.accepted(request.key, request.epoch);
+    if (response.kind === 'accepted') this.parts.leaderWatch.recordAccept(request.key, request.epoch);
     return response;
   }
 
-  private async vote({ ballots, membersRevision = 0 }: Ask<'ballots'>): Promise<Message> {
+  private async vote({ ballots, membersRevision = 0 }: ControlRequest<'ballots'>): Promise<Message> {
     const answers = await this.parts.duties.vote(ballots, membersRevision);
     const view = this.parts.core.members();
     // The newer member list is included, so that the candidate need not wait for its next read to learn it.
@@ -155,7 +155,7 @@
   }
 
   /** Pre-vote: whether this node votes in the candidate's fleet, and whether it hears a leader other than the candidate. */
-  private mayLead({ key, fleet, candidate }: Ask<'mayLead'>): Message {
+  private preVote({ key, fleet, candidate }: ControlRequest<'mayLead'>): Message {
     if (!this.parts.core.votes() || !this.isOwnFleet(fleet)) return noVoteResponse;
     const wouldDepose = this.parts.leaderWatch.wouldDepose(key, candidate);
     return {
@@ -165,14 +165,14 @@
     };
   }
 
-  private replicaStatements({ own, fleet = '', known: readerDigest }: Ask<'words'>): Message {
+  private replicaStatements({ own, fleet = '', known: readerDigest }: ControlRequest<'words'>): Message {
     // Agents send this request several times a second, so recording them here keeps the operators' list of agents complete.
-    this.parts.agentContacts.hear(own);
+    this.parts.agentContacts.record(own);
     // Without a vote this node gives no statements: while it is catching up, they could hide accepted changes.
     if (!this.parts.core.votes() || (fleet !== '' && !this.isOwnFleet(fleet)))
       // A standby names the members, so that a process that has reached the standby finds them.
-      return { kind: 'noVote', led: this.parts.standing.ledMembers().map(({ address }) => address) };
-    const response = this.parts.replicaReport.wordsAnswer();
+      return { kind: 'noVote', led: this.parts.standing.followedMembers().map(({ address }) => address) };
+    const response = this.parts.replicaReport.statementsAnswer();
     // The digest leaves out the ages, which grow with time; the reader advances them itself. It includes the start time, so that
     // the reader notices a restart, after which this node has forgotten its agent contacts.
     const known = Digests.of(
@@ -183,9 +183,9 @@
     return readerDigest === known ? { kind: 'wordsSame', known } : { ...response, known };
   }
 
-  private body({ key, digest }: Ask<'body'>): Message {
+  private bodyResponse({ key, digest }: ControlRequest<'body'>): Message {
     const { core, recentEntries } = this.parts;
-    const acceptedEntry = KeeperStates.cell(core.state, key).accepted?.entry;
+    const acceptedEntry = ReplicaStates.acceptorState(core.state, key).accepted?.entry;
     const entry = acceptedEntry?.digest === digest ? acceptedEntry : recentEntries.find(key, digest);
     if (!core.votes() || entry === undefined) return { kind: 'noBody' };
     const { revision, text } = entry;
--- a/source/core-keeper/messages/parts.ts
+++ b/source/core-keeper/messages/sharedSchemas.ts
@@ -85,7 +85,7 @@
 });
 export const LeaderStatement = Type.Object({ key: Key, epoch: Epoch, revision: Count, digest: Name });
 
-export const ChangeOrder = Type.Object({
+export const ChangeRequest = Type.Object({
   key: Key,
   form: Type.Union([Type.Literal('whole'), Type.Literal('pieces'), Type.Literal('weights')]),
   text: Text,
--- a/source/core-keeper/operators/agentContacts.ts
+++ b/source/core-keeper/operators/agentContacts.ts
@@ -18,7 +18,7 @@
   public constructor(private readonly clock: Clock) {}
 
   /** Stores the membership fact that an agent sends about itself; ignores anything else. */
-  public hear(own: unknown): void {
+  public record(own: unknown): void {
     const facts = [own];
     if (!Facts.isList(facts)) return;
     for (const fact of facts)
@@ -40,8 +40,8 @@
   }
 
   /** The response to an agent that uses this node as a gossip seed. */
-  public seedNews(own: unknown): Message {
-    this.hear(own);
+  public gossipResponse(own: unknown): Message {
+    this.record(own);
     const now = this.clock.nowMicroseconds();
     // Only recent contacts: a control node does not monitor agents and must not bring failed ones back into the gossip.
     for (const [key, { atMicroseconds }] of this.contacts)
--- a/source/core-keeper/operators/ownWords.ts
+++ b/source/core-keeper/operators/nativeOperatorApiFormat.ts
@@ -3,7 +3,7 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { ReadOutcome } from '../register/quorumReader';
 import type { ChangeOutcome } from '../register/messages';
-import type { ChangeCall, ChangePlace, DoorAnswer, DoorOutcome, OperatorsWords, OrderRead } from './operatorsWords';
+import type { ChangeCall, ChangeRoute, ApiResponse, ReportedOutcome, OperatorApiFormat, ParsedChange } from './operatorApiFormat';
 
 const keysByPath: readonly (readonly [string, DocumentKey])[] = [
   ['/blueprint', 'blueprint'],
@@ -11,14 +11,14 @@
   ['/core-members', 'core-members'],
 ];
 
-const jsonResponse = (status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): DoorAnswer => ({
+const jsonResponse = (status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): ApiResponse => ({
   status,
   body: `${JSON.stringify(value)}\n`,
   contentType: 'application/json',
   headers,
 });
 
-const refusalResponse = (status: number, fault: string): DoorAnswer =>
+const refusalResponse = (status: number, fault: string): ApiResponse =>
   jsonResponse(status, { outcome: 'refused', reason: 'order', faults: [{ path: '', fault }] });
 
 const statusOf = (outcome: ChangeOutcome): number => {
@@ -37,7 +37,7 @@
   }
 };
 
-const formatOutcome = (outcome: DoorOutcome): DoorAnswer => {
+const formatOutcome = (outcome: ReportedOutcome): ApiResponse => {
   if (outcome.kind === 'pending') return formatOutcome({ kind: 'unknown' });
   const status = statusOf(outcome);
   const headers: Record<string, string> =
@@ -61,7 +61,7 @@
   return typeof id === 'string' && /^[!-~]{1,128}$/.test(id) ? id : undefined;
 };
 
-const findHeaderFault = (_route: ChangePlace, headers: IncomingHttpHeaders): DoorAnswer | undefined => {
+const findHeaderFault = (_route: ChangeRoute, headers: IncomingHttpHeaders): ApiResponse | undefined => {
   if (parseRevision(headers['if-match']) === undefined)
     return refusalResponse(428, 'If-Match with the revision you read is needed; "0" where nothing was taken yet');
   if (parseChangeId(headers) === undefined)
@@ -69,12 +69,12 @@
   return undefined;
 };
 
-const parseNativeChange = ({ place: { key, form }, headers, text }: ChangeCall): OrderRead => ({
+const parseNativeChange = ({ route: { key, form }, headers, text }: ChangeCall): ParsedChange => ({
   kind: 'order',
   order: { key, form, text, ifMatch: parseRevision(headers['if-match']) ?? 0, id: parseChangeId(headers) ?? '' },
 });
 
-const formatDocument = (outcome: ReadOutcome): DoorAnswer => {
+const formatDocument = (outcome: ReadOutcome): ApiResponse => {
   if (outcome.kind === 'noMajority')
     return jsonResponse(503, { error: 'no majority of keepers answers' }, { 'retry-after': '2' });
   if (outcome.revision === 0)
@@ -88,18 +88,18 @@
 };
 
 /** The native format: one path per key, revisions in ETag and If-Match, and a change id in Idempotency-Key. */
-export const ownOperatorsWords: OperatorsWords = {
-  reads: keysByPath.map(([path, key]) => ({ path, key })),
-  changes: keysByPath.flatMap(([path, key]): readonly ChangePlace[] => [
+export const nativeOperatorApiFormat: OperatorApiFormat = {
+  readRoutes: keysByPath.map(([path, key]) => ({ path, key })),
+  changeRoutes: keysByPath.flatMap(([path, key]): readonly ChangeRoute[] => [
     { method: 'put', path, key, form: 'whole' },
     { method: 'patch', path, key, form: 'pieces' },
   ]),
-  head: findHeaderFault,
-  order: parseNativeChange,
-  unreadable: (reason) =>
+  checkHeaders: findHeaderFault,
+  parseChange: parseNativeChange,
+  unreadableBodyResponse: (reason) =>
     reason === 'tooLarge'
       ? refusalResponse(413, `longer than ${BlueprintLimits.textBytes} bytes`)
       : refusalResponse(400, 'the body broke off'),
-  outcome: formatOutcome,
-  document: formatDocument,
+  outcomeResponse: formatOutcome,
+  documentResponse: formatDocument,
 };
--- a/source/core-keeper/operators/operatorsDoor.ts
+++ b/source/core-keeper/operators/operatorApi.ts
@@ -4,11 +4,11 @@
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import { HttpDoors, HttpLimits, Replies, type HttpDoor, type HttpService } from '../../shared/http/httpDoor';
 import type { Metrics } from '../../shared/metrics/metrics';
-import type { CoreKeeper } from '../coreKeeper';
-import type { ChangePlace, DoorAnswer, OperatorsWords } from './operatorsWords';
+import type { ControlNode } from '../controlNode';
+import type { ChangeRoute, ApiResponse, OperatorApiFormat } from './operatorApiFormat';
 
 /** Settings of the operators' HTTP API. */
-export type DoorSettings = Readonly<{
+export type OperatorApiSettings = Readonly<{
   address: string;
   /** Time limit after which a call is answered as pending; 0: no limit, the answer waits for the outcome. */
   answerMicroseconds: number;
@@ -17,12 +17,12 @@
 }>;
 
 /** Default time limits of the operators' HTTP API. */
-export const DoorDefaults = { answerMicroseconds: 0, answerMicrosecondsPerByte: 0 } as const;
+export const OperatorApiDefaults = { answerMicroseconds: 0, answerMicrosecondsPerByte: 0 } as const;
 
-const sendResponse = (response: ServerResponse, { status, body, contentType, headers }: DoorAnswer): void =>
+const sendResponse = (response: ServerResponse, { status, body, contentType, headers }: ApiResponse): void =>
   Replies.text(response, status, body, { 'content-type': contentType, ...headers });
 
-const addStatusRoutes = (service: HttpService, controlNode: CoreKeeper, metrics: Metrics): void => {
+const addStatusRoutes = (service: HttpService, controlNode: ControlNode, metrics: Metrics): void => {
   service.get('/status', (_request, response) => {
     const { standing, fleet, incarnation } = controlNode.core.state;
     Replies.json(response as unknown as ServerResponse, 200, {
@@ -32,9 +32,9 @@
       incarnation,
       members: controlNode.core.members().members,
       membersRevision: controlNode.core.members().revision,
-      owners: controlNode.owners(),
+      owners: controlNode.keyLeaders(),
       replica: controlNode.replicaStatus(),
-      duties: controlNode.duties.holders(),
+      duties: controlNode.duties.grantedLeases(),
       agents: controlNode.agents(),
     });
   });
@@ -60,11 +60,11 @@
  * HTTP API for operators. It accepts whole documents and partial changes, returns documents exactly as they were sent, and reports
  * for each change whether it was accepted or refused, or that the outcome is not known yet.
  */
-export const OperatorsDoor = {
+export const OperatorApi = {
   open: (
-    controlNode: CoreKeeper,
-    apiFormat: OperatorsWords,
-    settings: DoorSettings,
+    controlNode: ControlNode,
+    apiFormat: OperatorApiFormat,
+    settings: OperatorApiSettings,
     clock: Clock,
     metrics: Metrics,
   ): Promise<HttpDoor> => {
@@ -75,33 +75,33 @@
 
     const handleRead = async (key: DocumentKey, response: ServerResponse): Promise<void> =>
       // The limit ends the read itself, so that no read continues after its caller has given up.
-      sendResponse(response, apiFormat.document(await controlNode.read(key, settings.answerMicroseconds || undefined)));
+      sendResponse(response, apiFormat.documentResponse(await controlNode.read(key, settings.answerMicroseconds || undefined)));
 
     const handleChange = async (
-      place: ChangePlace,
+      changeRoute: ChangeRoute,
       request: IncomingMessage,
       response: ServerResponse,
     ): Promise<void> => {
-      const refused = apiFormat.head(place, request.headers);
+      const refused = apiFormat.checkHeaders(changeRoute, request.headers);
       if (refused !== undefined) return sendResponse(response, refused);
       const body = await HttpDoors.body(request, BlueprintLimits.textBytes);
-      if (body.kind !== 'read') return sendResponse(response, apiFormat.unreadable(body.kind));
-      const parsed = apiFormat.order({ place, headers: request.headers, text: body.text });
+      if (body.kind !== 'read') return sendResponse(response, apiFormat.unreadableBodyResponse(body.kind));
+      const parsed = apiFormat.parseChange({ route: changeRoute, headers: request.headers, text: body.text });
       if (parsed.kind === 'refused') return sendResponse(response, parsed.answer);
       // The wait is limited because an operator that gets no answer gives up. The change continues and keeps its outcome.
       const outcome = (await withinAnswerLimit(body.text.length, controlNode.change(parsed.order))) ?? {
         kind: 'pending',
       };
-      metrics.count('postdrum_changes_total', { key: place.key, outcome: outcome.kind });
-      sendResponse(response, apiFormat.outcome(outcome));
+      metrics.count('postdrum_changes_total', { key: changeRoute.key, outcome: outcome.kind });
+      sendResponse(response, apiFormat.outcomeResponse(outcome));
     };
 
     return HttpDoors.open(settings.address, HttpLimits.usual, (service) => {
-      for (const { path, key } of apiFormat.reads)
+      for (const { path, key } of apiFormat.readRoutes)
         service.get(path, (_request, response) => handleRead(key, response as unknown as ServerResponse));
-      for (const place of apiFormat.changes)
-        service[place.method](place.path, (request: unknown, response: unknown) =>
-          handleChange(place, request as IncomingMessage, response as ServerResponse),
+      for (const changeRoute of apiFormat.changeRoutes)
+        service[changeRoute.method](changeRoute.path, (request: unknown, response: unknown) =>
+          handleChange(changeRoute, request as IncomingMessage, response as ServerResponse),
         );
       addStatusRoutes(service, controlNode, metrics);
     });
--- a/source/core-keeper/operators/operatorsWords.ts
+++ b/source/core-keeper/operators/operatorApiFormat.ts
@@ -5,7 +5,7 @@
 import type { ChangeOrder, ChangeOutcome } from '../register/messages';
 
 /** A route of the operator API that changes a document: HTTP method and path, document key and form of the change. */
-export type ChangePlace = Readonly<{
+export type ChangeRoute = Readonly<{
   method: 'put' | 'patch' | 'post';
   path: string;
   key: DocumentKey;
@@ -13,10 +13,10 @@
 }>;
 
 /** pending: the outcome is not known yet. The change continues, and a repeated call with the same change id gets its outcome. */
-export type DoorOutcome = ChangeOutcome | Readonly<{ kind: 'pending' }>;
+export type ReportedOutcome = ChangeOutcome | Readonly<{ kind: 'pending' }>;
 
 /** An HTTP response of the operator API. */
-export type DoorAnswer = Readonly<{
+export type ApiResponse = Readonly<{
   status: number;
   body: string;
   contentType: string;
@@ -24,24 +24,24 @@
 }>;
 
 /** An HTTP call that asks for a change. */
-export type ChangeCall = Readonly<{ place: ChangePlace; headers: IncomingHttpHeaders; text: string }>;
+export type ChangeCall = Readonly<{ route: ChangeRoute; headers: IncomingHttpHeaders; text: string }>;
 
 /** A change parsed from an HTTP call, or the response that refuses the call. */
-export type OrderRead =
-  Readonly<{ kind: 'order'; order: ChangeOrder }> | Readonly<{ kind: 'refused'; answer: DoorAnswer }>;
+export type ParsedChange =
+  Readonly<{ kind: 'order'; order: ChangeOrder }> | Readonly<{ kind: 'refused'; answer: ApiResponse }>;
 
 /** One format of the operator API: its routes, and how calls are parsed and responses written. It makes no decisions. */
-export interface OperatorsWords {
-  readonly reads: readonly Readonly<{ path: string; key: DocumentKey }>[];
-  readonly changes: readonly ChangePlace[];
+export interface OperatorApiFormat {
+  readonly readRoutes: readonly Readonly<{ path: string; key: DocumentKey }>[];
+  readonly changeRoutes: readonly ChangeRoute[];
   /** Checks the headers; a call that fails this check is refused before its body is read. */
-  readonly head: (place: ChangePlace, headers: IncomingHttpHeaders) => DoorAnswer | undefined;
+  readonly checkHeaders: (place: ChangeRoute, headers: IncomingHttpHeaders) => ApiResponse | undefined;
   /** Parses the whole call. */
-  readonly order: (call: ChangeCall) => OrderRead;
+  readonly parseChange: (call: ChangeCall) => ParsedChange;
   /** The response to a call whose body could not be read. */
-  readonly unreadable: (reason: 'tooLarge' | 'broken') => DoorAnswer;
+  readonly unreadableBodyResponse: (reason: 'tooLarge' | 'broken') => ApiResponse;
   /** The response that reports the outcome of a change. */
-  readonly outcome: (outcome: DoorOutcome) => DoorAnswer;
+  readonly outcomeResponse: (outcome: ReportedOutcome) => ApiResponse;
   /** The response to a read of a document. */
-  readonly document: (outcome: ReadOutcome) => DoorAnswer;
+  readonly documentResponse: (outcome: ReadOutcome) => ApiResponse;
 }
--- a/source/core-keeper/register/acceptRound.ts
+++ b/source/core-keeper/register/acceptRound.ts
@@ -2,9 +2,9 @@
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Stamps, type Entry, type Epoch } from '../../shared/register/types';
-import { Answers } from '../messages/answers';
+import { ControlResponses } from '../messages/controlResponses';
 import type { Acceptor } from './acceptor';
-import { MemberViews, type KeeperCore } from './keeperCore';
+import { MemberViews, type ReplicaCore } from './replicaCore';
 import type { Accept, AcceptAnswer, Confirm } from './messages';
 import type { RoundOutcome, RoundPurpose } from './registerMetrics';
 
@@ -18,7 +18,7 @@
 export class AcceptRound {
   public constructor(
     private readonly key: DocumentKey,
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly acceptor: Acceptor,
     private readonly transport: Transport,
     private readonly clock: Clock,
@@ -43,10 +43,10 @@
     } as const;
     const answers: AcceptAnswer[] = [];
     const hasMajority = (): boolean => {
-      const valid = Stamps.sound(answers.filter((answer) => answer.kind === 'accepted')).filter(
+      const valid = Stamps.currentAnswers(answers.filter((answer) => answer.kind === 'accepted')).filter(
         (answer) => this.key === 'core-members' || answer.membersRevision <= request.membersRevision,
       );
-      return Stamps.reached(
+      return Stamps.hasMajority(
         view.sets,
         valid.map(({ stamp }) => stamp.keeper),
       );
@@ -94,7 +94,7 @@
     for (let attempt = 1; ; attempt += 1) {
       const answer = await this.transport.ask(address, request, deadlineMicroseconds - this.clock.nowMicroseconds());
       if (answer.kind === 'answered') {
-        const parsed = Answers.read(answer, 'accepted', 'outranked', 'full') ?? { kind: 'noVote' };
+        const parsed = ControlResponses.read(answer, 'accepted', 'outranked', 'full') ?? { kind: 'noVote' };
         // On a retry, `full` is not conclusive: an earlier attempt may have been stored, with its answer lost.
         return parsed.kind === 'full' && attempt > 1 ? { kind: 'noVote' } : parsed;
       }
@@ -110,7 +110,7 @@
     const { fleet, membersRevision, key, epoch, entry } = request;
     const confirm: Confirm = { kind: 'confirm', fleet, membersRevision, key, epoch, revision: entry.revision };
     const answer = await this.transport.ask(address, confirm, this.askMicroseconds);
-    const parsed = Answers.read(answer, 'accepted', 'outranked', 'noVote', 'behind');
+    const parsed = ControlResponses.read(answer, 'accepted', 'outranked', 'noVote', 'behind');
     if (parsed !== undefined && parsed.kind !== 'behind') return parsed;
     return isOpen() ? this.requestAccept(address, request, isOpen) : { kind: 'noVote' };
   }
--- a/source/core-keeper/register/changeFetcher.ts
+++ b/source/core-keeper/register/changeFetcher.ts
@@ -1,6 +1,6 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Transport } from '../../shared/effects/transport/transport';
-import { Answers } from '../messages/answers';
+import { ControlResponses } from '../messages/controlResponses';
 import type { ChangeOrder, ChangeOutcome, FetchChange, FetchedChange } from './messages';
 
 /** What the fetcher needs from its control node. */
@@ -27,7 +27,7 @@
     this.activeFetches.add(name);
     try {
       for (
-        let next = await this.ask(address, 0);
+        let next = await this.fetchNext(address, 0);
         next !== undefined;
         next = await this.applyAndFetchNext(address, next)
       );
@@ -41,12 +41,12 @@
     { number, order }: FetchedChange,
   ): Promise<FetchedChange | undefined> {
     const outcome = (await this.node.changeAsLeader(order)) ?? null;
-    return this.ask(address, number, { outcome });
+    return this.fetchNext(address, number, { outcome });
   }
 
-  private async ask(address: string, after: number, done?: FetchChange['done']): Promise<FetchedChange | undefined> {
+  private async fetchNext(address: string, after: number, done?: FetchChange['done']): Promise<FetchedChange | undefined> {
     const message = { kind: 'fetchChange', fleet: this.node.fleet(), keys: this.node.ledKeys(), after } as const;
     const request: FetchChange = done === undefined ? message : { ...message, done };
-    return Answers.read(await this.transport.ask(address, request, this.askMicroseconds), 'fetchedChange');
+    return ControlResponses.read(await this.transport.ask(address, request, this.askMicroseconds), 'fetchedChange');
   }
 }
--- a/source/core-keeper/register/changeRouter.ts
+++ b/source/core-keeper/register/changeRouter.ts
@@ -2,9 +2,9 @@
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
 import type { Answer, Transport } from '../../shared/effects/transport/transport';
-import { Answers } from '../messages/answers';
+import { ControlResponses } from '../messages/controlResponses';
 import type { ChangeOrder, ChangeOutcome } from './messages';
-import type { Ownership } from './ownership';
+import type { Leadership } from './leadership';
 import type { WaitingChanges } from './waitingChanges';
 
 /** How often a replica that waits for the leader's answer checks whether heartbeats of that leader still arrive. */
@@ -23,11 +23,11 @@
 
 /** What the router needs from its control node. */
 export type ChangeNode = Readonly<{
-  leadership: (key: DocumentKey) => Ownership;
+  leadership: (key: DocumentKey) => Leadership;
   /** Address of the key's leader, by its heartbeats; undefined if there are none or if this node leads. */
   leaderAddress: (key: DocumentKey) => string | undefined;
   /** The members that a standby forwards requests to; empty if this node votes itself. */
-  ledMembers: () => readonly CoreMember[];
+  votingMembers: () => readonly CoreMember[];
 }>;
 
 export type ChangeLimits = Readonly<{
@@ -42,7 +42,7 @@
 /** Routes an operator's change to the leader of its key; a repeated request joins the attempt in progress. */
 export class ChangeRouter {
   /** Changes requested at this node that have no outcome yet, by all fields that identify a change except its text. */
-  private readonly changing = new Map<string, Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>>();
+  private readonly changesInProgress = new Map<string, Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>>();
 
   public constructor(
     private readonly node: ChangeNode,
@@ -60,16 +60,16 @@
    */
   public change(order: ChangeOrder): Promise<ChangeOutcome> {
     const identity = JSON.stringify([order.key, order.id, order.form, order.ifMatch, order.learner]);
-    const inProgress = this.changing.get(identity);
+    const inProgress = this.changesInProgress.get(identity);
     // A repeated request waits for the attempt in progress instead of starting another one.
     if (inProgress !== undefined && inProgress.order.text === order.text) return inProgress.outcome;
-    const outcome = this.changeNow(order).finally(() => this.changing.delete(identity));
-    this.changing.set(identity, { order, outcome });
+    const outcome = this.changeNow(order).finally(() => this.changesInProgress.delete(identity));
+    this.changesInProgress.set(identity, { order, outcome });
     return outcome;
   }
 
   private async changeNow(order: ChangeOrder): Promise<ChangeOutcome> {
-    if (this.node.ledMembers().length > 0) return this.passChange(order);
+    if (this.node.votingMembers().length > 0) return this.forwardToMembers(order);
     const { clock, random } = this;
     const deadlineMicroseconds = clock.nowMicroseconds() + this.limits.changeMicroseconds;
     let mayBeAccepted = false;
@@ -97,7 +97,7 @@
   private async changeAtLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
     const address = this.node.leaderAddress(order.key);
     if (address === undefined) return undefined;
-    const changed = Answers.read(await this.askLeader(order, address), 'changed');
+    const changed = ControlResponses.read(await this.askLeader(order, address), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
@@ -106,7 +106,7 @@
     const address = addresses[Math.floor(this.random.fraction() * addresses.length)];
     if (address === undefined) return undefined;
     const message = { kind: 'relayChange', order };
-    const changed = Answers.read(await this.transport.ask(address, message, this.limits.passMicroseconds), 'changed');
+    const changed = ControlResponses.read(await this.transport.ask(address, message, this.limits.passMicroseconds), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
@@ -142,11 +142,11 @@
   }
 
   /** On a standby: forwards an operator's change to the voting members. */
-  private async passChange(order: ChangeOrder): Promise<ChangeOutcome> {
+  private async forwardToMembers(order: ChangeOrder): Promise<ChangeOutcome> {
     let mayBeAccepted = false;
-    for (const { address } of this.node.ledMembers()) {
+    for (const { address } of this.node.votingMembers()) {
       const answer = await this.transport.ask(address, { kind: 'passChange', order }, this.limits.passMicroseconds);
-      const outcome = Answers.read(answer, 'changed')?.outcome ?? undefined;
+      const outcome = ControlResponses.read(answer, 'changed')?.outcome ?? undefined;
       if (outcome !== undefined) return outcome;
       mayBeAccepted ||= answer.kind === 'silent';
     }
--- a/source/core-keeper/register/changes.ts
+++ b/source/core-keeper/register/changes.ts
@@ -83,7 +83,7 @@
   },
 
   /** The second step of a membership change: the previous list no longer takes part in majorities. */
-  settled: (entry: Entry): Entry => ({
+  completedMemberChange: (entry: Entry): Entry => ({
     revision: entry.revision + 1,
     digest: entry.digest,
     text: entry.text,
--- a/source/core-keeper/register/vacancies.ts
+++ b/source/core-keeper/register/elections.ts
@@ -2,10 +2,10 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
-import type { LeaderWatch } from '../standing/leaderWatch';
+import type { LeaderTracker } from '../membership/leaderTracker';
 import type { Heartbeats } from './heartbeats';
-import type { KeeperCore } from './keeperCore';
-import type { Ownership } from './ownership';
+import type { ReplicaCore } from './replicaCore';
+import type { Leadership } from './leadership';
 
 /** Delay between the campaigns of members of successive ranks, and delay with random jitter after a campaign. */
 const rankStepMicroseconds = 250_000;
@@ -13,28 +13,28 @@
 const retryJitterMicroseconds = 400_000;
 
 /** What elections need from their control node. */
-export type VacancyParts = Readonly<{
-  core: KeeperCore;
+export type ElectionParts = Readonly<{
+  core: ReplicaCore;
   clock: Clock;
   random: Random;
-  leadership: (key: DocumentKey) => Ownership;
-  leaders: LeaderWatch;
+  leadership: (key: DocumentKey) => Leadership;
+  leaders: LeaderTracker;
   heartbeats: Heartbeats;
   /** A node whose disk has stalled for longer than this does not campaign. */
   ownerSilentMicroseconds: number;
 }>;
 
 /** Campaigns for keys without a leader, as far as this replica receives heartbeats. */
-export class Vacancies {
+export class Elections {
   /** Earliest time of the next campaign for a key without a leader. */
   private readonly nextCampaignMicroseconds = new Map<DocumentKey, number>();
 
-  public constructor(private readonly parts: VacancyParts) {}
+  public constructor(private readonly parts: ElectionParts) {}
 
   /** Checks all keys and campaigns for each vacant one whose delay has passed. */
-  public async fill(): Promise<void> {
+  public async campaignForVacantKeys(): Promise<void> {
     const { core, ownerSilentMicroseconds } = this.parts;
-    if (!core.votes() || core.ledger.stalledMicroseconds() > ownerSilentMicroseconds) return;
+    if (!core.votes() || core.ledger.oldestWriteMicroseconds() > ownerSilentMicroseconds) return;
     const now = this.parts.clock.nowMicroseconds();
     for (const key of DocumentKeys) await this.campaignIfVacant(key, now);
   }
@@ -51,7 +51,7 @@
       return;
     }
     if (now < nextCampaign) return;
-    if (await leadership(key).win('vacancy')) heartbeats.send();
+    if (await leadership(key).acquire('vacancy')) heartbeats.send();
     this.nextCampaignMicroseconds.set(
       key,
       now + minRetryDelayMicroseconds + Math.floor(random.fraction() * retryJitterMicroseconds),
--- a/source/core-keeper/register/entryTransfer.ts
+++ b/source/core-keeper/register/entryTransfer.ts
@@ -1,10 +1,10 @@
 import { isDocumentKey, type DocumentKey } from '../../shared/blueprint/types';
 import type { Answer, Message, Transport } from '../../shared/effects/transport/transport';
 import type { Accepted } from '../../shared/register/types';
-import { Answers } from '../messages/answers';
-import { KeeperStates } from '../ledger/keeperState';
+import { ControlResponses } from '../messages/controlResponses';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
 import type { Acceptor } from './acceptor';
-import type { KeeperCore } from './keeperCore';
+import type { ReplicaCore } from './replicaCore';
 import type { Accept } from './messages';
 
 /**
@@ -13,14 +13,14 @@
  */
 export class EntryTransfer {
   public constructor(
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly acceptor: Acceptor,
     private readonly transport: Transport,
     private readonly askMicroseconds: number,
   ) {}
 
   /** The accepted entry of a key as an `accept` request; `notOwner` if this replica has none or does not vote. */
-  public give(key: unknown): Message {
+  public acceptRequestFor(key: unknown): Message {
     const accepted = isDocumentKey(key) ? this.newestAccepted(key) : null;
     if (accepted === null || !isDocumentKey(key) || !this.core.votes()) return { kind: 'notOwner' };
     return {
@@ -34,9 +34,9 @@
   }
 
   /** Fetches the entry accepted at an address and accepts it unless a higher epoch is promised here. False without an answer. */
-  public async take(key: DocumentKey, address: string): Promise<boolean> {
-    const answer = await this.ask(key, address);
-    const offer = Answers.read(answer, 'accept');
+  public async fetchEntry(key: DocumentKey, address: string): Promise<boolean> {
+    const answer = await this.requestEntry(key, address);
+    const offer = ControlResponses.read(answer, 'accept');
     if (offer !== undefined) await this.acceptor.accept(offer);
     return answer.kind === 'answered';
   }
@@ -46,21 +46,21 @@
    * apply it: joining members get snapshots only from replicas that use the new list, and without the votes of joining members no
    * leader may be electable.
    */
-  public async takeMembers(address: string): Promise<void> {
-    const offer = Answers.read(await this.ask('core-members', address), 'accept');
+  public async fetchMembers(address: string): Promise<void> {
+    const offer = ControlResponses.read(await this.requestEntry('core-members', address), 'accept');
     if (offer === undefined) return;
     await this.acceptor.accept(offer);
     if (offer.fleet !== this.core.state.fleet || offer.entry.revision <= this.core.members().revision) return;
     await this.core.ledger.write([{ kind: 'membersLearned', epoch: offer.epoch, entry: offer.entry }]);
   }
 
-  private ask(key: DocumentKey, address: string): Promise<Answer> {
+  private requestEntry(key: DocumentKey, address: string): Promise<Answer> {
     return this.transport.ask(address, { kind: 'entry', key }, this.askMicroseconds * 2);
   }
 
   private newestAccepted(key: DocumentKey): Accepted | null {
     return key === 'core-members'
-      ? KeeperStates.members(this.core.state)
-      : KeeperStates.cell(this.core.state, key).accepted;
+      ? ReplicaStates.newestMembers(this.core.state)
+      : ReplicaStates.acceptorState(this.core.state, key).accepted;
   }
 }
--- a/source/core-keeper/register/heartbeats.ts
+++ b/source/core-keeper/register/heartbeats.ts
@@ -1,16 +1,16 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { Epochs, type Epoch } from '../../shared/register/types';
-import { Answers, type AnswerOf } from '../messages/answers';
-import type { Ask } from '../messages/asks';
-import { KeeperStates } from '../ledger/keeperState';
-import type { LeaderWatch } from '../standing/leaderWatch';
-import type { MemberWatch } from '../standing/memberWatch';
+import { ControlResponses, type ControlResponse } from '../messages/controlResponses';
+import type { ControlRequest } from '../messages/controlRequests';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
+import type { LeaderTracker } from '../membership/leaderTracker';
+import type { MemberFailureDetector } from '../membership/memberFailureDetector';
 import type { ChangeFetcher } from './changeFetcher';
 import type { EntryTransfer } from './entryTransfer';
-import type { KeeperCore } from './keeperCore';
-import type { OwnerWord } from './messages';
-import type { Ownership } from './ownership';
+import type { ReplicaCore } from './replicaCore';
+import type { LeaderStatement } from './messages';
+import type { Leadership } from './leadership';
 import type { QuorumWatch } from './quorumWatch';
 import type { WaitingChanges } from './waitingChanges';
 
@@ -19,10 +19,10 @@
 
 /** The parts of a control node that heartbeats read and update. */
 export type HeartbeatParts = Readonly<{
-  core: KeeperCore;
-  leaderships: ReadonlyMap<DocumentKey, Ownership>;
-  leaders: LeaderWatch;
-  members: MemberWatch;
+  core: ReplicaCore;
+  leaderships: ReadonlyMap<DocumentKey, Leadership>;
+  leaders: LeaderTracker;
+  members: MemberFailureDetector;
   quorum: QuorumWatch;
   entries: EntryTransfer;
   waiting: WaitingChanges;
@@ -46,8 +46,8 @@
   private readonly pendingEntrySends = new Set<string>();
   private readonly keysCatchingUp = new Set<DocumentKey>();
   /** Keys whose newest value this replica lacks and could not fetch from their leader. */
-  private readonly lacking = new Set<DocumentKey>();
-  private readonly decidedStatements = new Map<DocumentKey, OwnerWord>();
+  private readonly unfetchedKeys = new Set<DocumentKey>();
+  private readonly decidedStatements = new Map<DocumentKey, LeaderStatement>();
 
   public constructor(
     private readonly parts: HeartbeatParts,
@@ -56,7 +56,7 @@
   ) {}
 
   /** The newest decided revision of the key that a leader has announced to this member. */
-  public decidedStatement(key: DocumentKey): OwnerWord | undefined {
+  public decidedStatement(key: DocumentKey): LeaderStatement | undefined {
     return this.decidedStatements.get(key);
   }
 
@@ -68,7 +68,7 @@
   public send(): void {
     const { core, quorum } = this.parts;
     // A node with a stalled disk sends no heartbeats, so that others take over its keys.
-    if (!core.votes() || core.ledger.stalledMicroseconds() > this.settings.ownerSilentMicroseconds) return;
+    if (!core.votes() || core.ledger.oldestWriteMicroseconds() > this.settings.ownerSilentMicroseconds) return;
     for (const leadership of this.parts.leaderships.values())
       if (!quorum.hasQuorum(leadership.ledSinceMicroseconds)) leadership.stepDown();
     const words = this.ledStatements();
@@ -80,14 +80,14 @@
   }
 
   /** Handles a heartbeat of another member and returns the answer. */
-  public hear({ fleet, owner: leader, words: statements }: Ask<'owners'>): Message {
+  public receive({ fleet, owner: leader, words: statements }: ControlRequest<'owners'>): Message {
     const { core, leaders, members, waiting } = this.parts;
     if (fleet !== core.state.fleet) return { kind: 'noVote' };
-    members.hear(leader);
-    for (const statement of leaders.heartbeat(leader, statements)) {
+    members.recordContact(leader);
+    for (const statement of leaders.recordHeartbeat(leader, statements)) {
       if ((this.decidedStatements.get(statement.key)?.revision ?? 0) <= statement.revision)
         this.decidedStatements.set(statement.key, statement);
-      this.parts.leaderships.get(statement.key)?.outranked(statement.epoch);
+      this.parts.leaderships.get(statement.key)?.observeEpoch(statement.epoch);
       void this.catchUp(statement, leader);
     }
     const keys = statements.map(({ key }) => key);
@@ -95,12 +95,12 @@
       kind: 'heard',
       promised: statements.flatMap((statement) => this.higherPromise(statement)),
       waiting: waiting.count(keys),
-      lacking: keys.filter((key) => this.lacking.has(key)),
+      lacking: keys.filter((key) => this.unfetchedKeys.has(key)),
     };
   }
 
-  private ledStatements(): readonly OwnerWord[] {
-    return [...this.parts.leaderships.values()].flatMap((leadership) => leadership.word() ?? []);
+  private ledStatements(): readonly LeaderStatement[] {
+    return [...this.parts.leaderships.values()].flatMap((leadership) => leadership.statement() ?? []);
   }
 
   /** Each member is sent heartbeats independently, so that one that does not answer does not delay those to the others. */
@@ -109,7 +109,7 @@
     this.pendingHeartbeats.add(name);
     try {
       const answer = await this.transport.ask(address, message, this.settings.askMicroseconds);
-      const heard = Answers.read(answer, 'heard');
+      const heard = ControlResponses.read(answer, 'heard');
       if (heard !== undefined) this.receiveAnswer(name, address, heard);
     } finally {
       this.pendingHeartbeats.delete(name);
@@ -119,10 +119,10 @@
   private receiveAnswer(
     name: string,
     address: string,
-    { promised = [], waiting = 0, lacking = [] }: AnswerOf<'heard'>,
+    { promised = [], waiting = 0, lacking = [] }: ControlResponse<'heard'>,
   ): void {
-    this.parts.members.hear(name);
-    this.parts.quorum.answered(name);
+    this.parts.members.recordContact(name);
+    this.parts.quorum.recordAnswer(name);
     for (const { key, epoch } of promised) this.campaignAbove(key, epoch);
     // A member that cannot open connections to this leader is served over a connection that the leader opens.
     if (waiting > 0) void this.parts.fetcher.fetchFrom(name, address);
@@ -132,26 +132,26 @@
   /** Campaigns again: a member that promised a higher epoch accepts entries of this leader only under an epoch above that. */
   private campaignAbove(key: DocumentKey, epoch: Epoch): void {
     const leadership = this.parts.leaderships.get(key);
-    if (leadership?.outranked(epoch) === true) void leadership.win();
+    if (leadership?.observeEpoch(epoch) === true) void leadership.acquire();
   }
 
   private async sendEntry(key: DocumentKey, name: string, address: string): Promise<void> {
-    if (this.pendingEntrySends.has(name) || this.parts.leaderships.get(key)?.word() === undefined) return;
+    if (this.pendingEntrySends.has(name) || this.parts.leaderships.get(key)?.statement() === undefined) return;
     this.pendingEntrySends.add(name);
     try {
-      await this.transport.ask(address, this.parts.entries.give(key), this.settings.askMicroseconds);
+      await this.transport.ask(address, this.parts.entries.acceptRequestFor(key), this.settings.askMicroseconds);
     } finally {
       this.pendingEntrySends.delete(name);
     }
   }
 
-  private higherPromise({ key, epoch }: OwnerWord): readonly HigherPromise[] {
-    const { promised } = KeeperStates.cell(this.parts.core.state, key);
+  private higherPromise({ key, epoch }: LeaderStatement): readonly HigherPromise[] {
+    const { promised } = ReplicaStates.acceptorState(this.parts.core.state, key);
     return Epochs.compare(promised, epoch) > 0 ? [{ key, epoch: promised }] : [];
   }
 
-  private isBehind(statement: OwnerWord): boolean {
-    const { accepted } = KeeperStates.cell(this.parts.core.ledger.pending, statement.key);
+  private isBehind(statement: LeaderStatement): boolean {
+    const { accepted } = ReplicaStates.acceptorState(this.parts.core.ledger.pending, statement.key);
     if (statement.revision === 0 || !this.parts.core.votes()) return false;
     if (accepted === null) return true;
     const comparison = Epochs.compare(accepted.epoch, statement.epoch);
@@ -159,16 +159,16 @@
   }
 
   /** Fetches an entry that this member missed from the leader, instead of waiting for the next change. */
-  private async catchUp(statement: OwnerWord, leader: string): Promise<void> {
+  private async catchUp(statement: LeaderStatement, leader: string): Promise<void> {
     if (!this.isBehind(statement)) {
-      this.lacking.delete(statement.key);
+      this.unfetchedKeys.delete(statement.key);
       return;
     }
     const address = this.parts.core.members().members[leader]?.address;
     if (address === undefined || this.keysCatchingUp.has(statement.key)) return;
     this.keysCatchingUp.add(statement.key);
     try {
-      if (!(await this.parts.entries.take(statement.key, address))) this.lacking.add(statement.key);
+      if (!(await this.parts.entries.fetchEntry(statement.key, address))) this.unfetchedKeys.add(statement.key);
     } finally {
       this.keysCatchingUp.delete(statement.key);
     }
--- a/source/core-keeper/register/ownership.ts
+++ b/source/core-keeper/register/leadership.ts
@@ -7,19 +7,19 @@
 import type { Transport } from '../../shared/effects/transport/transport';
 import type { Log } from '../../shared/log/log';
 import { Epochs, type Entry, type Epoch } from '../../shared/register/types';
-import { KeeperStates } from '../ledger/keeperState';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
 import { AcceptRound } from './acceptRound';
 import type { Acceptor } from './acceptor';
 import { Changes, Digests, emptyEntry } from './changes';
-import type { KeeperCore } from './keeperCore';
+import type { ReplicaCore } from './replicaCore';
 import { OutcomeHistories } from './outcomeHistory';
 import { PrepareRound } from './prepareRound';
 import { PreVote, type PreVoteSettings } from './preVote';
-import type { ChangeOrder, ChangeOutcome, OwnerWord } from './messages';
+import type { ChangeOrder, ChangeOutcome, LeaderStatement } from './messages';
 import type { CampaignReason, RegisterMetrics, RoundOutcome, RoundPurpose } from './registerMetrics';
 
 /** The state of a replica's leadership of one key; `owning` means that it leads. */
-export type OwnershipState =
+export type LeadershipState =
   | Readonly<{ kind: 'none' }>
   | Readonly<{ kind: 'campaigning'; epoch: Epoch }>
   /** The value found by the campaign is being replicated; until a majority holds it, it must not be reported as decided. */
@@ -27,13 +27,13 @@
   | Readonly<{ kind: 'owning'; epoch: Epoch; entry: Entry }>;
 
 /** What changes the state of a leadership. */
-export type OwnershipEvent =
+export type LeadershipEvent =
   | Readonly<{ kind: 'began'; epoch: Epoch }>
   | Readonly<{ kind: 'found'; epoch: Epoch; entry: Entry }>
   | Readonly<{ kind: 'decided'; entry: Entry }>
   | Readonly<{ kind: 'lost' }>;
 
-const reduceLeadership = (state: OwnershipState, event: OwnershipEvent): OwnershipState => {
+const reduceLeadership = (state: LeadershipState, event: LeadershipEvent): LeadershipState => {
   switch (event.kind) {
     case 'began':
       return { kind: 'campaigning', epoch: event.epoch };
@@ -49,7 +49,7 @@
 };
 
 /** Settings of a leadership. */
-export type OwnershipSettings = PreVoteSettings &
+export type LeadershipSettings = PreVoteSettings &
   Readonly<{
     changeMicroseconds: number;
     firstMembersText: () => string;
@@ -65,9 +65,9 @@
 type LedChange =
   Readonly<{ kind: 'answer'; outcome: ChangeOutcome }> | Readonly<{ kind: 'deposed'; mayBeAccepted: boolean }>;
 /** One replica's leadership of one key: acquired under an increasing epoch and held until a higher epoch is seen. */
-export class Ownership {
-  public readonly news = new Emittery<{ state: OwnershipState }>();
-  private current: OwnershipState = { kind: 'none' };
+export class Leadership {
+  public readonly stateChanges = new Emittery<{ state: LeadershipState }>();
+  private current: LeadershipState = { kind: 'none' };
   private highestEpoch: Epoch = Epochs.none;
   private leadingSinceMicroseconds = -Infinity;
   private takeoverCount = 0;
@@ -78,12 +78,12 @@
 
   public constructor(
     private readonly key: DocumentKey,
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     acceptor: Acceptor,
     transport: Transport,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly settings: OwnershipSettings,
+    private readonly settings: LeadershipSettings,
     private readonly log: Log,
   ) {
     const { askMicroseconds } = settings;
@@ -92,7 +92,7 @@
     this.acceptRound = new AcceptRound(key, core, acceptor, transport, clock, askMicroseconds);
   }
 
-  public get state(): OwnershipState {
+  public get state(): LeadershipState {
     return this.current;
   }
 
@@ -111,7 +111,7 @@
     return this.preVote.leaderHearerAddresses;
   }
 
-  public word(): OwnerWord | undefined {
+  public statement(): LeaderStatement | undefined {
     return this.current.kind === 'owning'
       ? {
           key: this.key,
@@ -126,14 +126,14 @@
    * Records an epoch that another replica has promised. A replica that leads or campaigns under a lower epoch gives up; the result is
    * then true.
    */
-  public outranked(epoch: Epoch): boolean {
+  public observeEpoch(epoch: Epoch): boolean {
     if (Epochs.compare(epoch, this.highestEpoch) > 0) this.highestEpoch = epoch;
     const wasLeading = this.current.kind !== 'none' && Epochs.compare(epoch, this.current.epoch) > 0;
     if (wasLeading) this.transition({ kind: 'lost' });
     return wasLeading;
   }
 
-  public win(reason: CampaignReason = 'request'): Promise<boolean> {
+  public acquire(reason: CampaignReason = 'request'): Promise<boolean> {
     return this.runSerially(() => this.acquireNow(reason));
   }
 
@@ -146,10 +146,10 @@
    * The second step of a membership change: the previous list stops counting. A membership change is never rolled back instead:
    * replicas use a list as soon as they hold it, so two lists that could both follow the same one could have disjoint majorities.
    */
-  public settleMemberChange(): Promise<boolean> {
+  public completeMemberChange(): Promise<boolean> {
     return this.runSerially(async () => {
       if (this.current.kind !== 'owning' || this.current.entry.base === undefined) return false;
-      return this.replicateMembers(Changes.settled(this.current.entry));
+      return this.replicateMembers(Changes.completedMemberChange(this.current.entry));
     });
   }
 
@@ -157,7 +157,7 @@
     return this.runSerially(() => this.changeNow(order));
   }
 
-  private transition(event: OwnershipEvent): void {
+  private transition(event: LeadershipEvent): void {
     const previousKind = this.current.kind;
     const next = reduceLeadership(this.current, event);
     this.current = next;
@@ -167,9 +167,9 @@
     }
     if (previousKind !== this.current.kind && (this.current.kind === 'owning' || previousKind === 'owning'))
       this.log(
-        `The key ${this.key} is now ${this.current.kind === 'owning' ? `led by this replica under epoch ${Epochs.text(this.current.epoch)}` : 'no longer led by this replica'}.`,
+        `The key ${this.key} is now ${this.current.kind === 'owning' ? `led by this replica under epoch ${Epochs.toText(this.current.epoch)}` : 'no longer led by this replica'}.`,
       );
-    void this.news.emit('state', this.current);
+    void this.stateChanges.emit('state', this.current);
   }
 
   private runSerially<Result>(operation: () => Promise<Result>): Promise<Result> {
@@ -183,24 +183,24 @@
     if (!this.core.votes()) return false;
     // Without the pre-vote, a partitioned replica would promise itself ever higher epochs and depose the leader after the partition.
     if (!(await this.preVote.isGranted(reason))) {
-      this.settings.metrics.campaign(this.key, reason, 'refused');
+      this.settings.metrics.countCampaign(this.key, reason, 'refused');
       return false;
     }
     if (!this.core.votes()) return false;
     const isWon = await this.campaign();
-    this.settings.metrics.campaign(this.key, reason, isWon ? 'won' : 'missed');
+    this.settings.metrics.countCampaign(this.key, reason, isWon ? 'won' : 'missed');
     return isWon && this.completeMemberChangeNow();
   }
 
   private async campaign(): Promise<boolean> {
-    const promised = KeeperStates.cell(this.core.ledger.pending, this.key).promised;
+    const promised = ReplicaStates.acceptorState(this.core.ledger.pending, this.key).promised;
     const epoch: Epoch = { number: Math.max(promised.number, this.highestEpoch.number) + 1, keeper: this.core.name };
     this.highestEpoch = epoch;
     this.transition({ kind: 'began', epoch });
     const promises = await this.prepareRound.execute(epoch, this.core.members());
     if (promises.kind === 'missed') {
       this.transition({ kind: 'lost' });
-      this.outranked(promises.outrankedBy);
+      this.observeEpoch(promises.outrankedBy);
       return false;
     }
     const entry = promises.accepted?.entry ?? this.initialEntry();
@@ -224,14 +224,14 @@
   /** Replicates one entry to a majority under the current epoch. With the outcome `missed` it may still be decided later. */
   private async replicate(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
     const outcome = await this.runAcceptRound(entry, purpose);
-    this.settings.metrics.round(this.key, purpose, outcome, purpose === 'confirm' ? 0 : entry.text.length);
+    this.settings.metrics.countRound(this.key, purpose, outcome, purpose === 'confirm' ? 0 : entry.text.length);
     return outcome;
   }
 
   private async runAcceptRound(entry: Entry, purpose: RoundPurpose): Promise<RoundOutcome> {
     if (this.current.kind !== 'owning' && this.current.kind !== 'committing') return 'missed';
     const { epoch } = this.current;
-    const outcome = await this.acceptRound.execute(epoch, entry, purpose, (higher) => this.outranked(higher));
+    const outcome = await this.acceptRound.execute(epoch, entry, purpose, (higher) => this.observeEpoch(higher));
     return outcome === 'reached' && !this.isLeadingUnder(epoch) ? 'missed' : outcome;
   }
 
@@ -247,7 +247,7 @@
     if (this.key !== 'core-members' || this.current.kind !== 'owning') return true;
     const { entry } = this.current;
     if (entry.base === undefined || entry.learner !== undefined) return true;
-    return this.replicateMembers(Changes.settled(entry));
+    return this.replicateMembers(Changes.completedMemberChange(entry));
   }
 
   private async replicateMembers(entry: Entry): Promise<boolean> {
--- a/source/core-keeper/register/outcomeHistory.ts
+++ b/source/core-keeper/register/outcomeHistory.ts
@@ -22,7 +22,7 @@
 export type ChangeIdentity = Readonly<{ id: string; form: string; text: string; ifMatch: number }>;
 
 /** A change in the format of earlier builds. */
-export type EarlierChange = Readonly<{ id: string; orderDigest: string; revision: number }>;
+export type LegacyChange = Readonly<{ id: string; orderDigest: string; revision: number }>;
 
 /** Result of looking up a change in a history. */
 export type ChangeLookup =
@@ -80,7 +80,7 @@
   },
 
   /** Converts the format of earlier builds: a list of changes with full digests and without bases. */
-  ofEarlierBuild: (changes: readonly EarlierChange[]): OutcomeHistory => {
+  fromLegacyChanges: (changes: readonly LegacyChange[]): OutcomeHistory => {
     const records = changes.slice(-maxRememberedChanges).map(({ id, orderDigest, revision }) => {
       const record = Buffer.alloc(recordBytes);
       idPrefix(id).copy(record, 0);
--- a/source/core-keeper/register/preVote.ts
+++ b/source/core-keeper/register/preVote.ts
@@ -1,9 +1,9 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Stamps } from '../../shared/register/types';
-import { Answers } from '../messages/answers';
-import { collectUntil } from './collect';
-import type { KeeperCore } from './keeperCore';
+import { ControlResponses } from '../messages/controlResponses';
+import { collectUntil } from './collectUntil';
+import type { ReplicaCore } from './replicaCore';
 import type { CampaignReason } from './registerMetrics';
 
 /** Settings of the pre-vote. */
@@ -23,7 +23,7 @@
 
   public constructor(
     private readonly key: DocumentKey,
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly transport: Transport,
     private readonly settings: PreVoteSettings,
   ) {}
@@ -40,7 +40,7 @@
     const newerListAddresses: string[] = [];
     const hearers: string[] = [];
     const hasMajority = (answers: readonly (string | undefined)[]): boolean =>
-      Stamps.reached(
+      Stamps.hasMajority(
         view.sets,
         answers.filter((name) => name !== undefined),
       );
@@ -48,7 +48,7 @@
       Object.entries(view.members).map(async ([name, member]) => {
         if (name === this.core.name) return name;
         const reply = await this.transport.ask(member.address, message, this.settings.askMicroseconds);
-        const answer = Answers.read(reply, 'mayLead');
+        const answer = ControlResponses.read(reply, 'mayLead');
         if (answer === undefined) return undefined;
         if (answer.membersRevision > view.revision) newerListAddresses.push(member.address);
         if (!answer.hearsLeader) return name;
--- a/source/core-keeper/register/prepareRound.ts
+++ b/source/core-keeper/register/prepareRound.ts
@@ -1,11 +1,11 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { Epochs, Stamps, type Accepted, type Epoch } from '../../shared/register/types';
-import { KeeperStates } from '../ledger/keeperState';
-import { Answers } from '../messages/answers';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
+import { ControlResponses } from '../messages/controlResponses';
 import type { Acceptor } from './acceptor';
-import { collectUntil } from './collect';
-import { MemberViews, type KeeperCore, type MemberView } from './keeperCore';
+import { collectUntil } from './collectUntil';
+import { MemberViews, type ReplicaCore, type MemberView } from './replicaCore';
 import type { PrepareAnswer } from './messages';
 
 type Promised = Extract<PrepareAnswer, Readonly<{ kind: 'promised' }>>;
@@ -17,7 +17,7 @@
 export class PrepareRound {
   public constructor(
     private readonly key: DocumentKey,
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly acceptor: Acceptor,
     private readonly transport: Transport,
     private readonly askMicroseconds: number,
@@ -58,7 +58,7 @@
       if (!this.hasMajority(view, answers, initialView.revision)) return { kind: 'missed', outrankedBy };
       const accepted = promised.reduce<Accepted | null>(
         (best, answer) =>
-          answer.accepted !== null && KeeperStates.outranks(answer.accepted, best) ? answer.accepted : best,
+          answer.accepted !== null && ReplicaStates.isNewer(answer.accepted, best) ? answer.accepted : best,
         null,
       );
       if (this.key !== 'core-members' || accepted === null || accepted.entry.revision <= view.revision)
@@ -69,13 +69,13 @@
   }
 
   private validPromises(answers: readonly PrepareAnswer[], membersRevision: number): readonly Promised[] {
-    return Stamps.sound(answers.filter((answer) => answer.kind === 'promised')).filter(
+    return Stamps.currentAnswers(answers.filter((answer) => answer.kind === 'promised')).filter(
       (answer) => this.key === 'core-members' || answer.membersRevision <= membersRevision,
     );
   }
 
   private hasMajority(view: MemberView, answers: readonly PrepareAnswer[], membersRevision: number): boolean {
-    return Stamps.reached(
+    return Stamps.hasMajority(
       view.sets,
       this.validPromises(answers, membersRevision).map(({ stamp }) => stamp.keeper),
     );
@@ -83,6 +83,6 @@
 
   private async requestPromise(address: string, request: Message): Promise<PrepareAnswer> {
     const answer = await this.transport.ask(address, request, this.askMicroseconds);
-    return Answers.read(answer, 'promised', 'outranked') ?? { kind: 'noVote' };
+    return ControlResponses.read(answer, 'promised', 'outranked') ?? { kind: 'noVote' };
   }
 }
--- a/source/core-keeper/register/quorumReader.ts
+++ b/source/core-keeper/register/quorumReader.ts
@@ -1,9 +1,9 @@
-import { Answers } from '../messages/answers';
+import { ControlResponses } from '../messages/controlResponses';
 import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Bodies } from '../../shared/freshness/bodies';
-import { MajorityReads, type MembersView, type WordsAnswer } from '../../shared/register/majorityRead';
+import { MajorityReads, type MembersView, type StatementsAnswer } from '../../shared/register/majorityRead';
 import { Digests } from './changes';
 
 /** The current value of a key, or that no majority answered in time. */
@@ -15,7 +15,7 @@
   /** All other members that this node knows. */
   members: () => readonly CoreMember[];
   /** This node's own answer; undefined if it does not vote. */
-  ownAnswer: () => WordsAnswer | undefined;
+  ownAnswer: () => StatementsAnswer | undefined;
   /** The text with this digest; undefined if this node does not hold it. */
   heldText: (key: DocumentKey, digest: string) => string | undefined;
 }>;
@@ -33,7 +33,7 @@
 const valueRequestStaggerMicroseconds = 120_000;
 
 /** Whether no replica has accepted a value yet; the empty value has no digest. */
-const isUnwritten = (key: DocumentKey, answers: readonly WordsAnswer[]): boolean =>
+const isUnwritten = (key: DocumentKey, answers: readonly StatementsAnswer[]): boolean =>
   answers.every(({ words }) => words.every((word) => word.key !== key || word.digest === ''));
 
 /**
@@ -80,7 +80,7 @@
     deadlineMicroseconds: number,
   ): Promise<RoundResult> {
     const ownAnswer = this.node.ownAnswer();
-    const answers = new Map<string, WordsAnswer>(ownAnswer === undefined ? [] : [[ownAnswer.stamp.keeper, ownAnswer]]);
+    const answers = new Map<string, StatementsAnswer>(ownAnswer === undefined ? [] : [[ownAnswer.stamp.keeper, ownAnswer]]);
     const addresses = this.addresses(newerView);
     return new Promise((resolve) => {
       let pendingCount = addresses.length;
@@ -98,7 +98,7 @@
           )
           .then((answer) => {
             pendingCount -= 1;
-            const parsed = Answers.read(answer, 'words');
+            const parsed = ControlResponses.read(answer, 'words');
             if (parsed !== undefined && parsed.stamp.keeper !== ownAnswer?.stamp.keeper)
               answers.set(parsed.stamp.keeper, parsed);
             check();
@@ -106,8 +106,8 @@
     });
   }
 
-  private evaluate(key: DocumentKey, answers: readonly WordsAnswer[]): RoundResult {
-    const { statements, view, isMajority } = MajorityReads.judge(answers, this.node.fleet(), () => undefined);
+  private evaluate(key: DocumentKey, answers: readonly StatementsAnswer[]): RoundResult {
+    const { statements, view, isMajority } = MajorityReads.evaluate(answers, this.node.fleet(), () => undefined);
     const statement = statements.find((item) => item.key === key);
     if (statement !== undefined) return { found: statement, view };
     const isEmpty = isMajority && isUnwritten(key, answers);
--- a/source/core-keeper/register/quorumWatch.ts
+++ b/source/core-keeper/register/quorumWatch.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Stamps } from '../../shared/register/types';
 import type { Log } from '../../shared/log/log';
-import type { KeeperCore } from './keeperCore';
+import type { ReplicaCore } from './replicaCore';
 
 /**
  * Tracks whether a majority of the members still answers this replica's heartbeats. A leader without a majority steps down by itself,
@@ -9,30 +9,30 @@
  */
 export class QuorumWatch {
   private readonly answeredAt = new Map<string, number>();
-  private readonly silent = new Set<string>();
+  private readonly unresponsiveMembers = new Set<string>();
 
   public constructor(
-    private readonly core: KeeperCore,
+    private readonly core: ReplicaCore,
     private readonly clock: Clock,
     /** How long an answer to a heartbeat counts. */
     private readonly windowMicroseconds: number,
-    private readonly notice: Log = () => undefined,
+    private readonly log: Log = () => undefined,
   ) {}
 
   /** Logs which members have stopped answering, or answer again, since the last call. */
   public logChanges(): void {
     const windowStartMicroseconds = this.clock.nowMicroseconds() - this.windowMicroseconds;
     for (const [name, at] of this.answeredAt) {
-      if (at < windowStartMicroseconds && !this.silent.has(name)) {
-        this.silent.add(name);
-        this.notice(`${name} does not answer heartbeats.`);
-      } else if (at >= windowStartMicroseconds && this.silent.delete(name))
-        this.notice(`${name} answers heartbeats again.`);
+      if (at < windowStartMicroseconds && !this.unresponsiveMembers.has(name)) {
+        this.unresponsiveMembers.add(name);
+        this.log(`${name} does not answer heartbeats.`);
+      } else if (at >= windowStartMicroseconds && this.unresponsiveMembers.delete(name))
+        this.log(`${name} answers heartbeats again.`);
     }
   }
 
   /** Records that a member has answered a heartbeat. */
-  public answered(name: string): void {
+  public recordAnswer(name: string): void {
     this.answeredAt.set(name, this.clock.nowMicroseconds());
   }
 
@@ -41,7 +41,7 @@
     const windowStartMicroseconds = this.clock.nowMicroseconds() - this.windowMicroseconds;
     if (startMicroseconds > windowStartMicroseconds) return true;
     const answering = [...this.answeredAt].flatMap(([name, at]) => (at >= windowStartMicroseconds ? [name] : []));
-    return Stamps.reached(this.core.members().sets, [this.core.name, ...answering]);
+    return Stamps.hasMajority(this.core.members().sets, [this.core.name, ...answering]);
   }
 
   /** How long each other member has not answered; undefined if it never has. */
--- a/source/core-keeper/register/recentEntries.ts
+++ b/source/core-keeper/register/recentEntries.ts
@@ -1,6 +1,6 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { Entry } from '../../shared/register/types';
-import type { KeeperEvent } from '../ledger/keeperState';
+import type { ReplicaEvent } from '../write-ahead-log/replicaState';
 
 const maxEntriesPerKey = 8;
 
@@ -9,20 +9,20 @@
  * decided revision can still fetch its text. Entries are found by digest; the receiver decides whether it may use the text.
  */
 export class RecentEntries {
-  private readonly kept = new Map<DocumentKey, readonly Entry[]>();
+  private readonly entriesByKey = new Map<DocumentKey, readonly Entry[]>();
 
   /** Records the entries among events written to the log. */
-  public written(events: readonly KeeperEvent[]): void {
+  public recordWritten(events: readonly ReplicaEvent[]): void {
     for (const event of events) if (event.kind === 'accepted') this.keep(event.key, event.entry);
   }
 
   /** Undefined if no entry with this digest was accepted recently. */
   public find(key: DocumentKey, digest: string): Entry | undefined {
-    return this.kept.get(key)?.find((entry) => entry.digest === digest);
+    return this.entriesByKey.get(key)?.find((entry) => entry.digest === digest);
   }
 
   private keep(key: DocumentKey, entry: Entry): void {
-    const others = (this.kept.get(key) ?? []).filter(({ digest }) => digest !== entry.digest);
-    this.kept.set(key, [entry, ...others].slice(0, maxEntriesPerKey));
+    const others = (this.entriesByKey.get(key) ?? []).filter(({ digest }) => digest !== entry.digest);
+    this.entriesByKey.set(key, [entry, ...others].slice(0, maxEntriesPerKey));
   }
 }
--- a/source/core-keeper/register/registerMetrics.ts
+++ b/source/core-keeper/register/registerMetrics.ts
@@ -14,18 +14,18 @@
 export class RegisterMetrics {
   public constructor(private readonly metrics: Metrics) {}
 
-  public campaign(key: DocumentKey, reason: CampaignReason, outcome: CampaignOutcome): void {
+  public countCampaign(key: DocumentKey, reason: CampaignReason, outcome: CampaignOutcome): void {
     this.metrics.count('postdrum_campaigns_total', { key, reason, outcome });
   }
 
   /** Counts an accept round; `valueBytes` is the length of the value sent to each replica, 0 if none was sent. */
-  public round(key: DocumentKey, purpose: RoundPurpose, outcome: RoundOutcome, valueBytes: number): void {
+  public countRound(key: DocumentKey, purpose: RoundPurpose, outcome: RoundOutcome, valueBytes: number): void {
     this.metrics.count('postdrum_rounds_total', { key, purpose, outcome });
     this.metrics.count('postdrum_round_value_bytes_total', { key, purpose }, valueBytes);
   }
 
   /** Counts a read by an operator or another control node. */
-  public read(key: DocumentKey, outcome: 'read' | 'noMajority', durationMicroseconds: number): void {
+  public countRead(key: DocumentKey, outcome: 'read' | 'noMajority', durationMicroseconds: number): void {
     this.metrics.count('postdrum_reads_total', { key, outcome });
     this.metrics.count('postdrum_read_microseconds_total', { key, outcome }, durationMicroseconds);
   }
--- a/source/core-keeper/register/keeperCore.ts
+++ b/source/core-keeper/register/replicaCore.ts
@@ -2,8 +2,8 @@
 import type { CoreMember, CoreMembers } from '../../shared/blueprint/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Entry, Stamp } from '../../shared/register/types';
-import { KeeperStates, type KeeperState } from '../ledger/keeperState';
-import type { Ledger } from '../ledger/ledger';
+import { ReplicaStates, type ReplicaState } from '../write-ahead-log/replicaState';
+import type { WriteAheadLog } from '../write-ahead-log/writeAheadLog';
 
 /** A member list with the sets that each need a majority: one, or two while a member changes. */
 export type MemberView = Readonly<{
@@ -31,17 +31,17 @@
 } as const;
 
 /** The state shared by all parts of one replica: its name, its write-ahead log and its view of the members. */
-export class KeeperCore {
+export class ReplicaCore {
   private viewedEntry: Entry | undefined;
   private view: MemberView = { revision: 0, sets: [], members: {} };
 
   public constructor(
     public readonly name: string,
-    public readonly ledger: Ledger,
+    public readonly ledger: WriteAheadLog,
     public readonly clock: Clock,
   ) {}
 
-  public get state(): KeeperState {
+  public get state(): ReplicaState {
     return this.ledger.synced;
   }
 
@@ -51,7 +51,7 @@
   }
 
   public members(): MemberView {
-    const newest = KeeperStates.members(this.state);
+    const newest = ReplicaStates.newestMembers(this.state);
     if (newest === null)
       return { revision: 0, sets: [Object.keys(this.state.firstMembers)], members: this.state.firstMembers };
     if (newest.entry !== this.viewedEntry) {
--- a/source/core-keeper/register/replicaReport.ts
+++ b/source/core-keeper/register/replicaReport.ts
@@ -1,12 +1,12 @@
 import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
 import type { Clock } from '../../shared/effects/clock/clock';
-import type { WordsAnswer } from '../../shared/register/majorityRead';
-import { Epochs, type KeyWord } from '../../shared/register/types';
-import { KeeperStates } from '../ledger/keeperState';
-import type { LeaderWatch } from '../standing/leaderWatch';
+import type { StatementsAnswer } from '../../shared/register/majorityRead';
+import { Epochs, type KeyStatement } from '../../shared/register/types';
+import { ReplicaStates } from '../write-ahead-log/replicaState';
+import type { LeaderTracker } from '../membership/leaderTracker';
 import type { Heartbeats } from './heartbeats';
-import type { KeeperCore } from './keeperCore';
-import type { Ownership } from './ownership';
+import type { ReplicaCore } from './replicaCore';
+import type { Leadership } from './leadership';
 import type { QuorumWatch } from './quorumWatch';
 import type { WeightsAges } from './weightsAges';
 
@@ -30,10 +30,10 @@
 
 /** The parts of a control node that the report reads. */
 export type ReportParts = Readonly<{
-  core: KeeperCore;
+  core: ReplicaCore;
   clock: Clock;
-  leadership: (key: DocumentKey) => Ownership;
-  leaders: LeaderWatch;
+  leadership: (key: DocumentKey) => Leadership;
+  leaders: LeaderTracker;
   heartbeats: Heartbeats;
   quorum: QuorumWatch;
   ages: WeightsAges;
@@ -44,22 +44,22 @@
   public constructor(private readonly parts: ReportParts) {}
 
   /** The leader of each key as known to this node; an empty name if it knows none. */
-  public owners(): Readonly<Record<string, KeyLeader>> {
+  public keyLeaders(): Readonly<Record<string, KeyLeader>> {
     const { core, leadership, leaders } = this.parts;
     return Object.fromEntries(
       DocumentKeys.map((key) => {
-        const own = leadership(key).word();
+        const own = leadership(key).statement();
         const leader = leaders.leader(key);
         if (own !== undefined)
-          return [key, { owner: core.name, epoch: Epochs.text(own.epoch), revision: own.revision }];
+          return [key, { owner: core.name, epoch: Epochs.toText(own.epoch), revision: own.revision }];
         if (leader?.announced === undefined)
           return [
             key,
-            { owner: '', epoch: '', revision: KeeperStates.cell(core.state, key).accepted?.entry.revision ?? 0 },
+            { owner: '', epoch: '', revision: ReplicaStates.acceptorState(core.state, key).accepted?.entry.revision ?? 0 },
           ];
         return [
           key,
-          { owner: leader.leader, epoch: Epochs.text(leader.announced.epoch), revision: leader.announced.revision },
+          { owner: leader.leader, epoch: Epochs.toText(leader.announced.epoch), revision: leader.announced.revision },
         ];
       }),
     );
@@ -69,10 +69,10 @@
     const { core, clock, leadership, quorum } = this.parts;
     const now = clock.nowMicroseconds();
     const keys = DocumentKeys.map((key): readonly [string, ReplicaKeyStatus] => {
-      const accepted = KeeperStates.cell(core.state, key).accepted;
+      const accepted = ReplicaStates.acceptorState(core.state, key).accepted;
       const led = leadership(key);
       const status = {
-        epoch: accepted === null ? '' : Epochs.text(accepted.epoch),
+        epoch: accepted === null ? '' : Epochs.toText(accepted.epoch),
         revision: accepted?.entry.revision ?? 0,
         leadsForMicroseconds: led.state.kind === 'owning' ? now - led.ledSinceMicroseconds : null,
         takeovers: led.takeovers,
@@ -86,11 +86,11 @@
     };
   }
 
-  public words(): readonly KeyWord[] {
+  public keyStatements(): readonly KeyStatement[] {
     const { core, leadership, heartbeats, leaders, ages } = this.parts;
     return DocumentKeys.map((key) => {
-      const accepted = KeeperStates.cell(core.state, key).accepted;
-      const decided = leadership(key).word() ?? heartbeats.decidedStatement(key);
+      const accepted = ReplicaStates.acceptorState(core.state, key).accepted;
+      const decided = leadership(key).statement() ?? heartbeats.decidedStatement(key);
       return {
         key,
         epoch: accepted?.epoch ?? Epochs.none,
@@ -99,22 +99,22 @@
         decidedRevision: decided?.revision ?? 0,
         decidedDigest: decided?.digest ?? '',
         owner: leaders.lastLeader(key),
-        ...(key === 'blueprint' ? { weights: ages.words() } : {}),
+        ...(key === 'blueprint' ? { weights: ages.ages() } : {}),
       };
     });
   }
 
   /** What this replica holds, as an answer that agents and readers evaluate. */
-  public wordsAnswer(): WordsAnswer {
+  public statementsAnswer(): StatementsAnswer {
     const { core } = this.parts;
     const view = core.members();
-    return { kind: 'words', stamp: core.stamp(), membersRevision: view.revision, view, words: this.words() };
+    return { kind: 'words', stamp: core.stamp(), membersRevision: view.revision, view, words: this.keyStatements() };
   }
 
   /** The text of a key with this digest; undefined if this replica does not hold it. */
   public heldText(key: DocumentKey, digest: string): string | undefined {
     const { core } = this.parts;
-    const entry = KeeperStates.cell(core.state, key).accepted?.entry;
+    const entry = ReplicaStates.acceptorState(core.state, key).accepted?.entry;
     return entry?.digest === digest ? entry.text : undefined;
   }
 }
--- a/source/core-keeper/register/weightsAges.ts
+++ b/source/core-keeper/register/weightsAges.ts
@@ -10,7 +10,7 @@
  */
 export class WeightsAges {
   private weightsByService: Readonly<Record<string, ServiceWeights>> = {};
-  private last: Entry | undefined;
+  private lastEntry: Entry | undefined;
 
   public constructor(
     private readonly clock: Clock,
@@ -25,7 +25,7 @@
     this.update(entry, this.clock.nowMicroseconds());
   }
 
-  public words(): Readonly<Record<string, WeightsAge>> {
+  public ages(): Readonly<Record<string, WeightsAge>> {
     const now = this.clock.nowMicroseconds();
     return Object.fromEntries(
       Object.entries(this.weightsByService).map(([service, { weights, previous, sinceMicroseconds }]) => [
@@ -36,8 +36,8 @@
   }
 
   private update(entry: Entry, sinceMicroseconds: number | null): void {
-    if (this.last !== undefined && this.last.digest === entry.digest) return;
-    this.last = entry;
+    if (this.lastEntry !== undefined && this.lastEntry.digest === entry.digest) return;
+    this.lastEntry = entry;
     // The text was validated by a control node before it was accepted, so it is parsed without full checks.
     const checked = this.dialect.trusted(entry.text);
     if (checked.kind !== 'good') return;
--- a/source/core-keeper/ledger/records.ts
+++ b/source/core-keeper/write-ahead-log/recordCodec.ts
@@ -9,7 +9,7 @@
 const maxBodyBytes = 64 * 1024 * 1024;
 
 /** `corrupt`: a synced record at offset `at` is damaged. An incomplete record at the end is left out of `length`, which counts bytes. */
-export type RecordsRead =
+export type DecodedRecords =
   Readonly<{ kind: 'sound'; bodies: readonly unknown[]; length: number }> | Readonly<{ kind: 'corrupt'; at: number }>;
 
 /** The complete, undamaged record at an offset. */
@@ -31,8 +31,8 @@
   return length > 0 && length <= maxBodyBytes && crc32(bytes.subarray(at, at + 4)) === bytes.readUInt32BE(at + 4);
 };
 
-export const Records = {
-  make: (value: unknown): Buffer => {
+export const RecordCodec = {
+  encode: (value: unknown): Buffer => {
     const body = pack(value);
     const header = Buffer.alloc(headerBytes);
     header.writeUInt32BE(body.length, 0);
@@ -41,7 +41,7 @@
     return Buffer.concat([header, body]);
   },
 
-  read: (source: Uint8Array): RecordsRead => {
+  decode: (source: Uint8Array): DecodedRecords => {
     const bytes = Buffer.from(source.buffer, source.byteOffset, source.byteLength);
     const bodies: unknown[] = [];
     let at = 0;
--- a/source/core-keeper/ledger/logSchema.ts
+++ b/source/core-keeper/write-ahead-log/recordSchema.ts
@@ -1,10 +1,10 @@
 /** Schemas of the events in the write-ahead log, including the forms that earlier versions wrote. Records of later versions do not match. */
 import { Type, type TProperties, type TSchema } from '@sinclair/typebox';
 import { Schema } from '../../shared/schema/schema';
-import { Count, Entry, Epoch, Incarnations, Key, Members, Name, Names, StoredEntry } from '../messages/parts';
-import type { KeeperEvent } from './keeperState';
+import { Count, Entry, Epoch, Incarnations, Key, Members, Name, Names, StoredEntry } from '../messages/sharedSchemas';
+import type { ReplicaEvent } from './replicaState';
 
-const eventSchema = (kind: KeeperEvent['kind'], fields: TProperties): TSchema =>
+const eventSchema = (kind: ReplicaEvent['kind'], fields: TProperties): TSchema =>
   Type.Object({ kind: Type.Literal(kind), ...fields });
 
 const StoredAccepted = Type.Union([Type.Object({ epoch: Epoch, entry: StoredEntry }), Type.Null()]);
@@ -34,7 +34,7 @@
   firstSeeds: Type.Optional(Names),
 });
 
-const eventSchemas: Readonly<Record<KeeperEvent['kind'], TSchema>> = {
+const eventSchemas: Readonly<Record<ReplicaEvent['kind'], TSchema>> = {
   firstStarted: eventSchema('firstStarted', { seeds: Names }),
   forming: eventSchema('forming', { fleet: Name, members: Members }),
   formed: eventSchema('formed', {}),
@@ -52,7 +52,7 @@
 
 const batch = new Schema(Type.Array(Type.Union(Object.values(eventSchemas))));
 
-export const LogRecords = {
+export const RecordSchema = {
   /** Whether a decoded record is a batch of known events, which were synced together. */
-  are: (body: unknown): body is readonly KeeperEvent[] => batch.is(body),
+  isBatch: (body: unknown): body is readonly ReplicaEvent[] => batch.is(body),
 } as const;
--- a/source/core-keeper/ledger/keeperState.ts
+++ b/source/core-keeper/write-ahead-log/replicaState.ts
@@ -1,29 +1,29 @@
 import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
 import { Epochs, type Accepted, type Entry, type Epoch, type Incarnations } from '../../shared/register/types';
-import { OutcomeHistories, type EarlierChange } from '../register/outcomeHistory';
+import { OutcomeHistories, type LegacyChange } from '../register/outcomeHistory';
 
 /**
  * Membership status of a replica. `empty`: it has no log. `forming`: it voted to found one fleet. `joining`: it is new or lost its disk and
  * must not vote. `voting`: it is a full member. `replaced`: it was removed and never votes again.
  */
-export type Standing = 'empty' | 'forming' | 'joining' | 'voting' | 'replaced';
+export type MembershipStatus = 'empty' | 'forming' | 'joining' | 'voting' | 'replaced';
 
 /** Consensus state for one key: the highest promised epoch and the last accepted value. */
-export type Cell = Readonly<{ promised: Epoch; accepted: Accepted | null }>;
+export type AcceptorState = Readonly<{ promised: Epoch; accepted: Accepted | null }>;
 /** The highest term granted for a duty, and its holder. */
 export type DutyTerm = Readonly<{ term: number; holder: string }>;
 /** The members that founded the fleet, by name. */
 export type FirstMembers = Readonly<Record<string, CoreMember>>;
 
 /** The durable state of one replica. */
-export type KeeperState = Readonly<{
-  standing: Standing;
+export type ReplicaState = Readonly<{
+  standing: MembershipStatus;
   fleet: string;
   incarnation: number;
   /** The highest known incarnation of each other replica. */
   known: Incarnations;
   firstMembers: FirstMembers;
-  cells: Readonly<Partial<Record<DocumentKey, Cell>>>;
+  cells: Readonly<Partial<Record<DocumentKey, AcceptorState>>>;
   /**
    * A newer member list that this replica received but could not accept, because it had already promised a higher epoch. It acts by this
    * list, but does not count among the replicas that accepted it. Null if there is none.
@@ -43,16 +43,16 @@
  * The part of a replica's state that it sends to a joining replica. Earlier versions omit the optional fields: they never removed a duty and
  * had no learned list.
  */
-export type KeeperFrame = Pick<KeeperState, 'firstMembers' | 'cells' | 'duties' | 'known'> &
-  Partial<Pick<KeeperState, 'dutyFloor' | 'learnedMembers'>>;
+export type TransferredState = Pick<ReplicaState, 'firstMembers' | 'cells' | 'duties' | 'known'> &
+  Partial<Pick<ReplicaState, 'dutyFloor' | 'learnedMembers'>>;
 
 /** A durable state change, as written to the write-ahead log. */
-export type KeeperEvent =
+export type ReplicaEvent =
   | Readonly<{ kind: 'firstStarted'; seeds: readonly string[] }>
   | Readonly<{ kind: 'forming'; fleet: string; members: FirstMembers }>
   | Readonly<{ kind: 'formed' }>
   | Readonly<{ kind: 'joining'; fleet: string; incarnation: number }>
-  | Readonly<{ kind: 'joined'; frames: readonly KeeperFrame[] }>
+  | Readonly<{ kind: 'joined'; frames: readonly TransferredState[] }>
   | Readonly<{ kind: 'replaced' }>
   | Readonly<{ kind: 'knew'; keeper: string; incarnation: number }>
   | Readonly<{ kind: 'promised'; key: DocumentKey; epoch: Epoch }>
@@ -60,44 +60,44 @@
   | Readonly<{ kind: 'membersLearned'; epoch: Epoch; entry: Entry }>
   | Readonly<{ kind: 'dutyGranted'; duty: string; term: number; holder: string }>
   | Readonly<{ kind: 'dutiesForgotten'; duties: readonly string[] }>
-  | Readonly<{ kind: 'whole'; state: KeeperState }>;
+  | Readonly<{ kind: 'whole'; state: ReplicaState }>;
 
 /** An entry as read from the log or a snapshot. Earlier versions stored full digests of the last 128 changes. */
-type StoredEntry = Entry | (Omit<Entry, 'outcomes'> & Readonly<{ changes: readonly EarlierChange[] }>);
+type StoredEntry = Entry | (Omit<Entry, 'outcomes'> & Readonly<{ changes: readonly LegacyChange[] }>);
 
 const upgradeEntry = (stored: StoredEntry): Entry => {
   if ('outcomes' in stored) return stored;
   const { changes, ...entry } = stored;
-  return { ...entry, outcomes: OutcomeHistories.ofEarlierBuild(changes) };
+  return { ...entry, outcomes: OutcomeHistories.fromLegacyChanges(changes) };
 };
 
 const upgradeAccepted = (accepted: Accepted | null): Accepted | null =>
   accepted === null ? null : { epoch: accepted.epoch, entry: upgradeEntry(accepted.entry) };
 
-const upgradeAcceptorStates = (cells: KeeperState['cells']): KeeperState['cells'] => {
-  const upgradedStates: Partial<Record<DocumentKey, Cell>> = {};
-  for (const [key, cell] of Object.entries(cells) as readonly (readonly [DocumentKey, Cell])[])
+const upgradeAcceptorStates = (cells: ReplicaState['cells']): ReplicaState['cells'] => {
+  const upgradedStates: Partial<Record<DocumentKey, AcceptorState>> = {};
+  for (const [key, cell] of Object.entries(cells) as readonly (readonly [DocumentKey, AcceptorState])[])
     upgradedStates[key] = { promised: cell.promised, accepted: upgradeAccepted(cell.accepted) };
   return upgradedStates;
 };
 
-const emptyAcceptorState: Cell = { promised: Epochs.none, accepted: null };
+const emptyAcceptorState: AcceptorState = { promised: Epochs.none, accepted: null };
 
 const higherEpoch = (left: Epoch, right: Epoch): Epoch => (Epochs.compare(left, right) >= 0 ? left : right);
 
 /** Whether `left` is newer than `right`, by epoch and then by revision. */
-const outranks = (left: Accepted, right: Accepted | null): boolean => {
+const isNewer = (left: Accepted, right: Accepted | null): boolean => {
   if (right === null) return true;
   const order = Epochs.compare(left.epoch, right.epoch);
   return order > 0 || (order === 0 && left.entry.revision > right.entry.revision);
 };
 
 const newest = (left: Accepted | null, right: Accepted | null): Accepted | null =>
-  right !== null && outranks(right, left) ? right : left;
+  right !== null && isNewer(right, left) ? right : left;
 
-const mergeAcceptorStates = (left: KeeperState['cells'], right: KeeperState['cells']): KeeperState['cells'] => {
-  const joined: Partial<Record<DocumentKey, Cell>> = { ...left };
-  for (const [key, cell] of Object.entries(right) as readonly (readonly [DocumentKey, Cell])[]) {
+const mergeAcceptorStates = (left: ReplicaState['cells'], right: ReplicaState['cells']): ReplicaState['cells'] => {
+  const joined: Partial<Record<DocumentKey, AcceptorState>> = { ...left };
+  for (const [key, cell] of Object.entries(right) as readonly (readonly [DocumentKey, AcceptorState])[]) {
     const own = joined[key] ?? emptyAcceptorState;
     joined[key] = {
       promised: higherEpoch(own.promised, cell.promised),
@@ -107,7 +107,7 @@
   return joined;
 };
 
-type Duties = Pick<KeeperState, 'duties' | 'dutyFloor'>;
+type Duties = Pick<ReplicaState, 'duties' | 'dutyFloor'>;
 
 /**
  * Keeps the higher of the two terms for each duty. Terms below the merged floor are dropped because the other replica may have removed a
@@ -129,9 +129,9 @@
 };
 
 /** Reads and changes of the durable state, as pure functions. */
-export const KeeperStates = {
+export const ReplicaStates = {
   /** The state of a replica without a log. */
-  start: {
+  initial: {
     standing: 'empty',
     fleet: '',
     incarnation: 0,
@@ -142,19 +142,19 @@
     duties: {},
     dutyFloor: 0,
     firstSeeds: [],
-  } as KeeperState,
-  cell: (state: KeeperState, key: DocumentKey): Cell => state.cells[key] ?? emptyAcceptorState,
-  outranks,
+  } as ReplicaState,
+  acceptorState: (state: ReplicaState, key: DocumentKey): AcceptorState => state.cells[key] ?? emptyAcceptorState,
+  isNewer: isNewer,
 
   /** The newest member list that this replica accepted or learned; null while the founding members are current. */
-  members: (state: KeeperState): Accepted | null =>
-    newest(KeeperStates.cell(state, 'core-members').accepted, state.learnedMembers),
+  newestMembers: (state: ReplicaState): Accepted | null =>
+    newest(ReplicaStates.acceptorState(state, 'core-members').accepted, state.learnedMembers),
 
   /** The highest term of a duty, which a new grant must exceed, and its holder; the holder is empty if it was never granted or was removed. */
-  duty: ({ duties, dutyFloor }: KeeperState, duty: string): DutyTerm => duties[duty] ?? { term: dutyFloor, holder: '' },
+  dutyTerm: ({ duties, dutyFloor }: ReplicaState, duty: string): DutyTerm => duties[duty] ?? { term: dutyFloor, holder: '' },
 
   /** Applies an event to the durable state; every change goes through this function. */
-  reduce: (state: KeeperState, event: KeeperEvent): KeeperState => {
+  apply: (state: ReplicaState, event: ReplicaEvent): ReplicaState => {
     switch (event.kind) {
       case 'firstStarted':
         return { ...state, firstSeeds: event.seeds };
@@ -163,9 +163,9 @@
       case 'formed':
         return { ...state, standing: 'voting' };
       case 'joining':
-        return { ...KeeperStates.start, standing: 'joining', fleet: event.fleet, incarnation: event.incarnation };
+        return { ...ReplicaStates.initial, standing: 'joining', fleet: event.fleet, incarnation: event.incarnation };
       case 'joined':
-        return event.frames.reduce<KeeperState>(
+        return event.frames.reduce<ReplicaState>(
           (joined, frame) => ({
             ...joined,
             cells: mergeAcceptorStates(joined.cells, upgradeAcceptorStates(frame.cells)),
@@ -181,14 +181,14 @@
       case 'knew':
         return { ...state, known: mergeIncarnations(state.known, { [event.keeper]: event.incarnation }) };
       case 'promised': {
-        const cell = KeeperStates.cell(state, event.key);
+        const cell = ReplicaStates.acceptorState(state, event.key);
         return {
           ...state,
           cells: { ...state.cells, [event.key]: { ...cell, promised: higherEpoch(cell.promised, event.epoch) } },
         };
       }
       case 'accepted': {
-        const cell = KeeperStates.cell(state, event.key);
+        const cell = ReplicaStates.acceptorState(state, event.key);
         return {
           ...state,
           cells: {
@@ -216,7 +216,7 @@
       case 'whole':
         // The initial state supplies the fields that a snapshot of an earlier version lacks.
         return {
-          ...KeeperStates.start,
+          ...ReplicaStates.initial,
           ...event.state,
           cells: upgradeAcceptorStates(event.state.cells),
           learnedMembers: upgradeAccepted(event.state.learnedMembers ?? null),
--- a/source/core-keeper/ledger/ledger.ts
+++ b/source/core-keeper/write-ahead-log/writeAheadLog.ts
@@ -2,24 +2,24 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import { DiskFaults, type Disk, type DiskFile } from '../../shared/effects/disk/disk';
 import type { Log } from '../../shared/log/log';
-import { KeeperStates, type KeeperEvent, type KeeperState } from './keeperState';
-import { LogRecords } from './logSchema';
-import { Records } from './records';
+import { ReplicaStates, type ReplicaEvent, type ReplicaState } from './replicaState';
+import { RecordSchema } from './recordSchema';
+import { RecordCodec } from './recordCodec';
 
 /**
  * `fresh`: the log holds no events. `corrupt`: the file is damaged at offset `at`. `unreadable`: the record with this index, counted
  * from 0, is complete, but this version does not know its kind or form.
  */
-export type LedgerOpened =
+export type LogOpenOutcome =
   | Readonly<{ kind: 'opened'; fresh: boolean }>
   | Readonly<{ kind: 'corrupt'; at: number }>
   | Readonly<{ kind: 'unreadable'; record: number }>;
 /** `full`: refused because the disk is full; later writes may succeed. `lost`: this log takes no more writes. */
-export type Written = 'synced' | 'full' | 'lost';
+export type WriteOutcome = 'synced' | 'full' | 'lost';
 
 type QueuedWrite = Readonly<{
-  events: readonly KeeperEvent[];
-  complete: (written: Written) => void;
+  events: readonly ReplicaEvent[];
+  complete: (written: WriteOutcome) => void;
   sinceMicroseconds: number;
 }>;
 
@@ -29,8 +29,8 @@
  * The write-ahead log of one replica, a single file. `pending` includes writes under way and decides what may be promised next;
  * `synced` is the state on disk, and only that is shown to others.
  */
-export class Ledger {
-  public readonly news = new Emittery<{ synced: readonly KeeperEvent[]; broken: string }>();
+export class WriteAheadLog {
+  public readonly notifications = new Emittery<{ synced: readonly ReplicaEvent[]; broken: string }>();
   private file: DiskFile | undefined;
   private length = 0;
   private snapshotLength = 0;
@@ -40,8 +40,8 @@
   private broken = false;
   private draining: Promise<void> = Promise.resolve();
   private reportedFull = false;
-  private syncedState: KeeperState = KeeperStates.start;
-  private pendingState: KeeperState = KeeperStates.start;
+  private syncedState: ReplicaState = ReplicaStates.initial;
+  private pendingState: ReplicaState = ReplicaStates.initial;
 
   public constructor(
     private readonly disk: Disk,
@@ -50,11 +50,11 @@
     private readonly rewriteBytes: number,
   ) {}
 
-  public get synced(): KeeperState {
+  public get synced(): ReplicaState {
     return this.syncedState;
   }
 
-  public get pending(): KeeperState {
+  public get pending(): ReplicaState {
     return this.pendingState;
   }
 
@@ -64,23 +64,23 @@
   }
 
   /** The age of the oldest unfinished write; it grows while the disk is stalled. */
-  public stalledMicroseconds(): number {
+  public oldestWriteMicroseconds(): number {
     const oldest = Math.min(this.writingSince ?? Infinity, this.waiting[0]?.sinceMicroseconds ?? Infinity);
     return oldest === Infinity ? 0 : this.clock.nowMicroseconds() - oldest;
   }
 
   /** Reads the log, rebuilds the state and cuts off an incomplete record at the end. */
-  public async open(): Promise<LedgerOpened> {
+  public async open(): Promise<LogOpenOutcome> {
     const bytes = await this.disk.read(fileName);
-    const read = Records.read(bytes ?? new Uint8Array());
+    const read = RecordCodec.decode(bytes ?? new Uint8Array());
     if (read.kind === 'corrupt') return read;
-    const bodies = read.bodies.filter((body) => LogRecords.are(body));
+    const bodies = read.bodies.filter((body) => RecordSchema.isBatch(body));
     // Unknown records are not skipped: a later version may have recorded a promise or an accepted value there, and dropping it would break
     // that promise.
     if (bodies.length < read.bodies.length)
-      return { kind: 'unreadable', record: read.bodies.findIndex((body) => !LogRecords.are(body)) };
+      return { kind: 'unreadable', record: read.bodies.findIndex((body) => !RecordSchema.isBatch(body)) };
     const events = bodies.flat();
-    this.syncedState = events.reduce(KeeperStates.reduce, KeeperStates.start);
+    this.syncedState = events.reduce(ReplicaStates.apply, ReplicaStates.initial);
     this.pendingState = this.syncedState;
     this.file = await this.disk.open(fileName);
     this.length = read.length;
@@ -93,9 +93,9 @@
   }
 
   /** Resolves when the events are durable, or will certainly never be. */
-  public write(events: readonly KeeperEvent[]): Promise<Written> {
+  public write(events: readonly ReplicaEvent[]): Promise<WriteOutcome> {
     if (this.broken || this.file === undefined) return Promise.resolve('lost');
-    this.pendingState = events.reduce(KeeperStates.reduce, this.pendingState);
+    this.pendingState = events.reduce(ReplicaStates.apply, this.pendingState);
     return new Promise((resolve) => {
       this.waiting.push({ events, complete: resolve, sinceMicroseconds: this.clock.nowMicroseconds() });
       if (this.writingSince === undefined) this.draining = this.drain();
@@ -128,10 +128,10 @@
     }
   }
 
-  private async writeBatch(events: readonly KeeperEvent[]): Promise<Written> {
+  private async writeBatch(events: readonly ReplicaEvent[]): Promise<WriteOutcome> {
     const file = this.file;
     if (file === undefined) return 'lost';
-    const record = Records.make(events);
+    const record = RecordCodec.encode(events);
     try {
       await file.append(record);
     } catch (error) {
@@ -146,13 +146,13 @@
     if (this.reportedFull) this.log('the disk accepts writes again');
     this.reportedFull = false;
     this.length += record.length;
-    this.syncedState = events.reduce(KeeperStates.reduce, this.syncedState);
-    void this.news.emit('synced', events);
+    this.syncedState = events.reduce(ReplicaStates.apply, this.syncedState);
+    void this.notifications.emit('synced', events);
     await this.compactWhenLong();
     return 'synced';
   }
 
-  private async appendFailed(file: DiskFile, error: unknown): Promise<Written> {
+  private async appendFailed(file: DiskFile, error: unknown): Promise<WriteOutcome> {
     const fault = DiskFaults.of(error);
     if (fault.kind !== 'full') return this.fail(`log write failed: ${fault.text}`);
     try {
@@ -169,17 +169,17 @@
     return 'full';
   }
 
-  private fail(reason: string): Written {
+  private fail(reason: string): WriteOutcome {
     this.broken = true;
     this.log(reason);
-    void this.news.emit('broken', reason);
+    void this.notifications.emit('broken', reason);
     return 'lost';
   }
 
   /** Replaces a long log by one snapshot. The factor 4 keeps the log from being rewritten often when the snapshot itself is large. */
   private async compactWhenLong(): Promise<void> {
     if (this.length < this.rewriteBytes || this.length < this.snapshotLength * 4) return;
-    const record = Records.make([{ kind: 'whole', state: this.syncedState } satisfies KeeperEvent]);
+    const record = RecordCodec.encode([{ kind: 'whole', state: this.syncedState } satisfies ReplicaEvent]);
     try {
       await this.disk.replace(fileName, record);
     } catch (error) {
--- a/source/edge-agent/core-link/coreLink.ts
+++ b/source/edge-agent/control-link/controlLink.ts
@@ -5,19 +5,19 @@
 import { Statements } from '../../shared/freshness/freshness';
 import { FleetVotes, type FleetName } from '../../shared/fleet/fleetName';
 import { Logs } from '../../shared/log/log';
-import { BodyFetch } from './bodyFetch';
-import { KeptWords } from './keptWords';
+import { DocumentFetch } from './documentFetch';
+import { StateReportCache } from './stateReportCache';
 import {
   MajorityReads,
   type MajorityRead,
   type MembersView,
-  type WordsAnswer,
+  type StatementsAnswer,
 } from '../../shared/register/majorityRead';
 
 type MissingDocument = ReturnType<Freshness['wanted']>[number];
 
 /** The answer of one address: its fleet, the control node's state report, and the addresses of members that it names. */
-type NodeAnswer = Readonly<{ fleet: string; report: WordsAnswer | undefined; memberAddresses: readonly string[] }>;
+type NodeAnswer = Readonly<{ fleet: string; report: StatementsAnswer | undefined; memberAddresses: readonly string[] }>;
 
 /** `words`: a full state report, which a control node sends after a change or a restart. `other`: an unchanged report, or none. */
 type LastAnswer = 'silent' | 'words' | 'other';
@@ -34,7 +34,7 @@
 const addressesIn = (value: unknown): readonly string[] =>
   Array.isArray(value) ? value.filter((item) => typeof item === 'string').slice(0, maxNamedAddresses) : [];
 
-export type CoreLinkSettings = Readonly<{
+export type ControlLinkSettings = Readonly<{
   seeds: readonly string[];
   askMicroseconds: number;
   /** A configuration age below this, learned by gossip from other agents' reads, makes an own read unnecessary; 0: always read. */
@@ -48,13 +48,13 @@
 }>;
 
 /** The agent's link to the control nodes: does a majority read several times a second and fetches the documents that it lacks. */
-export class CoreLink {
+export class ControlLink {
   private hasReportedMixedFleets = false;
   private lastReadMicroseconds = -Infinity;
   private readonly notice = Logs.part('agent:notice');
   private membersView: MembersView | undefined;
   private namedAddresses: readonly string[] = [];
-  private readonly stateReports = new KeptWords();
+  private readonly stateReports = new StateReportCache();
   /** The kind of the last answer of each address. */
   private readonly lastAnswers = new Map<string, LastAnswer>();
   private readCount = 0;
@@ -65,14 +65,14 @@
     private readonly effects: Effects,
     private readonly fleetName: FleetName,
     private readonly freshness: Freshness,
-    private readonly settings: CoreLinkSettings,
+    private readonly settings: ControlLinkSettings,
     private readonly ownEntry: () => unknown,
   ) {
     this.seeds = settings.seeds;
   }
 
   /** Replaces the seed addresses after a change of the settings. */
-  public seedsAre(seeds: readonly string[]): void {
+  public setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
@@ -80,11 +80,11 @@
     return this.fleetName.name;
   }
 
-  public keepers(): Readonly<Record<string, CoreMember>> {
+  public controlNodes(): Readonly<Record<string, CoreMember>> {
     return this.membersView?.members ?? {};
   }
 
-  public sets(): readonly (readonly string[])[] {
+  public memberSets(): readonly (readonly string[])[] {
     return this.membersView?.sets ?? [];
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Takes a list of control nodes from one of them if it is newer than the present one. */
-  public learnView(view: MembersView): void {
+  public updateMembersView(view: MembersView): void {
     if (this.membersView === undefined || view.revision > this.membersView.revision) this.membersView = view;
   }
 
@@ -107,7 +107,7 @@
     )
       return;
     const addresses = this.addresses();
-    this.stateReports.only(addresses);
+    this.stateReports.retainOnly(addresses);
     for (const address of this.lastAnswers.keys()) if (!addresses.includes(address)) this.lastAnswers.delete(address);
     const answers = new Map<string, NodeAnswer>();
     const requests = addresses.map(async (address) => void answers.set(address, await this.requestReport(address)));
@@ -144,7 +144,7 @@
     const byControlNode = new Map(
       [...all.values()].flatMap(({ report }) => (report === undefined ? [] : [[report.stamp.keeper, report] as const])),
     );
-    return MajorityReads.judge([...byControlNode.values()], this.fleetName.name, (key) => this.freshness.applied(key));
+    return MajorityReads.evaluate([...byControlNode.values()], this.fleetName.name, (key) => this.freshness.applied(key));
   }
 
   private readsDocument(key: DocumentKey): boolean {
@@ -178,7 +178,7 @@
     const own = includesOwn ? { own: this.ownEntry() } : {};
     const answer = await this.effects.transport.ask(
       address,
-      { kind: 'words', ...own, known: this.stateReports.known(address) },
+      { kind: 'words', ...own, known: this.stateReports.tag(address) },
       this.settings.askMicroseconds,
     );
     this.lastAnswers.set(
@@ -195,12 +195,12 @@
     };
   }
 
-  private reportFrom(address: string, message: Message): WordsAnswer | undefined {
+  private reportFrom(address: string, message: Message): StatementsAnswer | undefined {
     const now = this.effects.clock.nowMicroseconds();
-    if (message.kind === 'wordsSame') return this.stateReports.again(address, message['known'], now);
+    if (message.kind === 'wordsSame') return this.stateReports.confirmed(address, message['known'], now);
     if (message.kind !== 'words') return undefined;
-    const report = message as unknown as WordsAnswer;
-    this.stateReports.keep(address, report, message['known'], now);
+    const report = message as unknown as StatementsAnswer;
+    this.stateReports.store(address, report, message['known'], now);
     return report;
   }
 
@@ -239,6 +239,6 @@
     // The digest alone identifies the document: a control node may know the same text under another revision.
     const accept = (answer: Message): boolean =>
       Statements.isBody(answer) && this.freshness.give({ ...answer, key, revision });
-    return new BodyFetch(transport, clock, limits, { kind: 'body', key, digest }, rotatedAddresses, accept).run();
+    return new DocumentFetch(transport, clock, limits, { kind: 'body', key, digest }, rotatedAddresses, accept).run();
   }
 }
--- a/source/edge-agent/core-link/bodyFetch.ts
+++ b/source/edge-agent/control-link/documentFetch.ts
@@ -4,7 +4,7 @@
 /** The most requests in flight at a time. */
 const maxInFlight = 2;
 
-export type BodyFetchLimits = Readonly<{
+export type DocumentFetchLimits = Readonly<{
   /** The timeout of one node for the whole document. */
   askMicroseconds: number;
   /** The time without an answer after which a second node is asked in parallel. */
@@ -16,7 +16,7 @@
  * while the next node is asked in parallel. At most two requests are in flight, since on a slow link a further answer only delays those
  * already being transferred.
  */
-export class BodyFetch {
+export class DocumentFetch {
   private readonly remaining: string[];
   private inFlight = 0;
   private isFinished = false;
@@ -26,7 +26,7 @@
   public constructor(
     private readonly transport: Transport,
     private readonly clock: Clock,
-    private readonly limits: BodyFetchLimits,
+    private readonly limits: DocumentFetchLimits,
     private readonly message: Message,
     addresses: readonly string[],
     private readonly accept: (answer: Message) => boolean,
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -19,7 +19,7 @@
 import { Pulses } from '../shared/news/pulses';
 import { FleetPace } from '../shared/pace/fleetPace';
 import { SettingsChanges } from '../shared/settings/settingsChange';
-import { CoreLink } from './core-link/coreLink';
+import { ControlLink } from './control-link/controlLink';
 import { EngineListDefaults, EngineListKeeper, type EngineListSettings } from './engine-list/engineListKeeper';
 import type { EngineLister } from './engine-list/engineLister';
 import { Membership } from './membership/membership';
@@ -27,10 +27,10 @@
 import { AgentPages } from './pages/agentPages';
 import { FedProxies } from './proxies/fedProxies';
 import { LoadTotals } from './proxies/loadTotals';
-import { DutyHolder } from './stewards/dutyHolder';
-import { EventReaderDefaults } from './stewards/eventReader';
-import { HeldStewardDefaults } from './stewards/heldSteward';
-import { Stewardship } from './stewards/stewardship';
+import { LeaseHolder } from './leases/leaseHolder';
+import { EventReaderDefaults } from './engine-control/eventReader';
+import { LongPollControllerDefaults } from './engine-control/longPollEngineController';
+import { LeaseManager } from './leases/leaseManager';
 
 export type AgentSettings = Readonly<{
   name: string;
@@ -121,10 +121,10 @@
   listMicroseconds: 500_000,
   listAskMicroseconds: EngineListDefaults.askMicroseconds,
   listLagMicroseconds: EngineListDefaults.lagMicroseconds,
-  directiveWaitMicroseconds: HeldStewardDefaults.directiveWaitMicroseconds,
-  weightsWithinMicroseconds: HeldStewardDefaults.weightsWithinMicroseconds,
-  statusMicroseconds: HeldStewardDefaults.statusMicroseconds,
-  leastPart: HeldStewardDefaults.leastPart,
+  directiveWaitMicroseconds: LongPollControllerDefaults.directiveWaitMicroseconds,
+  weightsWithinMicroseconds: LongPollControllerDefaults.weightsWithinMicroseconds,
+  statusMicroseconds: LongPollControllerDefaults.statusMicroseconds,
+  leastPart: LongPollControllerDefaults.leastPart,
 } as const;
 
 /**
@@ -157,11 +157,11 @@
   public readonly shards = new ShardBook();
   public readonly freshness: Freshness;
   public readonly pulses: Pulses;
-  public readonly link: CoreLink;
+  public readonly link: ControlLink;
   public readonly membership: Membership;
-  public readonly stewardship: Stewardship;
+  public readonly stewardship: LeaseManager;
   private readonly exchange: NewsExchange;
-  private readonly duties: DutyHolder;
+  private readonly duties: LeaseHolder;
   private readonly desk: WorkDesk;
   private readonly proxies: FedProxies;
   private readonly loadTotals: LoadTotals;
@@ -192,7 +192,7 @@
     this.standstills = new StandstillWatch(clock, this.notice);
     this.freshness = new Freshness(clock, dialect, settings.engineList);
     this.pulses = new Pulses(clock);
-    this.link = new CoreLink(
+    this.link = new ControlLink(
       effects,
       this.fleet,
       this.freshness,
@@ -217,7 +217,7 @@
     this.desk = new WorkDesk(clock);
     this.membership = new Membership(self, this.facts, clock, settings, this.log);
     this.loadTotals = new LoadTotals(this.facts, clock, random);
-    this.proxies = new FedProxies(this.facts, clock, settings, (agent) => this.membership.alive(agent));
+    this.proxies = new FedProxies(this.facts, clock, settings, (agent) => this.membership.isPresent(agent));
     this.exchange = new NewsExchange(
       {
         fleet: this.fleet,
@@ -228,14 +228,14 @@
       },
       effects,
     );
-    this.duties = new DutyHolder(
+    this.duties = new LeaseHolder(
       settings.name,
       this.link,
       effects,
       { leaseMicroseconds: settings.leaseMicroseconds, askMicroseconds: settings.readAskMicroseconds },
       this.notice,
     );
-    this.stewardship = new Stewardship(
+    this.stewardship = new LeaseManager(
       settings.name,
       this.duties,
       this.membership,
@@ -249,15 +249,15 @@
         ...settings,
         askMicroseconds: settings.tendAskMicroseconds,
         readsList: settings.engineList === 'listed',
-        held: {
-          ...HeldStewardDefaults,
+        longPoll: {
+          ...LongPollControllerDefaults,
           askMicroseconds: settings.tendAskMicroseconds,
           events: EventReaderDefaults,
           directiveWaitMicroseconds: settings.directiveWaitMicroseconds,
           weightsWithinMicroseconds: settings.weightsWithinMicroseconds,
           statusMicroseconds: settings.statusMicroseconds,
           leastPart: settings.leastPart,
-          markMicroseconds: () => HeldStewardDefaults.markMicroseconds() * this.proxiesPace(mostNewsPause),
+          publishAheadMicroseconds: () => LongPollControllerDefaults.publishAheadMicroseconds() * this.proxiesPace(mostNewsPause),
         },
       },
       this.log,
@@ -281,8 +281,8 @@
       [() => this.standstills.planned(settings.readMicroseconds), () => this.read()],
       [() => this.newsPause(), () => this.news()],
       [() => settings.watchMicroseconds * this.pace(mostWatchPause), () => this.watch()],
-      [() => settings.ballotMicroseconds * this.pace(mostBallotPause), () => this.stewardship.ballot()],
-      [() => settings.tendMicroseconds, () => this.stewardship.tend()],
+      [() => settings.ballotMicroseconds * this.pace(mostBallotPause), () => this.stewardship.renewLeases()],
+      [() => settings.tendMicroseconds, () => this.stewardship.reconcile()],
     ];
     // Why often while there is none: orders wait for it. Later it only looks whether the list has become old.
     const listPause = (): number =>
@@ -308,8 +308,8 @@
   public settingsAre(given: AgentSettings): void {
     const change = SettingsChanges.of(this.settings, given, changeable);
     this.settings = change.settings;
-    this.link.seedsAre(this.settings.seeds);
-    this.stewardship.weightsWithinIs(this.settings.weightsWithinMicroseconds);
+    this.link.setSeeds(this.settings.seeds);
+    this.stewardship.setWeightsLimit(this.settings.weightsWithinMicroseconds);
     this.engineList?.settingsAre(this.listSettings());
     const sentence = SettingsChanges.sentence(change);
     if (sentence !== undefined) this.notice(sentence);
@@ -336,7 +336,7 @@
     await this.stewardship.resign();
     this.membership.leave();
     await Promise.all(
-      this.membership.colleagues().map(({ address }) => this.exchange.ask(address, this.settings.newsAskMicroseconds)),
+      this.membership.gossipPeers().map(({ address }) => this.exchange.ask(address, this.settings.newsAskMicroseconds)),
     );
     await this.stop();
   }
@@ -363,16 +363,16 @@
   }
 
   private async news(): Promise<void> {
-    this.membership.defend();
+    this.membership.refuteSuspicion();
     this.membership.tick();
     this.desk.keepOnly(Object.keys(this.freshness.engines?.engines ?? {}));
-    const colleagues = this.membership.colleagues();
+    const colleagues = this.membership.gossipPeers();
     // Why seeds too: until a colleague is known, and now and then after, so that two halves find each other again.
     const useSeed = colleagues.length === 0 || this.turn % 25 === 24;
     const others = this.settings.seeds.filter((seed) => seed !== this.settings.address);
     const farEvery = this.farEvery();
     const isFar = this.turn % farEvery === 0;
-    const neighbours = isFar ? [] : this.membership.neighbours();
+    const neighbours = isFar ? [] : this.membership.zonePeers();
     const partners = neighbours.length > 0 ? neighbours : colleagues;
     const address = useSeed
       ? others[Math.floor(this.turn / 25 + this.turn) % Math.max(1, others.length)]
@@ -422,12 +422,12 @@
   private async watch(): Promise<void> {
     this.proxies.review();
     await Promise.all(
-      this.membership.watched().map(async ({ name, address }) => {
+      this.membership.probeTargets().map(async ({ name, address }) => {
         const answer = await this.effects.transport.ask(address, { kind: 'ping' }, this.settings.newsAskMicroseconds);
-        if (answer.kind === 'answered') return this.membership.heard(name);
-        if (!this.membership.unheard(name)) return;
+        if (answer.kind === 'answered') return this.membership.recordAnswer(name);
+        if (!this.membership.recordFailedProbe(name)) return;
         const helpers = this.membership
-          .colleagues()
+          .gossipPeers()
           .filter((helper) => helper.name !== name)
           .slice(0, 2);
         const seen = await Promise.all(
@@ -440,7 +440,7 @@
           ),
         );
         if (seen.some((item) => item.kind === 'answered' && item.message['reached'] === true))
-          this.membership.heard(name);
+          this.membership.recordAnswer(name);
         else this.membership.suspect(name);
       }),
     );
@@ -505,7 +505,7 @@
 
   private async grant(message: Message): Promise<GrantAnswer> {
     const engine = String(message['engine']);
-    const steward = this.stewardship.steward(engine);
+    const steward = this.stewardship.controller(engine);
     if (steward !== undefined)
       return steward.grant(String(message['fill']), Number(message['epoch']), message['keys'] as readonly NamedKey[]);
     const holder = this.stewardship.holderOf(engine);
@@ -529,9 +529,9 @@
     const away = new Map<string, number[]>();
     const missed: number[] = [];
     for (const [index, note] of notes.entries()) {
-      const steward = this.stewardship.steward(note.holder);
+      const steward = this.stewardship.controller(note.holder);
       if (steward !== undefined) {
-        steward.note(note);
+        steward.recordNote(note);
         continue;
       }
       const address = this.membership.member(this.stewardship.holderOf(note.holder)?.holder ?? '')?.address;
--- a/source/edge-agent/stewards/engineWord.ts
+++ b/source/edge-agent/engine-control/engineStatusPublisher.ts
@@ -4,7 +4,7 @@
 import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
 
 /** Publishes the status of an engine by gossip, only when it changes. */
-export class EngineWord {
+export class EngineStatusPublisher {
   private sequence = 0;
 
   public constructor(
@@ -14,7 +14,7 @@
   ) {}
 
   /** `status` is undefined if the engine does not answer. */
-  public say(engine: Engine, status: EngineStatus | undefined, changing: boolean): void {
+  public publish(engine: Engine, status: EngineStatus | undefined, changing: boolean): void {
     const previous = this.facts.value<EngineFact>(FactKeys.engine(this.name));
     const value: EngineFact = {
       engine: this.name,
--- a/source/edge-agent/stewards/eventReader.ts
+++ b/source/edge-agent/engine-control/eventReader.ts
@@ -32,12 +32,12 @@
 const listTimeoutMicroseconds = 700_000;
 
 /** Whether a cache holder answers. */
-export type HolderSight = Readonly<{ kind: 'unknown' | 'there' | 'away' }>;
+export type HolderReachability = Readonly<{ kind: 'unknown' | 'there' | 'away' }>;
 
 /** Reads one cache holder's events by long polling, which also serves as the health check of the holder. */
 export class EventReader {
   private readonly notice = Logs.part('agent:notice');
-  private currentReachability: HolderSight = { kind: 'unknown' };
+  private currentReachability: HolderReachability = { kind: 'unknown' };
   private failedCalls = 0;
   private isCalling = false;
   private isStopped = false;
@@ -64,7 +64,7 @@
     private readonly log: Log,
   ) {}
 
-  public get sight(): HolderSight {
+  public get reachability(): HolderReachability {
     return this.currentReachability;
   }
 
--- a/source/edge-agent/stewards/heldSteward.ts
+++ b/source/edge-agent/engine-control/longPollEngineController.ts
@@ -9,20 +9,20 @@
 import type { FactBook } from '../../shared/news/facts';
 import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
 import { WeightsRounds } from '../../shared/weights/weightsRounds';
-import { EngineWord } from './engineWord';
+import { EngineStatusPublisher } from './engineStatusPublisher';
 import { EventReader, type EventReaderSettings } from './eventReader';
 import type { LiveSalts } from './liveSalts';
-import type { Steward } from './steward';
+import type { EngineController } from './engineController';
 
-export type HeldStewardSettings = Readonly<{
+export type LongPollControllerSettings = Readonly<{
   askMicroseconds: number;
   events: EventReaderSettings;
   /** The interval of status requests to an idle engine. */
   statusMicroseconds: number;
   /** The interval of status requests while an engine changes its weights. */
-  changingLookMicroseconds: number;
+  changingStatusMicroseconds: number;
   /** The delay from publishing that an engine changes its weights to the directive: by then no proxy chooses the engine. */
-  markMicroseconds: () => number;
+  publishAheadMicroseconds: () => number;
   /** The time after the start of its lease without directives: until then one of the previous controller may still arrive. */
   directiveWaitMicroseconds: number;
   /** The time limit for new weights, from the acceptance of the change until all engines run them. */
@@ -31,10 +31,10 @@
   leastPart: number;
 }>;
 
-export const HeldStewardDefaults = {
+export const LongPollControllerDefaults = {
   statusMicroseconds: 30_000_000,
-  changingLookMicroseconds: 250_000,
-  markMicroseconds: () => 300_000,
+  changingStatusMicroseconds: 250_000,
+  publishAheadMicroseconds: () => 300_000,
   directiveWaitMicroseconds: 0,
   weightsWithinMicroseconds: 12_000_000,
   leastPart: 512,
@@ -46,10 +46,10 @@
 type ObservedStatus = Readonly<{ status: EngineStatus; atMicroseconds: number }>;
 
 /** Controls a cache holder that supports long polling for events: it follows the events and requests the status only when needed. */
-export class HeldSteward implements Steward {
+export class LongPollEngineController implements EngineController {
   private readonly shard: ShardDirectory;
   private readonly reader: EventReader;
-  private readonly statusPublisher: EngineWord;
+  private readonly statusPublisher: EngineStatusPublisher;
   private weightsWithinMicroseconds: number;
   private readonly leaseStartMicroseconds: number;
   private work: Promise<void> = Promise.resolve();
@@ -77,7 +77,7 @@
     private readonly shards: ShardBook,
     private readonly freshness: Freshness,
     private readonly clock: Clock,
-    private readonly settings: HeldStewardSettings,
+    private readonly settings: LongPollControllerSettings,
     /** For how long the previous controller had sent no directive when it released the lease. */
     private readonly previousNoDirectiveMicroseconds: number,
     private readonly liveSalts: LiveSalts,
@@ -85,7 +85,7 @@
     private readonly log: Log,
   ) {
     this.engine = engine;
-    this.statusPublisher = new EngineWord(name, term, facts);
+    this.statusPublisher = new EngineStatusPublisher(name, term, facts);
     this.weightsWithinMicroseconds = settings.weightsWithinMicroseconds;
     const limits = { ...ShardLimits.usual, leastSize: settings.leastPart };
     this.shard = new ShardDirectory(
@@ -114,7 +114,7 @@
     this.noDirectiveSince = this.leaseStartMicroseconds - previousNoDirectiveMicroseconds;
   }
 
-  public weightsWithinIs(microseconds: number): void {
+  public setWeightsLimit(microseconds: number): void {
     this.weightsWithinMicroseconds = microseconds;
   }
 
@@ -122,21 +122,21 @@
     return this.holdsLease() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
   }
 
-  public restMicroseconds(): number {
+  public noDirectiveMicroseconds(): number {
     return this.clock.steadyMicroseconds() - this.noDirectiveSince;
   }
 
   /** Does nothing: names are derived from the identity, so there is nothing to register or to attest. */
-  public note(): void {
+  public recordNote(): void {
     return;
   }
 
-  public counts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
+  public blockCounts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
     const { used, quarantined, charged } = this.shard;
     return { committed: this.shard.news.size, used, quarantined, charged };
   }
 
-  public tend(engine: Engine): Promise<void> {
+  public reconcile(engine: Engine): Promise<void> {
     this.engine = engine;
     this.reader.tick(engine.address);
     this.updateSpreadFilter();
@@ -151,7 +151,7 @@
     return Promise.resolve();
   }
 
-  public async quiet(): Promise<void> {
+  public async whenIdle(): Promise<void> {
     this.reader.stop();
     await this.work.catch(() => undefined);
   }
@@ -186,7 +186,7 @@
 
   /** Called when an events call was answered or the holder has become unreachable. */
   private onEventsCall(): void {
-    const { kind } = this.reader.sight;
+    const { kind } = this.reader.reachability;
     if (kind === 'there') {
       // The shard of the previous controller is replaced only now: until the first events arrive, this one knows no more.
       if (!this.hasPublishedShard) this.shards.set(this.name, this.shard.news);
@@ -196,11 +196,11 @@
   }
 
   private publishStatus(): void {
-    const { kind } = this.reader.sight;
+    const { kind } = this.reader.reachability;
     if (kind === 'unknown') return;
     const status = this.knownStatus();
-    if (kind === 'away') this.statusPublisher.say(this.engine, undefined, this.isChangingWeights);
-    else if (status !== undefined) this.statusPublisher.say(this.engine, status, this.isChangingWeights);
+    if (kind === 'away') this.statusPublisher.publish(this.engine, undefined, this.isChangingWeights);
+    else if (status !== undefined) this.statusPublisher.publish(this.engine, status, this.isChangingWeights);
   }
 
   private updateSpreadFilter(): void {
@@ -214,7 +214,7 @@
   }
 
   private async reconcileEngine(): Promise<void> {
-    if (this.reader.sight.kind !== 'there') return;
+    if (this.reader.reachability.kind !== 'there') return;
     if (this.isStatusDue()) await this.requestStatus();
     const status = this.knownStatus();
     if (status === undefined || !this.holdsLease()) return;
@@ -232,7 +232,7 @@
       this.changingSince = this.clock.nowMicroseconds();
     }
     this.publishStatus();
-    if (this.clock.steadyMicroseconds() - this.changePublishedMicroseconds < this.settings.markMicroseconds()) return;
+    if (this.clock.steadyMicroseconds() - this.changePublishedMicroseconds < this.settings.publishAheadMicroseconds()) return;
     if (status.busy !== true && this.maySendDirective(dueDirective.weights)) await this.sendDirective(dueDirective);
   }
 
@@ -261,7 +261,7 @@
   private async requestStatus(): Promise<void> {
     const sentMicroseconds = this.clock.nowMicroseconds();
     const status = await this.backEnds.status(this.engine.address, this.settings.askMicroseconds, this.name);
-    this.nextStatusMicroseconds = sentMicroseconds + this.settings.changingLookMicroseconds;
+    this.nextStatusMicroseconds = sentMicroseconds + this.settings.changingStatusMicroseconds;
     if (status !== undefined && this.holdsLease()) this.lastObserved = { status, atMicroseconds: sentMicroseconds };
   }
 
@@ -312,7 +312,7 @@
     this.log(
       `Engine ${this.name} was sent the directive to load ${directive.weights} under term ${this.term}: ${outcome}.`,
     );
-    this.nextStatusMicroseconds = this.clock.nowMicroseconds() + this.settings.changingLookMicroseconds;
+    this.nextStatusMicroseconds = this.clock.nowMicroseconds() + this.settings.changingStatusMicroseconds;
   }
 
   private poolFacts(): Readonly<Record<string, EngineFact | undefined>> {
--- a/source/edge-agent/stewards/engineSteward.ts
+++ b/source/edge-agent/engine-control/pollingEngineController.ts
@@ -10,11 +10,11 @@
 import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
 import type { NamedKey } from '../../shared/directory/hashChain';
 import { PulseLimits, type Pulses } from '../../shared/news/pulses';
-import { EngineWord } from './engineWord';
-import type { Steward } from './steward';
+import { EngineStatusPublisher } from './engineStatusPublisher';
+import type { EngineController } from './engineController';
 import { WeightsPlans } from './weightsPlan';
 
-export type EngineStewardSettings = Readonly<{ askMicroseconds: number; unreachableAfter: number }>;
+export type PollingControllerSettings = Readonly<{ askMicroseconds: number; unreachableAfter: number }>;
 
 /** A fill without any progress report for this time is given up. */
 const fillTimeoutMicroseconds = 30_000_000;
@@ -23,9 +23,9 @@
 const drainAfterMicroseconds = 2_000_000;
 
 /** Controls one engine or store under one lease term by polling: reads its status and events, sends directives, grants imports. */
-export class EngineSteward implements Steward {
+export class PollingEngineController implements EngineController {
   private readonly shard: ShardDirectory;
-  private readonly statusPublisher: EngineWord;
+  private readonly statusPublisher: EngineStatusPublisher;
   private failedPolls = 0;
   private isChangingWeights = false;
   /** On the steady clock. The wait that starts here ends when the proxies' observations of the engine have become too old to use. */
@@ -45,14 +45,14 @@
     private readonly freshness: Freshness,
     private readonly pulses: Pulses,
     private readonly clock: Clock,
-    private readonly settings: EngineStewardSettings,
+    private readonly settings: PollingControllerSettings,
     kind: Engine['kind'],
     private readonly log: Log,
   ) {
     // The shard starts empty, because an earlier controller's fills in flight are not known here; committed blocks are requested anew.
     this.shard = new ShardDirectory(name, term, ShardLimits.usual, kind === 'engine', () => clock.nowMicroseconds());
     shards.set(name, this.shard.news);
-    this.statusPublisher = new EngineWord(name, term, facts);
+    this.statusPublisher = new EngineStatusPublisher(name, term, facts);
     // The fence counts from now, because the previous controller may have allowed the old names until its last moment.
     this.fencedMicroseconds = clock.steadyMicroseconds();
   }
@@ -61,23 +61,23 @@
     return this.holdsLease() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
   }
 
-  public note(note: DirectoryNote): void {
+  public recordNote(note: DirectoryNote): void {
     if (this.holdsLease()) this.shard.note(note);
   }
 
-  public counts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
+  public blockCounts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
     const { used, quarantined, charged } = this.shard;
     return { committed: this.shard.news.size, used, quarantined, charged };
   }
 
   /** Polls the engine once; called periodically while the lease is held. */
-  public tend(engine: Engine): Promise<void> {
+  public reconcile(engine: Engine): Promise<void> {
     this.currentPoll = this.reconcileNow(engine);
     return this.currentPoll;
   }
 
   /** Resolves when no request to the engine is in flight any more. */
-  public async quiet(): Promise<void> {
+  public async whenIdle(): Promise<void> {
     await this.currentPoll.catch(() => undefined);
   }
 
@@ -170,7 +170,7 @@
   }
 
   private publishStatus(engine: Engine, status: EngineStatus | undefined): void {
-    this.statusPublisher.say(engine, status, this.isChangingWeights);
+    this.statusPublisher.publish(engine, status, this.isChangingWeights);
   }
 
   private async readEvents(engine: Engine): Promise<void> {
--- a/source/edge-agent/stewards/dutyLine.ts
+++ b/source/edge-agent/leases/leaseCandidacy.ts
@@ -4,19 +4,19 @@
 import { FleetPace } from '../../shared/pace/fleetPace';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import type { Membership } from '../membership/membership';
-import type { DutyHolder } from './dutyHolder';
+import type { LeaseHolder } from './leaseHolder';
 
 /** A lease and the key of the gossip entry that names its holder. */
-export type DutySubject = Readonly<{ lease: string; factKey: string; name: string }>;
+export type LeaseSubject = Readonly<{ lease: string; factKey: string; name: string }>;
 
-export const DutySubjects = {
+export const LeaseSubjects = {
   /** The control of one engine or store. */
-  engine: (name: string): DutySubject => ({ lease: `engine/${name}`, factKey: FactKeys.steward(name), name }),
+  engine: (name: string): LeaseSubject => ({ lease: `engine/${name}`, factKey: FactKeys.steward(name), name }),
   /** Reading the list of engines from a source outside the fleet. */
-  list: { lease: 'list', factKey: FactKeys.listDuty, name: 'list' } satisfies DutySubject,
+  list: { lease: 'list', factKey: FactKeys.listDuty, name: 'list' } satisfies LeaseSubject,
 } as const;
 
-export type DutyLineSettings = Readonly<{
+export type LeaseCandidacySettings = Readonly<{
   /** A holder whose gossip entry has not changed for this time counts as absent. */
   vacantAfterMicroseconds: number;
   /** The delay of a candidacy per place in the rendezvous order. */
@@ -33,7 +33,7 @@
 const maxAbsenceFactor = 2.5;
 
 /** Decides when this agent becomes a candidate for a lease that seems vacant and when it hands one over; announces holders by gossip. */
-export class DutyLine {
+export class LeaseCandidacy {
   private readonly vacantSince = new Map<string, number>();
   private readonly notFirstSince = new Map<string, number>();
   private readonly heartbeats = new Map<string, Readonly<{ version: string; atMicroseconds: number }>>();
@@ -48,16 +48,16 @@
 
   public constructor(
     private readonly self: string,
-    private readonly leases: DutyHolder,
+    private readonly leases: LeaseHolder,
     private readonly membership: Membership,
     private readonly facts: FactBook,
     private readonly clock: Clock,
-    private readonly settings: DutyLineSettings,
+    private readonly settings: LeaseCandidacySettings,
   ) {
     this.startedMicroseconds = clock.nowMicroseconds();
   }
 
-  public holderOf(subject: DutySubject): StewardFact | undefined {
+  public holderOf(subject: LeaseSubject): StewardFact | undefined {
     return this.facts.value<StewardFact>(subject.factKey);
   }
 
@@ -65,21 +65,21 @@
    * The least time that had passed without a directive when the term right before this one was released; 0 if not known. After an older
    * term it is not known, because a term in between may have been held.
    */
-  public restBefore(subject: DutySubject, term: number): number {
+  public previousNoDirectiveMicroseconds(subject: LeaseSubject, term: number): number {
     const fact = this.holderOf(subject);
     return fact !== undefined && fact.holder === '' && fact.term === term - 1 ? (fact.restMicroseconds ?? 0) : 0;
   }
 
   /** Refreshes an unchanged entry only at the heartbeat interval: others need it just to see that the holder is alive. */
-  public saySometimes(subject: DutySubject, term: number, holder: string): void {
+  public announceHeartbeat(subject: LeaseSubject, term: number, holder: string): void {
     const now = this.clock.nowMicroseconds();
     const known = this.facts.value<StewardFact>(subject.factKey);
     const announced = this.announcedMicroseconds.get(subject.lease) ?? -Infinity;
     if (known?.holder !== holder || known.term !== term || now - announced >= this.settings.heartbeatMicroseconds)
-      this.say(subject, term, holder);
+      this.announce(subject, term, holder);
   }
 
-  public say(subject: DutySubject, term: number, holder: string, restMicroseconds?: number): void {
+  public announce(subject: LeaseSubject, term: number, holder: string, restMicroseconds?: number): void {
     this.announcedMicroseconds.set(subject.lease, this.clock.nowMicroseconds());
     this.announcements += 1;
     const rest = restMicroseconds === undefined ? {} : { restMicroseconds };
@@ -88,19 +88,19 @@
   }
 
   /** Whether this agent should request a lease: it has been vacant for the delay that belongs to the agent's place in the order. */
-  public standsFor(subject: DutySubject, names: readonly string[]): boolean {
+  public shouldRequest(subject: LeaseSubject, names: readonly string[]): boolean {
     const { lease } = subject;
     const now = this.clock.nowMicroseconds();
     const fact = this.facts.get(subject.factKey);
     const value = fact?.value as StewardFact | undefined;
     if (fact !== undefined && value !== undefined) {
-      this.leases.sawTerm(lease, value.term);
+      this.leases.observeTerm(lease, value.term);
       const version = fact.version.join('.');
       const heartbeat = this.heartbeats.get(lease);
       if (heartbeat?.version !== version) this.heartbeats.set(lease, { version, atMicroseconds: now });
       const isFresh =
         now - (this.heartbeats.get(lease)?.atMicroseconds ?? 0) < this.absenceTimeoutMicroseconds(names.length);
-      if (isFresh && value.holder !== this.self && this.membership.alive(value.holder)) {
+      if (isFresh && value.holder !== this.self && this.membership.isPresent(value.holder)) {
         this.vacantSince.delete(lease);
         return false;
       }
@@ -113,7 +113,7 @@
   }
 
   /** The ranks are cached, because every agent checks every lease again and again while a large fleet starts. */
-  private rankOf({ name }: DutySubject, names: readonly string[]): number {
+  private rankOf({ name }: LeaseSubject, names: readonly string[]): number {
     if (this.ranks.members !== names) this.ranks = { members: names, byName: new Map() };
     const known = this.ranks.byName.get(name);
     if (known !== undefined) return known;
@@ -128,7 +128,7 @@
   }
 
   /** The agent to hand the lease over to, once another one has been first in the order for long enough. */
-  public handsOver(subject: DutySubject, names: readonly string[]): string | undefined {
+  public handoverTarget(subject: LeaseSubject, names: readonly string[]): string | undefined {
     const { lease } = subject;
     const now = this.clock.nowMicroseconds();
     const first = Rendezvous.first(`steward/${subject.name}`, names);
