--- a/source/edge-agent/stewards/dutyHolder.ts
+++ b/source/edge-agent/leases/leaseHolder.ts
@@ -1,16 +1,16 @@
 import type { Effects } from '../../shared/effects/effects';
 import type { Log } from '../../shared/log/log';
 import { Stamps } from '../../shared/register/types';
-import type { CoreLink } from '../core-link/coreLink';
+import type { ControlLink } from '../control-link/controlLink';
 import type { MembersView } from '../../shared/register/majorityRead';
 
 /** The state of a lease at the agent: not held, requested, or held until a time on the agent's clock. */
-export type DutyState =
+export type LeaseState =
   | Readonly<{ kind: 'idle' }>
   | Readonly<{ kind: 'asking'; term: number }>
   | Readonly<{ kind: 'holding'; term: number; untilMicroseconds: number }>;
 
-export type DutyEvent =
+export type LeaseEvent =
   | Readonly<{ kind: 'asked'; term: number }>
   | Readonly<{ kind: 'granted'; term: number; untilMicroseconds: number }>
   | Readonly<{ kind: 'ended' }>;
@@ -27,8 +27,8 @@
 }>;
 
 /** The state machine of one lease on the holder's side. */
-export const DutyStates = {
-  step: (state: DutyState, event: DutyEvent): DutyState => {
+export const LeaseStates = {
+  next: (state: LeaseState, event: LeaseEvent): LeaseState => {
     switch (event.kind) {
       case 'asked':
         return state.kind === 'holding' ? state : { kind: 'asking', term: event.term };
@@ -44,16 +44,16 @@
  * The part of a lease that its holder does not use. Voters measure the lease by their own clocks: two clocks that each drift by up to
  * 5 per mille differ by 1 per cent, and the holder must still stop first.
  */
-export const unusedPerMille = 11;
+export const leaseMarginPerMille = 11;
 
 /** The most leases named in one log line. */
 const maxLoggedLeases = 6;
 
-export type DutySettings = Readonly<{ leaseMicroseconds: number; askMicroseconds: number }>;
+export type LeaseHolderSettings = Readonly<{ leaseMicroseconds: number; askMicroseconds: number }>;
 
 /** The holder's side of all leases of one agent. By its own clock a lease ends before any voter may grant it to another candidate. */
-export class DutyHolder {
-  private readonly states = new Map<string, DutyState>();
+export class LeaseHolder {
+  private readonly states = new Map<string, LeaseState>();
   private readonly retryNotBefore = new Map<string, number>();
   private readonly highestTerms = new Map<string, number>();
   /** Terms of released leases, so that a renewal still in flight at the release does not bring the lease back. */
@@ -63,9 +63,9 @@
 
   public constructor(
     private readonly self: string,
-    private readonly link: CoreLink,
+    private readonly link: ControlLink,
     private readonly effects: Effects,
-    private readonly settings: DutySettings,
+    private readonly settings: LeaseHolderSettings,
     private readonly notice: Log = () => undefined,
   ) {}
 
@@ -77,33 +77,33 @@
       : undefined;
   }
 
-  public held(): readonly string[] {
+  public heldLeases(): readonly string[] {
     return [...this.states.keys()].filter((lease) => this.term(lease) !== undefined);
   }
 
-  public sawTerm(lease: string, term: number): void {
+  public observeTerm(lease: string, term: number): void {
     if (term > (this.highestTerms.get(lease) ?? 0)) this.highestTerms.set(lease, term);
   }
 
-  public end(lease: string): void {
+  public endLease(lease: string): void {
     this.transition(lease, { kind: 'ended' });
   }
 
   /** Releases leases: they are no longer held here, and voters may grant them to others at once. */
-  public async giveBack(leases: readonly string[]): Promise<void> {
+  public async release(leases: readonly string[]): Promise<void> {
     const ballots = leases.flatMap((duty) => {
       const term = this.term(duty);
       return term === undefined ? [] : [{ duty, candidate: this.self, term }];
     });
     for (const { duty, term } of ballots) {
-      this.end(duty);
+      this.endLease(duty);
       this.releasedTerms.set(duty, term);
     }
     if (ballots.length > 0) await this.withdraw(ballots);
   }
 
   /** Runs a voting round for each lease named, renewals and new ones together, with one message per control node. */
-  public async ballot(wanted: readonly string[]): Promise<void> {
+  public async requestLeases(wanted: readonly string[]): Promise<void> {
     this.logLapsed();
     const outdated = await this.runRound(wanted);
     // The second round follows at once: an agent that has just started knows no terms and has learned them from the refusals.
@@ -135,10 +135,10 @@
       return { duty, candidate: this.self, term, leaseMicroseconds: this.settings.leaseMicroseconds };
     });
     const membersRevision = this.link.membersRevision();
-    const sets = this.link.sets();
+    const sets = this.link.memberSets();
     const votes = new Map<string, string[]>();
     const outdated = new Set<string>();
-    const controlNodes = Object.entries(this.link.keepers());
+    const controlNodes = Object.entries(this.link.controlNodes());
     await Promise.all(
       controlNodes.map(async ([voter, { address }]) => {
         const answer = await this.effects.transport.ask(
@@ -148,9 +148,9 @@
         );
         if (answer.kind !== 'answered' || answer.message.kind !== 'ballots') return;
         const view = answer.message['view'];
-        if (view !== undefined) this.link.learnView(view as MembersView);
+        if (view !== undefined) this.link.updateMembersView(view as MembersView);
         for (const vote of answer.message['answers'] as readonly BallotAnswer[]) {
-          this.sawTerm(vote.duty, vote.term);
+          this.observeTerm(vote.duty, vote.term);
           this.forgottenTermFloor = Math.max(this.forgottenTermFloor, vote.floor ?? 0);
           if (!vote.granted && vote.waitMicroseconds === 0) outdated.add(vote.duty);
           if (vote.granted) votes.set(vote.duty, [...(votes.get(vote.duty) ?? []), voter]);
@@ -163,12 +163,12 @@
       const { duty, term } = ballot;
       if (this.releasedTerms.get(duty) === term) continue;
       // The lease is counted from the sending of the request: voters count from a later moment, so it ends here first.
-      if (Stamps.reached(sets, votes.get(duty) ?? []))
+      if (Stamps.hasMajority(sets, votes.get(duty) ?? []))
         this.transition(duty, {
           kind: 'granted',
           term,
           untilMicroseconds:
-            startMicroseconds + Math.floor((this.settings.leaseMicroseconds * (1000 - unusedPerMille)) / 1000),
+            startMicroseconds + Math.floor((this.settings.leaseMicroseconds * (1000 - leaseMarginPerMille)) / 1000),
         });
       else if (this.term(duty) === undefined) {
         this.transition(duty, { kind: 'ended' });
@@ -195,13 +195,13 @@
   ): Promise<void> {
     const message = { kind: 'withdraw', ballots };
     await Promise.all(
-      Object.values(this.link.keepers()).map(({ address }) =>
+      Object.values(this.link.controlNodes()).map(({ address }) =>
         this.effects.transport.ask(address, message, this.settings.askMicroseconds),
       ),
     );
   }
 
-  private transition(lease: string, event: DutyEvent): void {
-    this.states.set(lease, DutyStates.step(this.states.get(lease) ?? { kind: 'idle' }, event));
+  private transition(lease: string, event: LeaseEvent): void {
+    this.states.set(lease, LeaseStates.next(this.states.get(lease) ?? { kind: 'idle' }, event));
   }
 }
--- a/source/edge-agent/stewards/stewardship.ts
+++ b/source/edge-agent/leases/leaseManager.ts
@@ -9,27 +9,27 @@
 import type { Pulses } from '../../shared/news/pulses';
 import type { StewardFact } from '../../shared/news/factTypes';
 import type { Membership } from '../membership/membership';
-import type { DutyHolder } from './dutyHolder';
-import { DutyLine, DutySubjects, type DutyLineSettings } from './dutyLine';
-import { EngineSteward } from './engineSteward';
-import { HeldSteward, type HeldStewardSettings } from './heldSteward';
-import { LiveSalts } from './liveSalts';
-import type { Steward } from './steward';
-
-export type StewardshipSettings = DutyLineSettings &
+import type { LeaseHolder } from './leaseHolder';
+import { LeaseCandidacy, LeaseSubjects, type LeaseCandidacySettings } from './leaseCandidacy';
+import { PollingEngineController } from '../engine-control/pollingEngineController';
+import { LongPollEngineController, type LongPollControllerSettings } from '../engine-control/longPollEngineController';
+import { LiveSalts } from '../engine-control/liveSalts';
+import type { EngineController } from '../engine-control/engineController';
+
+export type LeaseManagerSettings = LeaseCandidacySettings &
   Readonly<{
     askMicroseconds: number;
     /** Whether this fleet reads the list of engines from an outside source. */
     readsList: boolean;
     /** For cache holders that support long polling for events. */
-    held: HeldStewardSettings;
+    longPoll: LongPollControllerSettings;
   }>;
 
 /** Manages all leases of one agent: renews those it holds, requests vacant ones, hands over those for which another agent ranks first. */
-export class Stewardship {
-  private readonly controllers = new Map<string, Steward>();
+export class LeaseManager {
+  private readonly controllers = new Map<string, EngineController>();
   private readonly liveSalts: LiveSalts;
-  private readonly candidacy: DutyLine;
+  private readonly candidacy: LeaseCandidacy;
   private weightsWithinMicroseconds: number;
   /** Names of engines whose leases are being handed over: these are neither renewed nor requested. */
   private readonly handingOver = new Set<string>();
@@ -37,7 +37,7 @@
 
   public constructor(
     private readonly self: string,
-    private readonly leases: DutyHolder,
+    private readonly leases: LeaseHolder,
     private readonly membership: Membership,
     private readonly facts: FactBook,
     private readonly shards: ShardBook,
@@ -45,72 +45,72 @@
     private readonly pulses: Pulses,
     private readonly backEnds: BackEndDoor,
     private readonly effects: Effects,
-    private readonly settings: StewardshipSettings,
+    private readonly settings: LeaseManagerSettings,
     private readonly log: Log,
   ) {
     this.liveSalts = new LiveSalts(freshness);
-    this.weightsWithinMicroseconds = settings.held.weightsWithinMicroseconds;
-    this.candidacy = new DutyLine(self, leases, membership, facts, effects.clock, settings);
+    this.weightsWithinMicroseconds = settings.longPoll.weightsWithinMicroseconds;
+    this.candidacy = new LeaseCandidacy(self, leases, membership, facts, effects.clock, settings);
   }
 
-  public steward(engine: string): Steward | undefined {
+  public controller(engine: string): EngineController | undefined {
     return this.leases.term(`engine/${engine}`) === undefined ? undefined : this.controllers.get(engine);
   }
 
-  public held(): readonly Steward[] {
+  public activeControllers(): readonly EngineController[] {
     return [...this.controllers.values()].filter(({ name }) => this.leases.term(`engine/${name}`) !== undefined);
   }
 
   public holderOf(engine: string): StewardFact | undefined {
-    return this.candidacy.holderOf(DutySubjects.engine(engine));
+    return this.candidacy.holderOf(LeaseSubjects.engine(engine));
   }
 
   /** The term under which this agent may read the list of engines at this moment, else undefined. */
   public listTerm(): number | undefined {
-    return this.hasResigned ? undefined : this.leases.term(DutySubjects.list.lease);
+    return this.hasResigned ? undefined : this.leases.term(LeaseSubjects.list.lease);
   }
 
   /** Replaces the time limit for new weights, for present and future controllers. */
-  public weightsWithinIs(microseconds: number): void {
+  public setWeightsLimit(microseconds: number): void {
     this.weightsWithinMicroseconds = microseconds;
-    for (const controller of this.controllers.values()) controller.weightsWithinIs?.(microseconds);
+    for (const controller of this.controllers.values()) controller.setWeightsLimit?.(microseconds);
   }
 
-  public async ballot(): Promise<void> {
+  public async renewLeases(): Promise<void> {
     if (this.hasResigned) return;
     const engines = this.controlledEngines();
     for (const name of [...this.controllers.keys()]) if (!engines.some(([engine]) => engine === name)) this.drop(name);
     this.shards.keepOnly(engines.map(([name]) => name));
     const names = this.membership.presentNames();
-    const wanted = this.settings.readsList && this.wantsListLease(names) ? [DutySubjects.list.lease] : [];
+    const wanted = this.settings.readsList && this.wantsListLease(names) ? [LeaseSubjects.list.lease] : [];
     for (const [engine] of engines) {
-      const subject = DutySubjects.engine(engine);
+      const subject = LeaseSubjects.engine(engine);
       if (this.handingOver.has(engine)) continue;
       if (this.leases.term(subject.lease) !== undefined) {
-        const first = this.candidacy.handsOver(subject, names);
+        const first = this.candidacy.handoverTarget(subject, names);
         if (first === undefined) wanted.push(subject.lease);
         else {
           this.log(`Handing the lease of ${engine} over to ${first}.`);
           void this.release([engine]);
         }
-      } else if (this.candidacy.standsFor(subject, names)) wanted.push(subject.lease);
+      } else if (this.candidacy.shouldRequest(subject, names)) wanted.push(subject.lease);
     }
-    await this.leases.ballot(wanted);
+    await this.leases.requestLeases(wanted);
     const listTerm = this.listTerm();
-    if (listTerm !== undefined) this.candidacy.saySometimes(DutySubjects.list, listTerm, this.self);
+    if (listTerm !== undefined) this.candidacy.announceHeartbeat(LeaseSubjects.list, listTerm, this.self);
     for (const [name, engine] of engines) if (!this.handingOver.has(name)) this.updateController(name, engine);
   }
 
   /** The list lease is never handed over: its work costs little, and each change of the holder interrupts the reading. */
   private wantsListLease(names: readonly string[]): boolean {
-    return this.listTerm() !== undefined || this.candidacy.standsFor(DutySubjects.list, names);
+    return this.listTerm() !== undefined || this.candidacy.shouldRequest(LeaseSubjects.list, names);
   }
 
-  public async tend(): Promise<void> {
+  public async reconcile(): Promise<void> {
     await Promise.all(
       this.controlledEngines().map(async ([name, engine]) => {
-        const controller = this.steward(name);
-        if (controller !== undefined) await controller.tend(engine);
+        const controller = this.controller(name);
+        if (controller !== undefined) await controller.reconcile(engine);
       }),
     );
   }
@@ -119,8 +119,8 @@
   public async resign(): Promise<void> {
     const listTerm = this.listTerm();
     this.hasResigned = true;
-    if (listTerm !== undefined) this.candidacy.say(DutySubjects.list, listTerm, '');
-    await Promise.all([this.release([...this.controllers.keys()]), this.leases.giveBack([DutySubjects.list.lease])]);
+    if (listTerm !== undefined) this.candidacy.announce(LeaseSubjects.list, listTerm, '');
+    await Promise.all([this.release([...this.controllers.keys()]), this.leases.release([LeaseSubjects.list.lease])]);
   }
 
   /**
@@ -133,11 +133,11 @@
       this.controllers.delete(name);
       this.handingOver.add(name);
     }
-    await Promise.all(held.map((controller) => controller.quiet()));
-    await this.leases.giveBack(held.map(({ name }) => `engine/${name}`));
+    await Promise.all(held.map((controller) => controller.whenIdle()));
+    await this.leases.release(held.map(({ name }) => `engine/${name}`));
     for (const controller of held) {
       this.handingOver.delete(controller.name);
-      this.candidacy.say(DutySubjects.engine(controller.name), controller.term, '', controller.restMicroseconds?.());
+      this.candidacy.announce(LeaseSubjects.engine(controller.name), controller.term, '', controller.noDirectiveMicroseconds?.());
     }
   }
 
@@ -146,7 +146,7 @@
   }
 
   private drop(name: string): void {
-    this.leases.end(`engine/${name}`);
+    this.leases.endLease(`engine/${name}`);
     this.controllers.delete(name);
   }
 
@@ -162,14 +162,14 @@
       this.controllers.set(engine, this.createController(engine, term, holdsLease, listed));
       this.log(`Controls ${engine} under term ${term}.`);
     }
-    this.candidacy.saySometimes(DutySubjects.engine(engine), term, this.self);
+    this.candidacy.announceHeartbeat(LeaseSubjects.engine(engine), term, this.self);
   }
 
-  private createController(name: string, term: number, holdsLease: () => boolean, engine: Engine): Steward {
+  private createController(name: string, term: number, holdsLease: () => boolean, engine: Engine): EngineController {
     const { backEnds, facts, shards, freshness, pulses, log, settings } = this;
     const { clock } = this.effects;
     if (backEnds.traits?.holdsEvents === true)
-      return new HeldSteward(
+      return new LongPollEngineController(
         name,
         term,
         this.self,
@@ -179,13 +179,13 @@
         shards,
         freshness,
         clock,
-        { ...settings.held, weightsWithinMicroseconds: this.weightsWithinMicroseconds },
-        this.candidacy.restBefore(DutySubjects.engine(name), term),
+        { ...settings.longPoll, weightsWithinMicroseconds: this.weightsWithinMicroseconds },
+        this.candidacy.previousNoDirectiveMicroseconds(LeaseSubjects.engine(name), term),
         this.liveSalts,
         engine,
         log,
       );
-    return new EngineSteward(
+    return new PollingEngineController(
       name,
       term,
       this.self,
--- a/source/edge-agent/membership/membership.ts
+++ b/source/edge-agent/membership/membership.ts
@@ -13,7 +13,7 @@
   forgetMicroseconds: number;
 }>;
 
-export type Self = Readonly<{
+export type AgentIdentity = Readonly<{
   name: string;
   zone: string;
   address: string;
@@ -36,14 +36,14 @@
 
 /** The members of the fleet as known by gossip. It guides placement and candidacies for leases; correctness never depends on it. */
 export class Membership {
-  public readonly news = new Emittery<{ changed: MemberFact }>();
+  public readonly events = new Emittery<{ changed: MemberFact }>();
   private incarnation = 1;
   private readonly notAliveSince = new Map<string, number>();
   private readonly failedProbes = new Map<string, number>();
   private derived: DerivedMembers | undefined;
 
   public constructor(
-    private readonly self: Self,
+    private readonly self: AgentIdentity,
     private readonly facts: FactBook,
     private readonly clock: Clock,
     private readonly settings: MembershipSettings,
@@ -69,7 +69,7 @@
     return this.derivedNow().names;
   }
 
-  public alive(name: string): boolean {
+  public isPresent(name: string): boolean {
     const member = this.member(name);
     return member !== undefined && MemberStates.isPresent(member);
   }
@@ -79,12 +79,12 @@
   }
 
   /** The small set of agents that this agent gossips with. */
-  public colleagues(): readonly MemberFact[] {
+  public gossipPeers(): readonly MemberFact[] {
     return this.membersNamed(this.derivedNow().gossipPeers());
   }
 
   /** A second set of the same size within the own zone: gossip with these crosses no link between zones. */
-  public neighbours(): readonly MemberFact[] {
+  public zonePeers(): readonly MemberFact[] {
     return this.membersNamed(this.derivedNow().zonePeers());
   }
 
@@ -94,12 +94,12 @@
   }
 
   /** The agents that this agent probes; each agent is probed by the same number of others. */
-  public watched(): readonly MemberFact[] {
+  public probeTargets(): readonly MemberFact[] {
     return this.membersNamed(this.derivedNow().probeTargets());
   }
 
   /** Called after gossip came in: refutes a worse state of this agent, or an entry of its earlier process, with a higher incarnation. */
-  public defend(): void {
+  public refuteSuspicion(): void {
     const fact = this.facts.get(FactKeys.member(this.self.name));
     const value = fact?.value as MemberFact | undefined;
     if (fact === undefined || (value?.state === 'alive' && value.boot === this.self.boot)) return;
@@ -107,12 +107,12 @@
     this.publish(this.self.name, 'alive', this.incarnation);
   }
 
-  public heard(name: string): void {
+  public recordAnswer(name: string): void {
     this.failedProbes.delete(name);
   }
 
   /** Counts a failed probe; true once other agents should be asked to probe before the member is suspected. */
-  public unheard(name: string): boolean {
+  public recordFailedProbe(name: string): boolean {
     const count = (this.failedProbes.get(name) ?? 0) + 1;
     this.failedProbes.set(name, count);
     return count >= 2;
@@ -189,6 +189,6 @@
     const value: MemberFact =
       name === this.self.name ? { ...this.self, state } : { ...(this.member(name) as MemberFact), state };
     this.facts.put({ key: FactKeys.member(name), version: MemberVersions.of(incarnation, state), value });
-    void this.news.emit('changed', value);
+    void this.events.emit('changed', value);
   }
 }
--- a/source/edge-agent/pages/agentPages.ts
+++ b/source/edge-agent/pages/agentPages.ts
@@ -36,14 +36,14 @@
     ),
     shards: agent.shards.all().map((shard) => ({ ...shard.present, committed: shard.size })),
     held: agent.stewardship
-      .held()
-      .map((steward) => ({ engine: steward.name, term: steward.term, ...steward.counts() })),
+      .activeControllers()
+      .map((steward) => ({ engine: steward.name, term: steward.term, ...steward.blockCounts() })),
   }),
 
   gauges: (agent: EdgeAgent): readonly (readonly [string, Readonly<Record<string, string>>, number])[] => [
     ['postdrum_agent_members', {}, agent.membership.present().length],
     ['postdrum_agent_facts', {}, agent.facts.size],
-    ['postdrum_agent_duties', {}, agent.stewardship.held().length],
+    ['postdrum_agent_duties', {}, agent.stewardship.activeControllers().length],
     ...(['blueprint', 'engines', 'core-members'] as const).map(
       (key) => ['postdrum_key_revision', { key }, agent.freshness.revision(key)] as const,
     ),
--- a/source/edge-proxy/door/callerWords.ts
+++ b/source/edge-proxy/door/callerWords.ts
@@ -1,6 +1,6 @@
 import type { Random } from '../../shared/effects/random/random';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { Order } from '../path/order';
+import type { ProxyRequest } from '../pipeline/request';
 
 /** One order's head as it came, header names in lower case. */
 export type CallerHead = Readonly<{
@@ -10,7 +10,7 @@
 }>;
 
 /** An order as its head tells it; the body and the time are the door's to add. */
-export type HeadOrder = Omit<Order, 'body' | 'arrivedMicroseconds'>;
+export type HeadOrder = Omit<ProxyRequest, 'body' | 'arrivedMicroseconds'>;
 
 export type CallerRead =
   | Readonly<{ kind: 'order'; order: HeadOrder }>
--- a/source/edge-proxy/door/callersDoor.ts
+++ b/source/edge-proxy/door/callersDoor.ts
@@ -8,7 +8,7 @@
 import { Replies } from '../../shared/http/replies';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { EdgeProxy } from '../edgeProxy';
-import type { AnswerSink } from '../path/order';
+import type { ResponseSink } from '../pipeline/request';
 import { ChatCallerWords, type CallerWords } from './callerWords';
 import { DoorLimits } from './doorLimits';
 
@@ -25,7 +25,7 @@
 }>;
 
 /** The caller's side of one order over HTTP. */
-class HttpAnswer implements AnswerSink {
+class HttpAnswer implements ResponseSink {
   private left = false;
   private written = false;
   private readonly onGone: (() => void)[] = [];
@@ -45,12 +45,12 @@
   public readonly begun = (): boolean => this.response.headersSent;
   public readonly gone = (): boolean => this.left;
 
-  public readonly whenGone = (act: () => void): void => {
+  public readonly onClientGone = (act: () => void): void => {
     if (this.left) act();
     else this.onGone.push(act);
   };
 
-  public readonly head: AnswerSink['head'] = ({ status, headers }) => {
+  public readonly head: ResponseSink['head'] = ({ status, headers }) => {
     if (this.left) return;
     this.response.writeHead(status, { ...headers, ...this.connHeaders() });
     // Why not at once: the first part mostly comes right behind it, and both go out together.
@@ -65,7 +65,7 @@
     // Why wait: a slow reader holds the engine back, it does not fill this process.
     return new Promise((resolve) => {
       this.response.once('drain', resolve);
-      this.whenGone(resolve);
+      this.onClientGone(resolve);
     });
   };
 
--- a/source/edge-proxy/edgeProxy.ts
+++ b/source/edge-proxy/edgeProxy.ts
@@ -30,8 +30,8 @@
 import { ProxyFacts } from './feeding/proxyFacts';
 import { ReceivedLoads } from './feeding/receivedLoads';
 import { SeedContacts } from './feeding/seedContacts';
-import { Fence } from './fence/fence';
-import { FencePolicies, Identifier } from './fence/identify';
+import { StalenessGuard } from './identification/stalenessGuard';
+import { IdentificationPolicies, RequestIdentifier } from './identification/requestIdentifier';
 import { FetchPlanner } from './fetch/fetchPlanner';
 import { LinkSpeeds } from './fetch/linkSpeeds';
 import { MoveSettings, PartMoves } from './fetch/partMoves';
@@ -40,19 +40,19 @@
 import { TakePolicies } from './holding/takePolicy';
 import { OutlierDetector } from './outliers/outlierDetector';
 import { OutlierSettings } from './outliers/outlierSettings';
-import type { AnswerSink, Order } from './path/order';
-import { OrderTrace } from './path/orderTrace';
-import { OrderLimits } from './path/orderLimits';
-import { Pipeline } from './path/pipeline';
-import { WorkPlacementSettings } from './placement/byWork';
+import type { ResponseSink, ProxyRequest } from './pipeline/request';
+import { RequestTrace } from './pipeline/requestTrace';
+import { RequestLimits } from './pipeline/requestLimits';
+import { Pipeline } from './pipeline/pipeline';
+import { PlacementCostSettings } from './placement/placementCosts';
 import { EngineView } from './placement/engineView';
 import { EngineWork } from './placement/engineWork';
-import { PlacePolicies } from './placement/placePolicies';
-import { DeskLink } from './placement/deskLink';
-import { Lanes, LaneSettings } from './placement/lanes';
+import { PlacementPolicies } from './placement/placementPolicies';
+import { SchedulerClient } from './placement/schedulerClient';
+import { ReservedEngines, ReservedEngineSettings } from './placement/reservedEngines';
 import { placementNamed, type PlacementName } from './placement/placements';
-import { ReadSpeeds } from './placement/readSpeeds';
-import { WorkPlacer } from './placement/workPlacer';
+import { PrefillSpeeds } from './placement/prefillSpeeds';
+import { CostPlacer } from './placement/costPlacer';
 import { RetryBudget, type BudgetSettings } from './sends/retryBudget';
 import { SendPolicy } from './sends/sendPolicy';
 
@@ -98,15 +98,15 @@
   weightsCutMicroseconds: number;
   /** Places of an engine that are given away, its own waiting ones included, in per mille of its places. */
   roomPerMille: number;
-  workPlacement: WorkPlacementSettings;
-  lanes: LaneSettings;
+  workPlacement: PlacementCostSettings;
+  lanes: ReservedEngineSettings;
   /** How long an order waits for the desk's word before its proxy places it alone. */
   deskMicroseconds: number;
   moves: MoveSettings;
   /** When an engine is left out because its answers fail. */
   outliers: OutlierSettings;
   /** How long a part that was read counts as kept before the holder's events say so. */
-  latelyMicroseconds: number;
+  recentMicroseconds: number;
   /** How the fleet agrees which prefixes are most in demand, and what it does about them. */
   demand: DemandSettings;
 }>;
@@ -154,12 +154,12 @@
   silentMicroseconds: 900_000,
   weightsCutMicroseconds: WeightsClocks.cutMicroseconds,
   roomPerMille: 1000,
-  workPlacement: WorkPlacementSettings.usual,
-  lanes: LaneSettings.usual,
+  workPlacement: PlacementCostSettings.usual,
+  lanes: ReservedEngineSettings.usual,
   deskMicroseconds: 60_000,
   moves: MoveSettings.usual,
   outliers: OutlierSettings.usual,
-  latelyMicroseconds: 3_000_000,
+  recentMicroseconds: 3_000_000,
   demand: DemandSettings.usual,
 } as const;
 
@@ -184,12 +184,12 @@
 export class EdgeProxy {
   public readonly freshness: Freshness;
   public readonly metrics = new Metrics();
-  public readonly identifier: Identifier;
+  public readonly identifier: RequestIdentifier;
   private readonly effects: Effects;
   private readonly fleet = new FleetName();
   private readonly facts = new FactBook();
   private readonly shards = new ShardBook();
-  private readonly fence: Fence;
+  private readonly fence: StalenessGuard;
   private readonly pulses: Pulses;
   private readonly view: EngineView;
   private readonly demand: DemandView;
@@ -197,9 +197,9 @@
   private readonly sends: SendPolicy;
   private readonly pipeline: Pipeline;
   private readonly exchange: NewsExchange;
-  private readonly lanes: Lanes;
+  private readonly lanes: ReservedEngines;
   private readonly speeds: LinkSpeeds;
-  private readonly readSpeeds: ReadSpeeds;
+  private readonly readSpeeds: PrefillSpeeds;
   private readonly feeders: Feeders;
   private readonly feedWatch: FeedWatch;
   private readonly standstills: StandstillWatch;
@@ -226,14 +226,14 @@
     this.log = Logs.part(`proxy:${settings.name}`);
     this.freshness = new Freshness(clock, dialect, settings.engineList);
     this.pulses = new Pulses(clock);
-    this.fence = new Fence(
+    this.fence = new StalenessGuard(
       this.freshness,
       clock,
       settings.freshMicroseconds,
       settings.weightsCutMicroseconds,
       settings.denialMicroseconds,
     );
-    this.identifier = new Identifier(this.fence, settings.retryAfterSeconds);
+    this.identifier = new RequestIdentifier(this.fence, settings.retryAfterSeconds);
     this.receivedLoads = new ReceivedLoads(settings.name);
     this.view = new EngineView(
       settings.name,
@@ -247,12 +247,12 @@
       () => this.receivedLoads.others,
     );
     this.demand = new DemandView(this.facts, clock, settings.demand);
-    const readSpeeds = new ReadSpeeds();
+    const readSpeeds = new PrefillSpeeds();
     // Why a start of a thousand: these are ratios of what a move takes to what it should, in thousandths.
     const moves = new PartMoves(this.view, new LinkSpeeds(1000, 4096), settings.moves);
     this.readSpeeds = readSpeeds;
-    this.lanes = new Lanes(clock, settings.lanes);
-    const desk = new DeskLink(
+    this.lanes = new ReservedEngines(clock, settings.lanes);
+    const desk = new SchedulerClient(
       this.effects.transport,
       clock,
       () => this.view.others.listHolder()?.address,
@@ -324,7 +324,7 @@
       holdingLeft: ({ order, resolved }) =>
         this.desk.holdingLeft(resolved?.mapping.class ?? '', {
           arrivedMicroseconds: order.arrivedMicroseconds,
-          limitMicroseconds: OrderLimits.of(order, resolved?.mapping),
+          limitMicroseconds: RequestLimits.of(order, resolved?.mapping),
         }),
       tell: (notes) => this.notes.tell(notes),
       mostSends: settings.mostSends,
@@ -334,17 +334,17 @@
     const traceLog = Logs.isOn('requests') ? Logs.part('requests') : undefined;
     this.pipeline = new Pipeline(
       [
-        FencePolicies.identifyTenant(this.identifier),
-        FencePolicies.resolveMapping(this.identifier),
+        IdentificationPolicies.identifyTenant(this.identifier),
+        IdentificationPolicies.resolveMapping(this.identifier),
         TakePolicies.take(this.desk, this.identifier, (service) => this.budgetOf(service)),
-        PlacePolicies.lookUp((prefix) => this.demand.saw(prefix)),
-        PlacePolicies.place({
+        PlacementPolicies.computeKeys((prefix) => this.demand.saw(prefix)),
+        PlacementPolicies.place({
           view: this.view,
           shards: this.shards,
           placement: placementNamed(settings.placement),
           random,
           metrics: this.metrics,
-          byWork: new WorkPlacer(
+          byWork: new CostPlacer(
             this.view,
             moves,
             readSpeeds,
@@ -361,9 +361,9 @@
         planner.policy(),
         this.sends,
       ],
-      { resolve: 'resolveMapping', take: 'take', choose: 'place' },
+      { resolve: 'resolveMapping', queue: 'take', placeAgain: 'place' },
       this.log,
-      (start) => (traceLog === undefined ? undefined : new OrderTrace(clock, traceLog, start)),
+      (start) => (traceLog === undefined ? undefined : new RequestTrace(clock, traceLog, start)),
     );
     const failed = (error: unknown): void => this.log(`A step failed: ${Logs.text(error)}.`);
     this.tickers = [
@@ -398,13 +398,13 @@
   }
 
   public fresh(): boolean {
-    return this.fence.fresh();
+    return this.fence.isFresh();
   }
 
   /** Whether it can be of use to callers: it knows its setup, and an engine for each service that has mappings. */
   public ready(): boolean {
     const blueprint = this.freshness.blueprint;
-    if (blueprint === undefined || !this.fence.fresh()) return false;
+    if (blueprint === undefined || !this.fence.isFresh()) return false;
     const services = new Set(Object.values(blueprint.mappings).map(({ service }) => service));
     return [...services].some((service) => this.view.candidates(service).length > 0);
   }
@@ -443,7 +443,7 @@
   public settingsAre(given: ProxySettings): void {
     const change = SettingsChanges.of(this.settings, given, changeable);
     this.settings = change.settings;
-    this.fence.boundsAre(
+    this.fence.setBounds(
       this.settings.freshMicroseconds,
       this.settings.weightsCutMicroseconds,
       this.settings.denialMicroseconds,
@@ -454,17 +454,17 @@
     if (sentence !== undefined) this.notice(sentence);
   }
 
-  public async handle(order: Order, answer: AnswerSink): Promise<void> {
+  public async handle(order: ProxyRequest, answer: ResponseSink): Promise<void> {
     this.metrics.count('postdrum_orders_total');
     const refusal: Refusal | undefined = await this.pipeline.run({
       order,
       answer,
       sends: 0,
       rounds: 0,
-      turnKept: false,
-      owesSend: false,
+      keepsQueuePosition: false,
+      owesRetryBudget: false,
       mayHaveRun: false,
-      avoided: [],
+      avoidedEngines: [],
     });
     if (refusal !== undefined)
       this.metrics.count('postdrum_refusals_total', { code: refusal.code, verdict: refusal.verdict });
@@ -504,7 +504,7 @@
       this.readSpeeds.keepOnly(holders);
       this.view.outliers.keepOnly(holders);
     }
-    this.view.review();
+    this.view.detectOutliers();
     this.sends.recheck();
     this.desk.recheck();
     this.desk.serveAll();
--- a/source/edge-proxy/fetch/fetchPlanner.ts
+++ b/source/edge-proxy/fetch/fetchPlanner.ts
@@ -6,7 +6,7 @@
 import type { ShardHead } from '../../shared/directory/shardNews';
 import type { Metrics } from '../../shared/metrics/metrics';
 import type { Pulses } from '../../shared/news/pulses';
-import type { Placed, Policy } from '../path/order';
+import type { PlacedRequest, Policy } from '../pipeline/request';
 import type { EngineView } from '../placement/engineView';
 import type { LinkSpeeds } from './linkSpeeds';
 import type { Move } from './partMoves';
@@ -92,7 +92,7 @@
         const fetch =
           keys.blocks === 0
             ? noFetch
-            : await this.plan(`${order.id}.${context.sends}`, placed, keys.under(placed.weights), lookUp);
+            : await this.plan(`${order.id}.${context.sends}`, placed, keys.keysFor(placed.weights), lookUp);
         return { kind: 'onward', context: { ...context, fetch } };
       },
     };
@@ -117,7 +117,7 @@
     return gain > cost * this.settings.margin;
   }
 
-  private async plan(fill: string, placed: Placed, keys: readonly BlockKey[], lookUp: LookUp): Promise<FetchPlan> {
+  private async plan(fill: string, placed: PlacedRequest, keys: readonly BlockKey[], lookUp: LookUp): Promise<FetchPlan> {
     const shard = this.shards.get(placed.engine);
     const head = shard?.present;
     // Why nothing at all: any doubt about whom the names belong to is a clean miss and a fresh prefill.
--- a/source/edge-proxy/fetch/partsPlanner.ts
+++ b/source/edge-proxy/fetch/partsPlanner.ts
@@ -4,11 +4,11 @@
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import type { DemandView } from '../demand/demandView';
-import type { Placed, Resolved } from '../path/order';
+import type { PlacedRequest, ResolvedRequest } from '../pipeline/request';
 import type { EngineView, Store } from '../placement/engineView';
-import type { PromptKeys } from '../placement/placePolicies';
+import type { PromptKeys } from '../placement/placementPolicies';
 import { Salts } from '../placement/salts';
-import type { ReadSpeeds } from '../placement/readSpeeds';
+import type { PrefillSpeeds } from '../placement/prefillSpeeds';
 import { noFetch, type FetchPlan } from './fetchPlanner';
 import type { PartMoves } from './partMoves';
 
@@ -23,12 +23,12 @@
     private readonly view: EngineView,
     private readonly shards: ShardBook,
     private readonly moves: PartMoves,
-    private readonly speeds: ReadSpeeds,
+    private readonly speeds: PrefillSpeeds,
     private readonly metrics: Metrics,
     private readonly demand: DemandView,
   ) {}
 
-  public plan(placed: Placed, { service, under }: Resolved, keys: PromptKeys, lookUp: LookUp): FetchPlan {
+  public plan(placed: PlacedRequest, { service, resolvedWith: under }: ResolvedRequest, keys: PromptKeys, lookUp: LookUp): FetchPlan {
     const salt = keys.salt(placed.weights);
     const parts = keys.parts(placed.weights);
     if (parts.length === 0 || service.kind !== 'pool') return { ...noFetch, salt };
@@ -37,13 +37,13 @@
       zone: this.view.zoneOf(placed.engine) ?? '',
       tokensPerMillisecond: this.speeds.of(placed.engine),
     };
-    const move = this.moves.best(engine, service, parts, placed.matched, lookUp);
+    const move = this.moves.best(engine, service, parts, placed.cachedParts, lookUp);
     const names = parts.map(({ name }) => name);
     const store = this.storeFor(parts);
     const fills =
       store !== undefined &&
       !this.holdsShared(store, parts) &&
-      this.mayFill(store, keys, placed, lookUp, () => Salts.present(under, service, placed.weights));
+      this.mayFill(store, keys, placed, lookUp, () => Salts.allCurrent(under, service, placed.weights));
     const guess = move === undefined ? this.guess(placed, parts, store, lookUp) : undefined;
     if (move !== undefined) this.metrics.count('postdrum_imports_total', { from: this.kindOf(move.holder) });
     return {
@@ -61,7 +61,7 @@
               keys: names.slice(move.at, move.matched),
             },
       move,
-      fills: names.slice(placed.matched, -1),
+      fills: names.slice(placed.cachedParts, -1),
     };
   }
 
@@ -70,22 +70,22 @@
    * some never comes, and a guess that is wrong costs a millisecond where reading costs hundreds.
    */
   private guess(
-    placed: Placed,
+    placed: PlacedRequest,
     parts: readonly PartKey[],
     store: Store | undefined,
     lookUp: LookUp,
   ): FetchPlan['source'] {
-    const isKept = placed.matched >= parts.length - 1;
+    const isKept = placed.cachedParts >= parts.length - 1;
     if (!(isKept ? this.moves.settings.spares : this.moves.settings.guesses)) return undefined;
     const holder = isKept ? this.spare(placed, parts, store, lookUp) : this.unknown(placed, store);
     const address = holder === undefined ? undefined : this.view.addressOf(holder);
     if (address === undefined || holder === undefined || holder === placed.engine) return undefined;
     this.metrics.count('postdrum_imports_total', { from: isKept ? 'spare' : 'guess' });
-    const at = isKept ? 0 : placed.matched;
+    const at = isKept ? 0 : placed.cachedParts;
     return { holder, address, bootEpoch: '', at, keys: parts.slice(at, -1).map(({ name }) => name) };
   }
 
-  private unknown({ home, engine }: Placed, store: Store | undefined): string | undefined {
+  private unknown({ defaultEngine: home, engine }: PlacedRequest, store: Store | undefined): string | undefined {
     // Why the store first where nothing is known of it: it outlives a restart of all daemons, and has what was ever read.
     const byStore =
       store !== undefined && (home === undefined || home === engine || this.shards.get(store.name) === undefined);
@@ -98,7 +98,7 @@
    * still keeps it does not take again.
    */
   private spare(
-    { engine }: Placed,
+    { engine }: PlacedRequest,
     parts: readonly PartKey[],
     store: Store | undefined,
     lookUp: LookUp,
@@ -116,7 +116,7 @@
   private mayFill(
     { name }: Store,
     keys: PromptKeys,
-    { matched }: Placed,
+    { cachedParts: matched }: PlacedRequest,
     lookUp: LookUp,
     salts: () => ReadonlySet<string>,
   ): boolean {
--- a/source/edge-proxy/holding/takeDesk.ts
+++ b/source/edge-proxy/holding/takeDesk.ts
@@ -2,7 +2,7 @@
 import type { Cancel, Clock } from '../../shared/effects/clock/clock';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { StillStands } from '../fence/identify';
+import type { Revalidation } from '../identification/requestIdentifier';
 import { Shares, type ClassLoad } from './shares';
 
 export type Taken =
@@ -21,7 +21,7 @@
   /** It was held before and lost its place to no fault of its own: it goes to the front. */
   turnKept: boolean;
   whenGone: (act: () => void) => void;
-  stillStands: () => StillStands;
+  stillStands: () => Revalidation;
   /** Asked when its turn has come; a no lets others go before it. */
   mayStart: () => boolean;
   /** Asked with news: a refusal where it can foreseeably not start within the time that it has left. */
--- a/source/edge-proxy/fence/identify.ts
+++ b/source/edge-proxy/identification/requestIdentifier.ts
@@ -1,9 +1,9 @@
 import type { Blueprint, Mapping } from '../../shared/blueprint/types';
 import { Identities } from '../../shared/directory/identity';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { Order, Policy, Resolved } from '../path/order';
-import type { Fence } from './fence';
-import { Shares } from './shares';
+import type { ProxyRequest, Policy, ResolvedRequest } from '../pipeline/request';
+import type { StalenessGuard } from './stalenessGuard';
+import { TrafficShares } from './trafficShares';
 
 /** The mapping names of one host: by exact path and model, and by path prefix. */
 type HostIndex = Readonly<{ whole: ReadonlyMap<string, string>; byPrefix: ReadonlyMap<string, string> }>;
@@ -48,7 +48,7 @@
 };
 
 /** The fields of a request that are known from its headers, before the body is read. */
-export type OrderHead = Readonly<{ key: string; path: string; host?: string; model?: string }>;
+export type RequestHead = Readonly<{ key: string; path: string; host?: string; model?: string }>;
 
 type ModelRead = Readonly<{ kind: 'read'; model: string }> | Readonly<{ kind: 'broken' }>;
 
@@ -66,16 +66,16 @@
 };
 
 /** Result of a revalidation. `moved`: the request is still allowed, but the current configuration routes it differently. */
-export type StillStands = Readonly<{ kind: 'stands' | 'moved' }> | Readonly<{ kind: 'refuse'; refusal: Refusal }>;
+export type Revalidation = Readonly<{ kind: 'stands' | 'moved' }> | Readonly<{ kind: 'refuse'; refusal: Refusal }>;
 
 /** Finds the tenant and the mapping of a request, always in the newest configuration that this proxy has applied. */
-export class Identifier {
+export class RequestIdentifier {
   private index: Index | undefined;
   /** Cached so that a body is parsed only once, however often its request is resolved. */
-  private readonly models = new WeakMap<Order, ModelRead>();
+  private readonly models = new WeakMap<ProxyRequest, ModelRead>();
 
   public constructor(
-    private readonly fence: Fence,
+    private readonly fence: StalenessGuard,
     private readonly retryAfterSeconds: number,
   ) {}
 
@@ -94,7 +94,7 @@
   public tenantOf(
     key: string,
   ): Readonly<{ kind: 'tenant'; tenant: string }> | Readonly<{ kind: 'refuse'; refusal: Refusal }> {
-    if (!this.fence.fresh()) return { kind: 'refuse', refusal: this.notFresh() };
+    if (!this.fence.isFresh()) return { kind: 'refuse', refusal: this.notFresh() };
     if (this.fence.blueprint?.keyed === false) return { kind: 'tenant', tenant: '' };
     if (key === '') return this.denyOrRetryLater(Refusals.make(401, 'notRun', 'noKey', 'A key is needed.'));
     const tenant = this.currentIndex()?.tenants.get(key);
@@ -109,8 +109,8 @@
   }
 
   /** A refusal that does not depend on the body, so that it can be answered before the body is read. */
-  public refusedAtHead(head: OrderHead): Refusal | undefined {
-    const found = this.fence.fresh() ? this.findMapping(head, head.model ?? '') : undefined;
+  public refusalFromHead(head: RequestHead): Refusal | undefined {
+    const found = this.fence.isFresh() ? this.findMapping(head, head.model ?? '') : undefined;
     if (found?.mapping.open === true) return undefined;
     const tenant = this.tenantOf(head.key);
     return tenant.kind === 'refuse' ? tenant.refusal : undefined;
@@ -118,15 +118,15 @@
 
   /** Finds the tenant, the mapping and the service of a request. */
   public resolve(
-    request: Order,
-  ): Readonly<{ kind: 'resolved'; resolved: Resolved }> | Readonly<{ kind: 'refuse'; refusal: Refusal }> {
-    if (!this.fence.fresh()) return { kind: 'refuse', refusal: this.notFresh() };
+    request: ProxyRequest,
+  ): Readonly<{ kind: 'resolved'; resolved: ResolvedRequest }> | Readonly<{ kind: 'refuse'; refusal: Refusal }> {
+    if (!this.fence.isFresh()) return { kind: 'refuse', refusal: this.notFresh() };
     const index = this.currentIndex();
     const read: ModelRead =
       request.model === undefined ? this.modelOf(request) : { kind: 'read', model: request.model };
     const found = this.findMapping(request, read.kind === 'read' ? read.model : '');
     // An open mapping needs no key. A known key still selects its tenant, because cached prompt data must stay apart by tenant.
-    const tenant: ReturnType<Identifier['tenantOf']> =
+    const tenant: ReturnType<RequestIdentifier['tenantOf']> =
       found?.mapping.open === true
         ? { kind: 'tenant', tenant: index?.tenants.get(request.key) ?? '' }
         : this.tenantOf(request.key);
@@ -159,15 +159,15 @@
         tenant: tenant.tenant,
         trustDomain: walled ? Identities.walledDomain(tenant.tenant) : index.sharedDomain,
         service,
-        under: blueprint,
+        resolvedWith: blueprint,
       },
     };
   }
 
   /** Checks right before a send, and while a request is queued, that what it was resolved to is unchanged. */
-  public stillStands(request: Order, resolved: Resolved): StillStands {
+  public revalidate(request: ProxyRequest, resolved: ResolvedRequest): Revalidation {
     // Compared first: in most cases the configuration is the same object, and a long body need not be parsed again.
-    if (this.fence.fresh() && this.fence.blueprint === resolved.under) return { kind: 'stands' };
+    if (this.fence.isFresh() && this.fence.blueprint === resolved.resolvedWith) return { kind: 'stands' };
     const current = this.resolve(request);
     if (current.kind === 'refuse') {
       const { code } = current.refusal;
@@ -199,7 +199,7 @@
   }
 
   private findMapping(
-    { path, host }: Pick<OrderHead, 'path' | 'host'>,
+    { path, host }: Pick<RequestHead, 'path' | 'host'>,
     model: string,
   ): Readonly<{ name: string; mapping: Mapping }> | undefined {
     const index = this.currentIndex();
@@ -219,7 +219,7 @@
     return undefined;
   }
 
-  private modelOf(request: Order): ModelRead {
+  private modelOf(request: ProxyRequest): ModelRead {
     const known = this.models.get(request);
     if (known !== undefined) return known;
     const read = modelInBody(request.body);
@@ -249,8 +249,8 @@
  * The mapping as it applies to one request: with the service chosen by traffic share and the class of its tenant. The share is
  * chosen by the request's id, so that the same request always gets the same service.
  */
-const mappingForRequest = (mapping: Mapping, orderId: string, tenantClass: string): Mapping => {
-  const service = Shares.pick(mapping, orderId);
+const mappingForRequest = (mapping: Mapping, requestId: string, tenantClass: string): Mapping => {
+  const service = TrafficShares.pickService(mapping, requestId);
   const className = tenantClass === '' ? mapping.class : tenantClass;
   return service === mapping.service && className === mapping.class
     ? mapping
@@ -258,22 +258,22 @@
 };
 
 /** Compares services without their weights: a change of weights has a cutoff of its own. */
-const isSameService = (left: Resolved, right: Resolved): boolean =>
+const isSameService = (left: ResolvedRequest, right: ResolvedRequest): boolean =>
   JSON.stringify({ ...left.service, weights: '' }) === JSON.stringify({ ...right.service, weights: '' });
 
 /** The pipeline policies that identify a request. */
-export const FencePolicies = {
+export const IdentificationPolicies = {
   /** Refuses by the headers alone, before the body is read. */
-  identifyTenant: (identifier: Identifier): Policy => ({
+  identifyTenant: (identifier: RequestIdentifier): Policy => ({
     name: 'identifyTenant',
     apply: (context) => {
-      const refusal = identifier.refusedAtHead(context.order);
+      const refusal = identifier.refusalFromHead(context.order);
       return Promise.resolve(refusal === undefined ? { kind: 'onward', context } : { kind: 'refuse', refusal });
     },
   }),
 
   /** Resolves the request to a mapping and a service. */
-  resolveMapping: (identifier: Identifier): Policy => ({
+  resolveMapping: (identifier: RequestIdentifier): Policy => ({
     name: 'resolveMapping',
     apply: (context) => {
       const found = identifier.resolve(context.order);
--- a/source/edge-proxy/fence/fence.ts
+++ b/source/edge-proxy/identification/stalenessGuard.ts
@@ -4,40 +4,40 @@
 import { WeightsClocks } from '../../shared/weights/weightsClocks';
 
 /** `untilChanged`: previous weights, allowed until the cutoff after the change. */
-export type WeightsWord = 'intended' | 'untilChanged' | 'forbidden';
+export type WeightsPermission = 'intended' | 'untilChanged' | 'forbidden';
 
 /** Decides by the age of the applied configuration whether this proxy may still act on it. */
-export class Fence {
+export class StalenessGuard {
   public constructor(
     private readonly freshness: Freshness,
     private readonly clock: Clock,
     /** From this age on no request is accepted; Infinity: the configuration is used however old it is. */
-    private freshMicroseconds: number,
+    private maxAgeMicroseconds: number,
     /** Time after a change of weights during which engines on the previous weights may still be used. */
-    private weightsCutMicroseconds: number = WeightsClocks.cutMicroseconds,
+    private weightsCutoffMicroseconds: number = WeightsClocks.cutMicroseconds,
     /** From this age on an unknown key or path is not denied, because a newer configuration may contain it. */
-    private denialMicroseconds: number = Infinity,
+    private maxDenialAgeMicroseconds: number = Infinity,
   ) {}
 
   /** Replaces the bounds; they apply from the next check on. */
-  public boundsAre(
-    freshMicroseconds: number,
-    weightsCutMicroseconds: number,
-    denialMicroseconds: number = Infinity,
+  public setBounds(
+    maxAgeMicroseconds: number,
+    weightsCutoffMicroseconds: number,
+    maxDenialAgeMicroseconds: number = Infinity,
   ): void {
-    this.freshMicroseconds = freshMicroseconds;
-    this.weightsCutMicroseconds = weightsCutMicroseconds;
-    this.denialMicroseconds = denialMicroseconds;
+    this.maxAgeMicroseconds = maxAgeMicroseconds;
+    this.weightsCutoffMicroseconds = weightsCutoffMicroseconds;
+    this.maxDenialAgeMicroseconds = maxDenialAgeMicroseconds;
   }
 
   /** Whether the configuration was confirmed recently enough to act on it. */
-  public fresh(): boolean {
-    return this.freshness.ageMicroseconds() < this.freshMicroseconds;
+  public isFresh(): boolean {
+    return this.freshness.ageMicroseconds() < this.maxAgeMicroseconds;
   }
 
   /** Whether the applied configuration is recent enough to deny what it does not allow. */
   public mayDeny(): boolean {
-    return this.fresh() && this.freshness.ageMicroseconds() < this.denialMicroseconds;
+    return this.isFresh() && this.freshness.ageMicroseconds() < this.maxDenialAgeMicroseconds;
   }
 
   /** The applied configuration. */
@@ -46,7 +46,7 @@
   }
 
   /** Whether requests may be sent to an engine with these weights, or still be answered by it, at this moment. */
-  public weights(service: string, weights: string): WeightsWord {
+  public weights(service: string, weights: string): WeightsPermission {
     const pool = this.freshness.blueprint?.services[service];
     if (pool?.kind !== 'pool') return 'forbidden';
     if (pool.weights === weights) return 'intended';
@@ -59,7 +59,7 @@
       change.sinceMicroseconds === null
     )
       return 'forbidden';
-    return this.clock.nowMicroseconds() - change.sinceMicroseconds < this.weightsCutMicroseconds
+    return this.clock.nowMicroseconds() - change.sinceMicroseconds < this.weightsCutoffMicroseconds
       ? 'untilChanged'
       : 'forbidden';
   }
--- a/source/edge-proxy/fence/shares.ts
+++ b/source/edge-proxy/identification/trafficShares.ts
@@ -10,12 +10,12 @@
 };
 
 /** Splits the traffic of a mapping among services by weight. */
-export const Shares = {
+export const TrafficShares = {
   /** The service for the request with this id; always the same for the same id and shares. */
-  pick: ({ service, shares }: Mapping, orderId: string): string => {
+  pickService: ({ service, shares }: Mapping, requestId: string): string => {
     const total = (shares ?? []).reduce((sum, { weight }) => sum + weight, 0);
     if (shares === undefined || total <= 0) return service;
-    let remaining = hashFraction(orderId) * total;
+    let remaining = hashFraction(requestId) * total;
     for (const share of shares) {
       remaining -= share.weight;
       if (remaining < 0) return share.service;
--- a/source/edge-proxy/mechanisms.ts
+++ b/source/edge-proxy/mechanisms.ts
@@ -20,7 +20,7 @@
   /** Prefixes counted, agreed on, and copied by demand. */
   demand: (settings) => ({ ...settings, demand: DemandSettings.off(settings.demand) }),
   /** Chance among engines that look alike, more of it among many proxies. */
-  chance: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, chanceMicroseconds: 0 } }),
+  chance: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, jitterMicroseconds: 0 } }),
   /** Engines preferred that a kept connection waits for. */
   connections: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, connectionMicroseconds: 0 } }),
   /** Other engines preferred to those that are about to change their weights. */
--- a/source/edge-proxy/path/order.ts
+++ b/source/edge-proxy/pipeline/request.ts
@@ -4,12 +4,12 @@
 import type { LookUp } from '../../shared/directory/lookup';
 import type { Refusal } from '../../shared/verdict/verdict';
 import type { FetchPlan } from '../fetch/fetchPlanner';
-import type { PromptKeys } from '../placement/placePolicies';
+import type { PromptKeys } from '../placement/placementPolicies';
 
 export type { PromptPart };
 
 /** One request as it was read from a client. */
-export type Order = Readonly<{
+export type ProxyRequest = Readonly<{
   id: string;
   method: string;
   /** URL path without the query. */
@@ -30,7 +30,7 @@
   /** Length of the prompt. */
   promptTokens?: number;
   /** Maximum length of the output. */
-  mostTokens?: number;
+  maxOutputTokens?: number;
   /** How long the client waits, counted from `arrivedMicroseconds`. */
   limitMicroseconds?: number;
   /** Id of the last event that the client has received; the response resumes after it. */
@@ -38,17 +38,17 @@
 }>;
 
 /** Status and headers of a response. */
-export type AnswerHead = Readonly<{ status: number; headers: Readonly<Record<string, string>> }>;
+export type ResponseHead = Readonly<{ status: number; headers: Readonly<Record<string, string>> }>;
 
 /** Writes the response to the client. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** Whether the response head has been written. */
   readonly begun: () => boolean;
   /** Whether the client has disconnected. */
   readonly gone: () => boolean;
   /** Calls `act` when the client disconnects. */
-  readonly whenGone: (act: () => void) => void;
-  readonly head: (head: AnswerHead) => void;
+  readonly onClientGone: (act: () => void) => void;
+  readonly head: (head: ResponseHead) => void;
   /** Writes a part of the body. Undefined: accepted. A promise: the client reads too slowly; resolves when it has caught up. */
   readonly part: (bytes: Uint8Array) => Promise<void> | undefined;
   readonly end: () => void;
@@ -58,75 +58,75 @@
 }
 
 /** The mapping, tenant and service that a request was resolved to. */
-export type Resolved = Readonly<{
+export type ResolvedRequest = Readonly<{
   mappingName: string;
   mapping: Mapping;
   tenant: string;
   trustDomain: string;
   service: Pool | AppService;
   /** The configuration that it was resolved with. */
-  under: Blueprint;
+  resolvedWith: Blueprint;
 }>;
 
 /** The engine chosen for a request. */
-export type Placed = Readonly<{
+export type PlacedRequest = Readonly<{
   engine: string;
   address: string;
   bootEpoch: string;
   weights: string;
   /** Number of leading prompt blocks or parts that the engine has cached or is computing. */
-  matched: number;
+  cachedParts: number;
   /** Tokens that the engine must prefill for this request, as far as known. */
-  toRead?: number;
+  tokensToPrefill?: number;
   /** Another engine that prefills these parts by default, and may have them cached although this proxy has not heard of it. */
-  home?: string;
+  defaultEngine?: string;
   /** The scheduler has reserved engine time for it, and must be notified when the prompt has been prefilled. */
   reserved?: boolean;
 }>;
 
 /** State of one request on its way through the pipeline. */
-export type Context = Readonly<{
-  order: Order;
-  answer: AnswerSink;
-  resolved?: Resolved;
+export type RequestContext = Readonly<{
+  order: ProxyRequest;
+  answer: ResponseSink;
+  resolved?: ResolvedRequest;
   /** Releases the slot held in the class and the pool; called exactly once, whatever the outcome. */
   release?: () => void;
   /** Cache keys of the prompt. */
   keys?: PromptKeys;
   lookUp?: LookUp;
-  placed?: Placed;
+  placed?: PlacedRequest;
   fetch?: FetchPlan;
   /** Number of sends to back ends so far. */
   sends: number;
   /** How often it was resolved again or queued again; bounded, so that no request circulates forever. */
   rounds: number;
   /** It was queued before and keeps its position in the queue. */
-  turnKept: boolean;
+  keepsQueuePosition: boolean;
   /** Its next send is a retry that has not been charged to the retry budget yet. */
-  owesSend: boolean;
+  owesRetryBudget: boolean;
   /** An earlier send of a resumable request may have run; no later refusal may state that it did not. */
   mayHaveRun: boolean;
   /** Engines that must not be chosen for the next send. */
-  avoided: readonly string[];
+  avoidedEngines: readonly string[];
   /** Id of the last event that an earlier send delivered to the client; the next send resumes after it. */
   after?: string;
 }>;
 
 /** What a policy decided. */
-export type Step =
+export type PolicyResult =
   /** Continue with the next policy. */
-  | Readonly<{ kind: 'onward'; context: Context }>
+  | Readonly<{ kind: 'onward'; context: RequestContext }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>
   /** Nothing has run, or the request may safely be repeated: choose another back end. */
-  | Readonly<{ kind: 'again'; context: Context; refusal: Refusal }>
+  | Readonly<{ kind: 'again'; context: RequestContext; refusal: Refusal }>
   /** The back end had no capacity and ran nothing: return to the queue, ahead of requests that arrived later. */
-  | Readonly<{ kind: 'hold'; context: Context; refusal: Refusal }>
+  | Readonly<{ kind: 'hold'; context: RequestContext; refusal: Refusal }>
   /** The configuration has changed and nothing has run: resolve the request again. */
-  | Readonly<{ kind: 'anew'; context: Context; refusal: Refusal }>
+  | Readonly<{ kind: 'anew'; context: RequestContext; refusal: Refusal }>
   | Readonly<{ kind: 'done' }>;
 
 /** One stage of the request pipeline. Policies run in sequence, and each can be replaced. */
 export interface Policy {
   readonly name: string;
-  readonly apply: (context: Context) => Promise<Step>;
+  readonly apply: (context: RequestContext) => Promise<PolicyResult>;
 }
--- a/source/edge-proxy/path/orderLimits.ts
+++ b/source/edge-proxy/pipeline/requestLimits.ts
@@ -1,11 +1,11 @@
 import type { Mapping } from '../../shared/blueprint/types';
-import type { Order } from './order';
+import type { ProxyRequest } from './request';
 
 /** Time limits of a request. */
-export const OrderLimits = {
+export const RequestLimits = {
   /** Total time that a request may take from its arrival: the shorter of its route's timeout and its client's deadline. */
   of: (
-    { limitMicroseconds }: Pick<Order, 'limitMicroseconds'>,
+    { limitMicroseconds }: Pick<ProxyRequest, 'limitMicroseconds'>,
     mapping: Pick<Mapping, 'limitMicroseconds'> | undefined,
   ): number =>
     // A limit of 0 means that the route has no timeout.
--- a/source/edge-proxy/path/orderTrace.ts
+++ b/source/edge-proxy/pipeline/requestTrace.ts
@@ -1,34 +1,34 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Log } from '../../shared/log/log';
 import type { Refusal } from '../../shared/verdict/verdict';
-import type { Context, Step } from './order';
+import type { RequestContext, PolicyResult } from './request';
 
-type Stage = Readonly<{ policy: string; microseconds: number; step: Step['kind'] }>;
+type Stage = Readonly<{ policy: string; microseconds: number; step: PolicyResult['kind'] }>;
 
 const milliseconds = (microseconds: number): number => Math.round(microseconds / 1000);
 
 /** Records for one request how long each policy took and what it decided, for the log. */
-export class OrderTrace {
+export class RequestTrace {
   private readonly stages: Stage[] = [];
   private sinceMicroseconds: number;
 
   public constructor(
     private readonly clock: Clock,
     private readonly log: Log,
-    { order }: Context,
+    { order }: RequestContext,
   ) {
     this.sinceMicroseconds = order.arrivedMicroseconds;
   }
 
   /** Records that a policy has finished with the request. */
-  public passed(policy: string, step: Step['kind']): void {
+  public passed(policy: string, step: PolicyResult['kind']): void {
     const now = this.clock.nowMicroseconds();
     this.stages.push({ policy, microseconds: now - this.sinceMicroseconds, step });
     this.sinceMicroseconds = now;
   }
 
   /** Logs the trace when the request ends. */
-  public ended({ order, resolved, placed }: Context, refusal: Refusal | undefined): void {
+  public ended({ order, resolved, placed }: RequestContext, refusal: Refusal | undefined): void {
     const elapsedMilliseconds = milliseconds(this.clock.nowMicroseconds() - order.arrivedMicroseconds);
     const outcome = refusal === undefined ? 'answered' : `refused ${refusal.status} ${refusal.code}`;
     this.log(
--- a/source/edge-proxy/placement/workPlacer.ts
+++ b/source/edge-proxy/placement/costPlacer.ts
@@ -6,28 +6,28 @@
 import type { Metrics } from '../../shared/metrics/metrics';
 import type { DemandView } from '../demand/demandView';
 import { tokensIn, type PartMoves } from '../fetch/partMoves';
-import type { Order, Placed, Resolved } from '../path/order';
-import { ByWork, type Demand, type Offer, type WorkPlacementSettings } from './byWork';
+import type { ProxyRequest, PlacedRequest, ResolvedRequest } from '../pipeline/request';
+import { PlacementCosts, type RequestNeeds, type PlacementOffer, type PlacementCostSettings } from './placementCosts';
 import type { Candidate, EngineView } from './engineView';
-import type { DeskLink } from './deskLink';
-import type { Lanes } from './lanes';
-import type { PromptKeys } from './placePolicies';
-import type { ReadSpeeds } from './readSpeeds';
+import type { SchedulerClient } from './schedulerClient';
+import type { ReservedEngines } from './reservedEngines';
+import type { PromptKeys } from './placementPolicies';
+import type { PrefillSpeeds } from './prefillSpeeds';
 
 /** Assumed output tokens of a request without a maximum. */
 const defaultOutputTokens = 256;
 
 /** Chooses an engine by the cost of the request there: prefill, import of cached parts, queueing and memory. */
-export class WorkPlacer {
+export class CostPlacer {
   public constructor(
     private readonly view: EngineView,
     private readonly moves: PartMoves,
-    private readonly speeds: ReadSpeeds,
+    private readonly speeds: PrefillSpeeds,
     private readonly random: Random,
     private readonly zone: string,
-    private readonly lanes: Lanes,
-    private readonly desk: DeskLink,
-    private readonly settings: WorkPlacementSettings,
+    private readonly lanes: ReservedEngines,
+    private readonly desk: SchedulerClient,
+    private readonly settings: PlacementCostSettings,
     private readonly demand: DemandView,
     private readonly metrics: Metrics,
     /** Whether there is an idle connection to an address. */
@@ -37,20 +37,20 @@
   /** Chooses an engine; undefined: there is no candidate. */
   public async place(
     candidates: readonly Candidate[],
-    order: Order,
-    { service, mapping }: Resolved,
+    order: ProxyRequest,
+    { service, mapping }: ResolvedRequest,
     keys: PromptKeys,
     lookUp: (weights: string) => LookUp,
-  ): Promise<Placed | undefined> {
+  ): Promise<PlacedRequest | undefined> {
     const reserved = this.lanes.of(
       mapping.service,
       candidates.map(({ name }) => name),
       this.view.others.mix(mapping.service),
-      ByWork.isByOldNews(this.view.proxies()),
+      PlacementCosts.hasStaleLoads(this.view.proxies()),
     );
     const prompt = order.promptTokens ?? (order.parts ?? []).reduce((sum, { size }) => sum + size, 0);
     const cachedByWeights = new Map<string, CachedParts>();
-    const offered = candidates.map((candidate): Offer => {
+    const offered = candidates.map((candidate): PlacementOffer => {
       const cached = cachedByWeights.get(candidate.weights) ?? cachedPartsUnder(keys, candidate.weights, lookUp);
       // Looked up once per weight version: a large pool has many engines, and most have the same weights.
       cachedByWeights.set(candidate.weights, cached);
@@ -70,18 +70,18 @@
       return {
         ...candidate,
         matched,
-        toRead: Math.max(0, prompt - tokensIn(parts, 0, move?.matched ?? matched)),
-        moveMicroseconds: move?.microseconds ?? 0,
+        tokensToPrefill: Math.max(0, prompt - tokensIn(parts, 0, move?.matched ?? matched)),
+        importDelayMicroseconds: move?.microseconds ?? 0,
         tokensPerMillisecond: engine.tokensPerMillisecond,
         keptTokens: service.kind === 'pool' ? (service.shape?.keptTokens ?? 0) : 0,
-        lane: reserved.has(candidate.name),
+        isReserved: reserved.has(candidate.name),
         needsConnection: !this.hasIdle(candidate.address),
       };
     });
     const first = candidates[0];
     const places = this.placesOf(keys, offered);
     const demand = {
-      tokens: prompt + (order.mostTokens ?? defaultOutputTokens),
+      tokens: prompt + (order.maxOutputTokens ?? defaultOutputTokens),
       parts: first === undefined ? [] : keys.parts(first.weights),
       zone: this.zone,
       isShort: this.lanes.isShort((prompt * 1000) / (first === undefined ? 1 : this.speeds.of(first.name))),
@@ -92,39 +92,39 @@
     const decision = demand.isShort ? undefined : await this.askScheduler(order, offers, demand, prompt, service);
     const scheduled = offers.find(({ name }) => name === decision?.engine);
     if (scheduled !== undefined) await this.desk.read(prefix, decision?.waitMicroseconds ?? 0);
-    const chosen = scheduled ?? ByWork.choose(offers, demand, this.random, this.settings, this.view.proxies());
+    const chosen = scheduled ?? PlacementCosts.choose(offers, demand, this.random, this.settings, this.view.proxies());
     if (chosen === undefined) return undefined;
     const joinsPrefill = scheduled !== undefined && decision?.joined === true;
     const matched = joinsPrefill ? Math.max(chosen.matched, demand.parts.length - 1) : chosen.matched;
     const sharedIsCached =
       joinsPrefill || (scheduled !== undefined && decision !== undefined && decision.keeper !== '');
-    const toRead = sharedIsCached ? Math.min(chosen.toRead, unsharedTokens(demand.parts, prompt)) : chosen.toRead;
-    this.lanes.saw(
+    const toRead = sharedIsCached ? Math.min(chosen.tokensToPrefill, unsharedTokens(demand.parts, prompt)) : chosen.tokensToPrefill;
+    this.lanes.recordPlacement(
       mapping.service,
       ((demand.isShort ? prompt : toRead) * 1000) / chosen.tokensPerMillisecond,
-      order.mostTokens ?? defaultOutputTokens,
+      order.maxOutputTokens ?? defaultOutputTokens,
       chosen.capacity,
       demand.isShort,
     );
     const keeper = decision?.keeper === undefined || decision.keeper === '' ? undefined : decision.keeper;
     this.countCopy(chosen, matched, demand);
-    const home = keeper ?? places?.[0] ?? (demand.parts.length === 0 ? undefined : ByWork.homeOf(demand.parts, offers));
+    const home = keeper ?? places?.[0] ?? (demand.parts.length === 0 ? undefined : PlacementCosts.defaultEngineOf(demand.parts, offers));
     return {
       engine: chosen.name,
       address: chosen.address,
       bootEpoch: chosen.bootEpoch,
       weights: chosen.weights,
-      matched,
-      toRead,
-      ...(home === undefined || home === chosen.name ? {} : { home }),
+      cachedParts: matched,
+      tokensToPrefill: toRead,
+      ...(home === undefined || home === chosen.name ? {} : { defaultEngine: home }),
       ...(scheduled === undefined ? {} : { reserved: true }),
     };
   }
 
   /** Engines that should hold copies of the shared parts; undefined: there are no shared parts, or demand is not measured. */
-  private placesOf(keys: PromptKeys, offers: readonly Offer[]): readonly string[] | undefined {
+  private placesOf(keys: PromptKeys, offers: readonly PlacementOffer[]): readonly string[] | undefined {
     if (!this.demand.settings.isOn || keys.prefix() === '') return undefined;
-    const unreserved = offers.filter(({ lane }) => !lane);
+    const unreserved = offers.filter(({ isReserved: lane }) => !lane);
     const names = (unreserved.length > 0 ? unreserved : offers).map(({ name }) => name);
     const places = this.demand.places(keys.prefix(), names);
     return places.length === 0 ? undefined : places;
@@ -134,7 +134,7 @@
    * Adds the cost of one more copy. A copy costs because the engine evicts other parts for it, which may be needed next and are then
    * prefilled again. On an engine that should hold a copy the cost is negative: later requests find the parts there for one import now.
    */
-  private withCopies(offers: readonly Offer[], { parts, places }: Demand): readonly Offer[] {
+  private withCopies(offers: readonly PlacementOffer[], { parts, places }: RequestNeeds): readonly PlacementOffer[] {
     const shared = parts.length - 1;
     // No cost if no engine has the parts cached: one engine has to prefill them anyway.
     if (places === undefined || !offers.some(({ matched }) => matched >= shared)) return offers;
@@ -143,14 +143,14 @@
       if (offer.matched >= shared) return offer;
       const missing = tokensIn(parts, offer.matched, shared);
       const copyMicroseconds = places.includes(offer.name)
-        ? -offer.moveMicroseconds
+        ? -offer.importDelayMicroseconds
         : (missing * copyMicrosecondsPerThousand) / 1000;
       return { ...offer, copyMicroseconds };
     });
   }
 
   /** Counts whether the chosen engine has the shared parts cached. */
-  private countCopy(chosen: Offer, matched: number, { parts, places }: Demand): void {
+  private countCopy(chosen: PlacementOffer, matched: number, { parts, places }: RequestNeeds): void {
     if (places === undefined) return;
     const copy = matched >= parts.length - 1 ? 'kept' : places.includes(chosen.name) ? 'belongs' : 'elsewhere';
     this.metrics.count('postdrum_prefix_copies_total', { copy });
@@ -158,9 +158,9 @@
 
   /** The scheduler places the long requests of all proxies one after the other, so that no prefix is prefilled twice and none waits in vain. */
   private askScheduler(
-    order: Order,
-    offers: readonly Offer[],
-    demand: Demand,
+    order: ProxyRequest,
+    offers: readonly PlacementOffer[],
+    demand: RequestNeeds,
     prompt: number,
     pool: Service,
   ): Promise<DeskWord | undefined> {
@@ -173,9 +173,9 @@
         const { copyMicroseconds: copy } = offer;
         const fields = [
           offer.name,
-          Math.round(ByWork.costBesides(offer, demand, this.settings)),
-          Math.round((offer.toRead * 1000) / offer.tokensPerMillisecond),
-          Math.round((Math.min(offer.toRead, unsharedTokens(parts, prompt)) * 1000) / offer.tokensPerMillisecond),
+          Math.round(PlacementCosts.costWithoutPrefill(offer, demand, this.settings)),
+          Math.round((offer.tokensToPrefill * 1000) / offer.tokensPerMillisecond),
+          Math.round((Math.min(offer.tokensToPrefill, unsharedTokens(parts, prompt)) * 1000) / offer.tokensPerMillisecond),
           Math.round(this.moves.usualMicroseconds(pool, tokensIn(parts, 0, parts.length - 1))),
         ] as const;
         return copy === undefined ? fields : [...fields, Math.round(copy)];
--- a/source/edge-proxy/placement/engineRefusals.ts
+++ b/source/edge-proxy/placement/engineRefusals.ts
@@ -36,7 +36,7 @@
    * one of this proxy's requests ends there. The refused send itself is not counted: it is still in flight, but its end frees no
    * capacity.
    */
-  public saidFull(engine: string): void {
+  public markFull(engine: string): void {
     this.full.set(engine, {
       version: this.versionOf(engine),
       own: this.ownSendsAt(engine) - 1,
@@ -45,7 +45,7 @@
   }
 
   /** Records that nothing, or another engine, answers at its address. This holds until newer information or until it expires. */
-  public saidAbsent(engine: string): void {
+  public markAbsent(engine: string): void {
     this.absent.set(engine, { version: this.versionOf(engine), at: this.clock.nowMicroseconds() });
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Drops expired entries, because nothing looks up those of engines that have left the list. */
-  public review(): void {
+  public dropExpired(): void {
     for (const engine of this.full.keys()) this.isFull(engine);
     for (const engine of this.absent.keys()) this.isAbsent(engine);
   }
--- a/source/edge-proxy/placement/engineView.ts
+++ b/source/edge-proxy/placement/engineView.ts
@@ -4,7 +4,7 @@
 import type { FactBook } from '../../shared/news/facts';
 import { FactKeys, type EngineFact, type LoadFact } from '../../shared/news/factTypes';
 import { WeightsRounds } from '../../shared/weights/weightsRounds';
-import type { Fence } from '../fence/fence';
+import type { StalenessGuard } from '../identification/stalenessGuard';
 import type { OthersTogether } from '../feeding/receivedLoads';
 import { OutlierDetector, type Standing } from '../outliers/outlierDetector';
 import { OutlierSettings } from '../outliers/outlierSettings';
@@ -84,7 +84,7 @@
     private readonly self: string,
     private readonly freshness: Freshness,
     private readonly facts: FactBook,
-    private readonly fence: Fence,
+    private readonly fence: StalenessGuard,
     private readonly clock: Clock,
     public readonly work: EngineWork,
     private readonly sendLimitPerMille = 1000,
@@ -101,14 +101,14 @@
   }
 
   /** Records the start of a send. */
-  public began(engine: string): void {
+  public recordSendStart(engine: string): void {
     this.ownChangeCount += 1;
-    this.own.began(engine);
+    this.own.recordStart(engine);
   }
 
   /** Number of sends started so recently that no other proxy can know of them; equally recent ones of others are unknown here. */
-  public unseen(engine: string): number {
-    return this.own.unseen(engine);
+  public recentSends(engine: string): number {
+    return this.own.recentCount(engine);
   }
 
   /** Records the end of a send. */
@@ -123,15 +123,15 @@
   }
 
   /** Records that an engine refused a send because it is full. */
-  public saidFull(engine: string): void {
+  public markFull(engine: string): void {
     this.ownChangeCount += 1;
-    this.refusals.saidFull(engine);
+    this.refusals.markFull(engine);
   }
 
   /** Records that nothing, or another engine, answers at its address. */
-  public saidOther(engine: string): void {
+  public markAbsent(engine: string): void {
     this.ownChangeCount += 1;
-    this.refusals.saidAbsent(engine);
+    this.refusals.markAbsent(engine);
   }
 
   /** Number of this proxy's sends in flight, by engine. */
@@ -141,7 +141,7 @@
 
   /** The loads of the other proxies. */
   public otherLoads(): readonly LoadFact[] {
-    return this.others.now().loads;
+    return this.others.current().loads;
   }
 
   /** Number of proxies that seem to be running, including this one. */
@@ -155,7 +155,7 @@
   }
 
   /** Whether a request placed on this instance of the engine may still be sent there, even if it was ejected as an outlier since. */
-  public isAble(
+  public isUsable(
     service: string,
     { name, bootEpoch, weights }: Pick<UsableEngine, 'name' | 'bootEpoch' | 'weights'>,
   ): boolean {
@@ -165,9 +165,9 @@
   }
 
   /** Called when gossip arrives: detects outliers by the outcomes of requests, here and at other proxies. */
-  public review(): void {
-    this.refusals.review();
-    const others = this.others.now();
+  public detectOutliers(): void {
+    this.refusals.dropExpired();
+    const others = this.others.current();
     this.outliers.review(others.loads, () => {
       const daemons = [this.self, ...others.names];
       return [...this.servicesListed().values()].map((listed) => ({ names: listed.map(([name]) => name), daemons }));
@@ -177,7 +177,7 @@
   private cachedCandidates(service: string): CachedCandidates {
     const now = this.clock.nowMicroseconds();
     const of = this.usableEngines(service);
-    const others = this.others.now();
+    const others = this.others.current();
     const mark = `${this.ownChangeCount}/${this.work.changes}/${this.outliers.changes}`;
     const known = this.candidateCache.get(service);
     // If an engine has reported that it is full, the result is cached for a moment only, because the report expires.
@@ -202,7 +202,7 @@
   private workAt(name: string): WorkSum {
     const own = this.work.of(name);
     const elsewhere = this.others.at(name);
-    return { reading: own.reading + elsewhere.work.reading, tokens: own.tokens + elsewhere.work.tokens };
+    return { pendingPrefillTokens: own.pendingPrefillTokens + elsewhere.work.pendingPrefillTokens, tokens: own.tokens + elsewhere.work.tokens };
   }
 
   /** Cached apart from the load counts: these change with each request, but the usable engines hardly ever. */
--- a/source/edge-proxy/placement/engineWork.ts
+++ b/source/edge-proxy/placement/engineWork.ts
@@ -2,10 +2,10 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 
 /** The work that one send causes on its engine. Sizes are in tokens. */
-export type Work = Readonly<{
+export type SendWork = Readonly<{
   order: string;
   /** Tokens that must be prefilled or imported before its first event. */
-  toRead: number;
+  tokensToPrefill: number;
   /** Tokens of the prompt plus the maximum output. */
   tokens: number;
   /** Keys of the prompt parts that the engine will newly cache because of it. */
@@ -13,9 +13,9 @@
 }>;
 
 /** Work on one engine: tokens whose prefill is pending, and tokens of all running requests. */
-export type WorkSum = Readonly<{ reading: number; tokens: number }>;
+export type WorkSum = Readonly<{ pendingPrefillTokens: number; tokens: number }>;
 
-type Running = Readonly<{ work: Work; begun: boolean }>;
+type Running = Readonly<{ work: SendWork; begun: boolean }>;
 type EngineState = {
   bootEpoch: string;
   epoch: number;
@@ -25,12 +25,12 @@
   readonly recentlyPrefilled: Map<string, number>;
 };
 
-export type WorkSettings = Readonly<{
+export type EngineWorkSettings = Readonly<{
   /** How long a prefilled part counts as cached before the engine's cache events confirm it. */
-  latelyMicroseconds: number;
+  recentMicroseconds: number;
 }>;
 
-const noWork: WorkSum = { reading: 0, tokens: 0 };
+const noWork: WorkSum = { pendingPrefillTokens: 0, tokens: 0 };
 /** Maximum number of recently prefilled parts remembered per engine. */
 const maxRecentlyPrefilled = 4096;
 
@@ -44,7 +44,7 @@
 
   public constructor(
     private readonly clock: Clock,
-    private readonly settings: WorkSettings,
+    private readonly settings: EngineWorkSettings,
   ) {}
 
   /** Increases with every change of the recorded work. */
@@ -53,7 +53,7 @@
   }
 
   /** Records the start of a send. */
-  public began(engine: string, bootEpoch: string, work: Work): void {
+  public recordSendStart(engine: string, bootEpoch: string, work: SendWork): void {
     this.changeCount += 1;
     const state = this.stateOf(engine, bootEpoch);
     state.running.set(work.order, { work, begun: false });
@@ -109,17 +109,17 @@
     let reading = 0;
     let tokens = 0;
     for (const { work, begun } of state.running.values()) {
-      if (!begun) reading += work.toRead;
+      if (!begun) reading += work.tokensToPrefill;
       tokens += work.tokens;
     }
-    return { reading, tokens };
+    return { pendingPrefillTokens: reading, tokens };
   }
 
   /** The work by engine, as sent to the other proxies: rounded to tokens, without idle engines. */
   public sums(): Readonly<Record<string, readonly [reading: number, tokens: number]>> {
     return Object.fromEntries(
       [...this.states.keys()].flatMap((engine) => {
-        const { reading, tokens } = this.of(engine);
+        const { pendingPrefillTokens: reading, tokens } = this.of(engine);
         return tokens === 0 ? [] : [[engine, [Math.round(reading), Math.round(tokens)] as const] as const];
       }),
     );
@@ -165,7 +165,7 @@
 
   private expireRecent(state: EngineState, now: number): void {
     for (const [name, at] of state.recentlyPrefilled) {
-      if (now - at < this.settings.latelyMicroseconds && state.recentlyPrefilled.size <= maxRecentlyPrefilled) return;
+      if (now - at < this.settings.recentMicroseconds && state.recentlyPrefilled.size <= maxRecentlyPrefilled) return;
       state.recentlyPrefilled.delete(name);
     }
   }
--- a/source/edge-proxy/placement/otherProxies.ts
+++ b/source/edge-proxy/placement/otherProxies.ts
@@ -11,7 +11,7 @@
 import type { WorkSum } from './engineWork';
 
 /** The load of all other proxies on one engine. */
-export type Elsewhere = Readonly<{ sends: number; work: WorkSum }>;
+export type OtherProxiesLoad = Readonly<{ sends: number; work: WorkSum }>;
 
 /** Sums of the loads of all other proxies, cached until an update of one arrives. */
 export type OtherLoads = Readonly<{
@@ -20,7 +20,7 @@
   /** Names of the other proxies that seem to be running, in the order of `loads`. */
   names: readonly string[];
   loads: readonly LoadFact[];
-  engines: ReadonlyMap<string, Elsewhere>;
+  engines: ReadonlyMap<string, OtherProxiesLoad>;
   mixes: ReadonlyMap<string, WorkMix>;
 }>;
 
@@ -28,11 +28,11 @@
 type CachedAgents = Readonly<{ changes: number; present: readonly MemberFact[] }>;
 
 const noMix: WorkMix = [0, 0];
-const noLoad: Elsewhere = { sends: 0, work: { reading: 0, tokens: 0 } };
+const noLoad: OtherProxiesLoad = { sends: 0, work: { pendingPrefillTokens: 0, tokens: 0 } };
 
 /** Sums of the loads by engine. */
-const engineSums = (loads: readonly LoadFact[]): ReadonlyMap<string, Elsewhere> => {
-  const engines = new Map<string, Elsewhere>();
+const engineSums = (loads: readonly LoadFact[]): ReadonlyMap<string, OtherProxiesLoad> => {
+  const engines = new Map<string, OtherProxiesLoad>();
   for (const load of loads)
     for (const [name, sends] of Object.entries(load.engines)) {
       const known = engines.get(name) ?? noLoad;
@@ -40,7 +40,7 @@
         load.work !== undefined && Object.hasOwn(load.work, name) ? (load.work[name] ?? [0, 0]) : [0, 0];
       engines.set(name, {
         sends: known.sends + sends,
-        work: { reading: known.work.reading + reading, tokens: known.work.tokens + tokens },
+        work: { pendingPrefillTokens: known.work.pendingPrefillTokens + reading, tokens: known.work.tokens + tokens },
       });
     }
   return engines;
@@ -79,7 +79,7 @@
 
   /** Number of proxies that seem to be running, including this one. */
   public count(): number {
-    return this.now().names.length + 1;
+    return this.current().names.length + 1;
   }
 
   /** Number of proxies known to have been in the fleet recently; a proxy whose state is in doubt still counts. */
@@ -88,13 +88,13 @@
   }
 
   /** The load of all other proxies on an engine. */
-  public at(engine: string): Elsewhere {
-    return this.now().engines.get(engine) ?? noLoad;
+  public at(engine: string): OtherProxiesLoad {
+    return this.current().engines.get(engine) ?? noLoad;
   }
 
   /** Recent work that all other proxies placed in a pool, by short and long requests. */
   public mix(service: string): WorkMix {
-    return this.now().mixes.get(service) ?? noMix;
+    return this.current().mixes.get(service) ?? noMix;
   }
 
   /** Agents that seem to be running; the same array until one joins or leaves. */
@@ -115,7 +115,7 @@
   }
 
   /** The current sums; the same object until an update of a load or an agent arrives. */
-  public now(): OtherLoads {
+  public current(): OtherLoads {
     const received = this.received();
     return received === undefined ? this.summedHere() : this.together(received);
   }
--- a/source/edge-proxy/placement/ownSends.ts
+++ b/source/edge-proxy/placement/ownSends.ts
@@ -11,7 +11,7 @@
 
   public constructor(private readonly clock: Clock) {}
 
-  public began(engine: string): void {
+  public recordStart(engine: string): void {
     this.running.set(engine, this.at(engine) + 1);
     this.startTimes.set(engine, [...this.recentStarts(engine), this.clock.nowMicroseconds()].slice(-maxRecentStarts));
   }
@@ -28,7 +28,7 @@
   }
 
   /** Number of sends started so recently that no other proxy can know of them; equally recent ones of others are unknown here. */
-  public unseen(engine: string): number {
+  public recentCount(engine: string): number {
     return this.recentStarts(engine).length;
   }
 
--- a/source/edge-proxy/placement/byWork.ts
+++ b/source/edge-proxy/placement/placementCosts.ts
@@ -4,14 +4,14 @@
 import type { Candidate } from './engineView';
 
 /** One engine as a choice for a request: the work that the request would cause there, and the load it already has. */
-export type Offer = Candidate &
+export type PlacementOffer = Candidate &
   Readonly<{
     /** Leading prompt parts that it has cached or is computing. */
     matched: number;
     /** Tokens that it would prefill itself. */
-    toRead: number;
+    tokensToPrefill: number;
     /** Time to import cached parts before the prefill starts; 0 without an import. */
-    moveMicroseconds: number;
+    importDelayMicroseconds: number;
     /** Prefill speed. */
     tokensPerMillisecond: number;
     /** Size of the memory, in tokens, that running requests and cached parts share; 0: not known. */
@@ -19,13 +19,13 @@
     /** Cost of one more copy of the shared parts there; negative: a copy is wanted there. Missing: 0. */
     copyMicroseconds?: number;
     /** Reserved for short requests while other engines have capacity. */
-    lane: boolean;
+    isReserved: boolean;
     /** There is no idle connection to it, so a new one would have to be opened. */
     needsConnection?: boolean;
   }>;
 
 /** The properties of a request that placement depends on. */
-export type Demand = Readonly<{
+export type RequestNeeds = Readonly<{
   /** Tokens of the prompt plus the maximum output. */
   tokens: number;
   /** Cache keys of the prompt parts, in order. */
@@ -38,23 +38,23 @@
 }>;
 
 /** The costs of placement, as microseconds of delay. */
-export type WorkPlacementSettings = Readonly<{
+export type PlacementCostSettings = Readonly<{
   /** Cost of each request in flight: the delay that requests on the same engine cause each other. */
-  sendMicroseconds: number;
+  inFlightMicroseconds: number;
   /** Range of the random jitter that spreads requests among engines of similar cost; scaled up with the number of proxies. */
-  chanceMicroseconds: number;
+  jitterMicroseconds: number;
   /** Cost of queueing on an engine at full capacity, per full capacity of requests ahead. */
-  turnMicroseconds: number;
+  queueMicroseconds: number;
   /** Cost of exceeding the memory limit by a whole memory; an engine with full memory preempts running requests. */
-  crowdMicroseconds: number;
+  memoryPressureMicroseconds: number;
   /** Share of the memory that running requests may use without that cost, in per mille. */
   memoryPerMille: number;
   /** Cost of traffic between zones: a fixed part, and a part per thousand tokens of the request. */
   zoneMicroseconds: number;
   zoneMicrosecondsPerThousand: number;
   /** Cost of a long request on an engine reserved for short ones, and of a short request on any other engine. */
-  longInLaneMicroseconds: number;
-  shortOutsideMicroseconds: number;
+  longOnReservedMicroseconds: number;
+  shortOnUnreservedMicroseconds: number;
   /** Bonus of the engine that prefills a part by default when no engine has it cached. */
   homeMicroseconds: number;
   /** Cost of a new connection: it is work for the engine, and the engine accepts a bounded number from all proxies together. */
@@ -66,17 +66,17 @@
   shortChangesSoonMicroseconds: number;
 }>;
 
-export const WorkPlacementSettings = {
+export const PlacementCostSettings = {
   usual: {
-    sendMicroseconds: 3_000,
-    chanceMicroseconds: 3_000,
-    turnMicroseconds: 200_000,
-    crowdMicroseconds: 400_000,
+    inFlightMicroseconds: 3_000,
+    jitterMicroseconds: 3_000,
+    queueMicroseconds: 200_000,
+    memoryPressureMicroseconds: 400_000,
     memoryPerMille: 800,
     zoneMicroseconds: 2_000,
     zoneMicrosecondsPerThousand: 1_000,
-    longInLaneMicroseconds: 250_000,
-    shortOutsideMicroseconds: 60_000,
+    longOnReservedMicroseconds: 250_000,
+    shortOnUnreservedMicroseconds: 60_000,
     homeMicroseconds: 300_000,
     connectionMicroseconds: 5_000,
     suspectMicroseconds: 150_000,
@@ -84,7 +84,7 @@
     // Less than the cost of leaving the reserved engines: a refused request is soon sent again, but one queued behind a long prefill
     // is late.
     shortChangesSoonMicroseconds: 30_000,
-  } satisfies WorkPlacementSettings,
+  } satisfies PlacementCostSettings,
 } as const;
 
 /** Up to this number of proxies, what each knows of the load of the others is nearly accurate. */
@@ -111,11 +111,11 @@
  * request ends before other proxies hear of it, so in a large fleet the engine with the least known load would get the requests of all
  * proxies until its next load update. Reserved engines and the others are sampled separately, so that both groups are compared.
  */
-const comparedOffers = (offers: readonly Offer[], proxies: number, random: Random): readonly Offer[] => {
-  if (!ByWork.isByOldNews(proxies)) return offers;
+const comparedOffers = (offers: readonly PlacementOffer[], proxies: number, random: Random): readonly PlacementOffer[] => {
+  if (!PlacementCosts.hasStaleLoads(proxies)) return offers;
   const sampledFraction = (maxProxiesWithFreshLoads / proxies) ** 2;
   return [true, false].flatMap((lane) => {
-    const group = offers.filter((offer) => offer.lane === lane);
+    const group = offers.filter((offer) => offer.isReserved === lane);
     return sampleWithoutReplacement(
       group,
       Math.max(minComparedPerGroup, Math.round(group.length * sampledFraction)),
@@ -125,24 +125,24 @@
 };
 
 /** Chooses the engine for a request with named prompt parts: the one with the lowest cost, where all costs count as delay. */
-export const ByWork = {
+export const PlacementCosts = {
   /** Whether there are so many proxies that they learn each other's load too late for short requests. */
-  isByOldNews: (proxies: number): boolean => proxies > maxProxiesWithFreshLoads,
+  hasStaleLoads: (proxies: number): boolean => proxies > maxProxiesWithFreshLoads,
 
   /** The total cost of an offer. */
-  cost: (offer: Offer, needs: Demand, home: string | undefined, settings: WorkPlacementSettings): number => {
-    const { work, toRead, tokensPerMillisecond } = offer;
-    const prefillMicroseconds = ((work.reading + toRead) * 1000) / tokensPerMillisecond;
+  cost: (offer: PlacementOffer, needs: RequestNeeds, home: string | undefined, settings: PlacementCostSettings): number => {
+    const { work, tokensToPrefill: toRead, tokensPerMillisecond } = offer;
+    const prefillMicroseconds = ((work.pendingPrefillTokens + toRead) * 1000) / tokensPerMillisecond;
     return (
       prefillMicroseconds +
       (offer.copyMicroseconds ?? 0) +
-      ByWork.costBesides(offer, needs, settings) -
+      PlacementCosts.costWithoutPrefill(offer, needs, settings) -
       (offer.name === home ? settings.homeMicroseconds : 0)
     );
   },
 
   /** The cost of an offer without the prefill, its own and that of earlier requests, and without copies. */
-  costBesides: (offer: Offer, needs: Demand, settings: WorkPlacementSettings): number => {
+  costWithoutPrefill: (offer: PlacementOffer, needs: RequestNeeds, settings: PlacementCostSettings): number => {
     const { work, capacity, inFlight, keptTokens } = offer;
     const queuedTurns = Math.max(0, inFlight + 1 - capacity) / Math.max(1, capacity);
     const memoryLimit = (keptTokens * settings.memoryPerMille) / 1000;
@@ -152,11 +152,11 @@
         ? 0
         : settings.zoneMicroseconds + (settings.zoneMicrosecondsPerThousand * needs.tokens) / 1000;
     const reservationCost =
-      needs.isShort === offer.lane
+      needs.isShort === offer.isReserved
         ? 0
         : needs.isShort
-          ? settings.shortOutsideMicroseconds
-          : settings.longInLaneMicroseconds;
+          ? settings.shortOnUnreservedMicroseconds
+          : settings.longOnReservedMicroseconds;
     const weightChangeCost =
       offer.changesSoon !== true
         ? 0
@@ -168,10 +168,10 @@
       (offer.standing === 'suspected' ? settings.suspectMicroseconds : 0) +
       weightChangeCost +
       (offer.needsConnection === true && needs.isShort ? settings.connectionMicroseconds : 0) +
-      offer.moveMicroseconds +
-      inFlight * settings.sendMicroseconds +
-      queuedTurns * settings.turnMicroseconds +
-      memoryExcess * settings.crowdMicroseconds +
+      offer.importDelayMicroseconds +
+      inFlight * settings.inFlightMicroseconds +
+      queuedTurns * settings.queueMicroseconds +
+      memoryExcess * settings.memoryPressureMicroseconds +
       zoneCost
     );
   },
@@ -180,31 +180,31 @@
    * The engine that prefills parts by default when no engine is known to have them cached. It is the same for all proxies, so that two
    * proxies that find the parts nowhere choose the same engine and the parts are prefilled once.
    */
-  homeOf: (parts: readonly PartKey[], offers: readonly Offer[]): string | undefined => {
+  defaultEngineOf: (parts: readonly PartKey[], offers: readonly PlacementOffer[]): string | undefined => {
     const first = parts[0];
     if (first === undefined) return undefined;
-    const unreserved = offers.filter(({ lane }) => !lane);
+    const unreserved = offers.filter(({ isReserved: lane }) => !lane);
     const names = (unreserved.length > 0 ? unreserved : offers).map(({ name }) => name);
     return Rendezvous.first(first.name, names);
   },
 
   /** The offer with the lowest cost plus jitter. */
   choose: (
-    offers: readonly Offer[],
-    needs: Demand,
+    offers: readonly PlacementOffer[],
+    needs: RequestNeeds,
     random: Random,
-    settings: WorkPlacementSettings,
+    settings: PlacementCostSettings,
     /** Number of proxies that choose by the same load figures. */
     proxies = 1,
-  ): Offer | undefined => {
-    const isCached = offers.some(({ matched, moveMicroseconds }) => matched > 0 || moveMicroseconds > 0);
-    const home = isCached ? undefined : (needs.places?.[0] ?? ByWork.homeOf(needs.parts, offers));
+  ): PlacementOffer | undefined => {
+    const isCached = offers.some(({ matched, importDelayMicroseconds: moveMicroseconds }) => matched > 0 || moveMicroseconds > 0);
+    const home = isCached ? undefined : (needs.places?.[0] ?? PlacementCosts.defaultEngineOf(needs.parts, offers));
     // Jitter keeps proxies that see the same figures from all choosing the same engine. It grows with the number of proxies because all
     // of them use load figures that are half a second old, and the engine with the least load then would get all requests.
-    const jitter = settings.chanceMicroseconds * Math.max(1, proxies / maxProxiesWithFreshLoads);
-    let best: Readonly<{ offer: Offer; cost: number }> | undefined;
+    const jitter = settings.jitterMicroseconds * Math.max(1, proxies / maxProxiesWithFreshLoads);
+    let best: Readonly<{ offer: PlacementOffer; cost: number }> | undefined;
     for (const offer of needs.isShort ? comparedOffers(offers, proxies, random) : offers) {
-      const cost = ByWork.cost(offer, needs, home, settings) + random.fraction() * jitter;
+      const cost = PlacementCosts.cost(offer, needs, home, settings) + random.fraction() * jitter;
       if (best === undefined || cost < best.cost) best = { offer, cost };
     }
     return best?.offer;
--- a/source/edge-proxy/placement/placePolicies.ts
+++ b/source/edge-proxy/placement/placementPolicies.ts
@@ -6,12 +6,12 @@
 import type { Random } from '../../shared/effects/random/random';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals } from '../../shared/verdict/verdict';
-import type { Context, Order, Placed, Policy, Resolved, Step } from '../path/order';
+import type { RequestContext, ProxyRequest, PlacedRequest, Policy, ResolvedRequest, PolicyResult } from '../pipeline/request';
 import type { Candidate, EngineView } from './engineView';
 import { Probes } from '../outliers/probes';
-import type { Placement, Scored } from './placements';
+import type { Placement, ScoredCandidate } from './placements';
 import { Salts } from './salts';
-import type { WorkPlacer } from './workPlacer';
+import type { CostPlacer } from './costPlacer';
 
 /** Maximum number of prompt blocks that are looked up. */
 export const mostBlocks = 128;
@@ -33,8 +33,8 @@
   private prefixName: string | undefined;
 
   public constructor(
-    private readonly resolved: Resolved,
-    order: Order,
+    private readonly resolved: ResolvedRequest,
+    order: ProxyRequest,
   ) {
     const { service } = resolved;
     this.blockChain =
@@ -53,7 +53,7 @@
   }
 
   /** Keys of the blocks of a text, or of the parts that the client named. */
-  public under(weights: string): readonly BlockKey[] {
+  public keysFor(weights: string): readonly BlockKey[] {
     const known = this.keysByWeights.get(weights);
     if (known !== undefined) return known;
     const { service, trustDomain } = this.resolved;
@@ -69,7 +69,7 @@
 
   /** Keys of the parts that the client named; none if the prompt is in the body or its shared parts are short. */
   public parts(weights: string): readonly PartKey[] {
-    return this.named.length > 0 ? (this.under(weights) as readonly PartKey[]) : [];
+    return this.named.length > 0 ? (this.keysFor(weights) as readonly PartKey[]) : [];
   }
 
   /**
@@ -107,20 +107,20 @@
 };
 
 /** What the placement policy works with. */
-export type PlaceParts = Readonly<{
+export type PlacementDependencies = Readonly<{
   view: EngineView;
   shards: ShardBook;
   placement: Placement;
   random: Random;
   metrics: Metrics;
   /** Chooses the engine for a request whose prompt parts are named. */
-  byWork: WorkPlacer;
+  byWork: CostPlacer;
 }>;
 
 /** The pipeline policies that choose an engine. */
-export const PlacePolicies = {
+export const PlacementPolicies = {
   /** Computes the cache keys. `onPrefix` is called once per request, with the prefix that it shares with others. */
-  lookUp: (onPrefix: (prefix: string) => void = () => undefined): Policy => ({
+  computeKeys: (onPrefix: (prefix: string) => void = () => undefined): Policy => ({
     name: 'lookUp',
     apply: (context) => {
       const resolved = context.resolved;
@@ -133,13 +133,13 @@
   }),
 
   /** Chooses an engine, or queues the request if there is none. */
-  place: ({ view, shards, placement, random, metrics, byWork }: PlaceParts): Policy => ({
+  place: ({ view, shards, placement, random, metrics, byWork }: PlacementDependencies): Policy => ({
     name: 'place',
-    apply: async (context: Context): Promise<Step> => {
+    apply: async (context: RequestContext): Promise<PolicyResult> => {
       const { resolved, keys, order } = context;
       if (resolved === undefined || keys === undefined) throw new Error('request has no prompt keys');
       const service = resolved.mapping.service;
-      const available = view.candidates(service).filter(({ name }) => !context.avoided.includes(name));
+      const available = view.candidates(service).filter(({ name }) => !context.avoidedEngines.includes(name));
       const isRepeatable = resolved.mapping.resumable || resolved.mapping.repeatable === true;
       // Only without prompt blocks: the probed engine would have to prefill again what other engines have cached.
       const isProbeSafe = isRepeatable && keys.blocks === 0;
@@ -152,7 +152,7 @@
           lookUps.get(weights) ??
           (keys.blocks === 0
             ? noBlocksMiss
-            : LookUps.find(shards, keys.under(weights), (holder) => view.bootEpochOf(holder)));
+            : LookUps.find(shards, keys.keysFor(weights), (holder) => view.bootEpochOf(holder)));
         lookUps.set(weights, found);
         return found;
       };
@@ -186,13 +186,13 @@
   view: EngineView,
   placement: Placement,
   random: Random,
-): Placed | undefined => {
-  const scored: readonly Scored[] = candidates.map((candidate) => {
+): PlacedRequest | undefined => {
+  const scored: readonly ScoredCandidate[] = candidates.map((candidate) => {
     const found = lookUp(candidate.weights);
     const matched =
       found.kind === 'miss' ? 0 : (found.found.find(({ holder }) => holder === candidate.name)?.matched ?? 0);
     // A proxy that sends several requests to one engine at once assumes that others do the same and that it cannot see this yet.
-    const expectedBurst = Math.max(0, view.unseen(candidate.name) - 1) * (view.proxies() - 1) * expectedBurstShare;
+    const expectedBurst = Math.max(0, view.recentSends(candidate.name) - 1) * (view.proxies() - 1) * expectedBurstShare;
     return { ...candidate, matched, likelyInFlight: candidate.inFlight + expectedBurst };
   });
   const chosen = placement.choose(scored, keys.blocks, random);
@@ -203,6 +203,6 @@
         address: chosen.address,
         bootEpoch: chosen.bootEpoch,
         weights: chosen.weights,
-        matched: chosen.matched,
+        cachedParts: chosen.matched,
       };
 };
--- a/source/edge-proxy/placement/placements.ts
+++ b/source/edge-proxy/placement/placements.ts
@@ -2,25 +2,25 @@
 import type { Candidate } from './engineView';
 
 /** A candidate with its cached prompt blocks and its estimated load. */
-export type Scored = Omit<Candidate, 'zone' | 'work'> & Readonly<{ matched: number; likelyInFlight: number }>;
+export type ScoredCandidate = Omit<Candidate, 'zone' | 'work'> & Readonly<{ matched: number; likelyInFlight: number }>;
 
 /** Strategy that chooses one of the candidates; selected by a setting. */
 export interface Placement {
   readonly name: string;
-  readonly choose: (candidates: readonly Scored[], blocks: number, random: Random) => Scored | undefined;
+  readonly choose: (candidates: readonly ScoredCandidate[], blocks: number, random: Random) => ScoredCandidate | undefined;
 }
 
-const loadOf = ({ likelyInFlight, capacity }: Scored): number => likelyInFlight / Math.max(1, capacity);
+const loadOf = ({ likelyInFlight, capacity }: ScoredCandidate): number => likelyInFlight / Math.max(1, capacity);
 
 /** The less loaded of two random candidates (power of two choices). */
-const lessLoadedOfTwo = (candidates: readonly Scored[], random: Random): Scored | undefined => {
+const lessLoadedOfTwo = (candidates: readonly ScoredCandidate[], random: Random): ScoredCandidate | undefined => {
   const [first, second] = Randoms.shuffled(random, candidates);
   if (first === undefined || second === undefined) return first;
   return loadOf(first) <= loadOf(second) ? first : second;
 };
 
 /** Candidates with free capacity, preferably without suspected ones. */
-const withFreeCapacity = (candidates: readonly Scored[]): readonly Scored[] => {
+const withFreeCapacity = (candidates: readonly ScoredCandidate[]): readonly ScoredCandidate[] => {
   const free = candidates.filter(({ inFlight, capacity }) => inFlight < capacity);
   const healthy = free.filter(({ standing }) => standing !== 'suspected');
   if (healthy.length > 0) return healthy;
@@ -45,8 +45,8 @@
     choose: (candidates, blocks, random) => {
       const free = withFreeCapacity(candidates);
       if (blocks === 0 || free.every(({ matched }) => matched === 0)) return lessLoadedOfTwo(free, random);
-      const cost = (item: Scored): number => blocks - item.matched + blocksPerLoad * loadOf(item) ** 2;
-      return Randoms.shuffled(random, free).reduce<Scored | undefined>(
+      const cost = (item: ScoredCandidate): number => blocks - item.matched + blocksPerLoad * loadOf(item) ** 2;
+      return Randoms.shuffled(random, free).reduce<ScoredCandidate | undefined>(
         (best, item) => (best === undefined || cost(item) < cost(best) ? item : best),
         undefined,
       );
--- a/source/edge-proxy/placement/readSpeeds.ts
+++ b/source/edge-proxy/placement/prefillSpeeds.ts
@@ -6,7 +6,7 @@
 const maxTokensPerMillisecond = 2000;
 
 /** Prefill speed of each engine in tokens per millisecond, averaged over responses that waited for little else. */
-export class ReadSpeeds {
+export class PrefillSpeeds {
   private readonly engines = new Map<string, number>();
   private usual = initialTokensPerMillisecond;
 
@@ -16,7 +16,7 @@
   }
 
   /** Adds a measurement: the tokens prefilled until the first event, including those queued before it on the engine. */
-  public saw(engine: string, tokens: number, microseconds: number): void {
+  public addMeasurement(engine: string, tokens: number, microseconds: number): void {
     if (tokens < minTokens || microseconds <= 0) return;
     const measured = Math.min(
       maxTokensPerMillisecond,
--- a/source/edge-proxy/placement/lanes.ts
+++ b/source/edge-proxy/placement/reservedEngines.ts
@@ -3,11 +3,11 @@
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 
 /** How many engines are reserved for short requests. */
-export type LaneSettings = Readonly<{
+export type ReservedEngineSettings = Readonly<{
   /** A request whose prefill takes less than this is short. */
   shortMicroseconds: number;
   /** Time constant of the exponential decay of the measured mix of short and long requests. */
-  lookBackMicroseconds: number;
+  decayMicroseconds: number;
   /**
    * Share of engines reserved for short requests, in per mille of the share of work that these cause; 0: none. Less than 1000 suffices
    * because short requests wait little and use the engines well.
@@ -19,20 +19,20 @@
    * Upper bound of the utilization of reserved engines, in per mille, where proxies choose by outdated load figures of each other; 0: no
    * bound.
    */
-  busyPerMille: number;
+  maxUtilizationPerMille: number;
   /** Maximum share of all engines, in per mille, that is reserved to keep that bound. */
-  mostPerMille: number;
+  maxReservedPerMille: number;
 }>;
 
-export const LaneSettings = {
+export const ReservedEngineSettings = {
   usual: {
     shortMicroseconds: 30_000,
-    lookBackMicroseconds: 6_000_000,
+    decayMicroseconds: 6_000_000,
     headroomPerMille: 700,
     outputMicroseconds: 4_000,
-    busyPerMille: 450,
-    mostPerMille: 500,
-  } satisfies LaneSettings,
+    maxUtilizationPerMille: 450,
+    maxReservedPerMille: 500,
+  } satisfies ReservedEngineSettings,
 } as const;
 
 /** Work of short and of long requests, in microseconds, decayed to the time `at`. */
@@ -49,13 +49,13 @@
  * have seen. The mix of a single proxy is not enough: in a large fleet it sees a long request only now and then, so the reservations
  * would differ, and long requests of one proxy would run on engines that another one reserves.
  */
-export class Lanes {
+export class ReservedEngines {
   private readonly mixesByPool = new Map<string, Mix>();
   private readonly orders = new Map<string, Readonly<{ of: string; names: readonly string[] }>>();
 
   public constructor(
     private readonly clock: Clock,
-    private readonly settings: LaneSettings,
+    private readonly settings: ReservedEngineSettings,
   ) {}
 
   /** Whether a request with this prefill time is short. */
@@ -64,7 +64,7 @@
   }
 
   /** Adds a placed request to the mix: the time to prefill what its engine has not cached, and its maximum output. */
-  public saw(
+  public recordPlacement(
     service: string,
     readMicroseconds: number,
     outputTokens: number,
@@ -112,7 +112,7 @@
 
   /** Number of engines that short requests need to stay within the utilization bound, by their recent work. */
   private minimumFor(shortMicroseconds: number, engines: number): number {
-    const { busyPerMille, mostPerMille, lookBackMicroseconds } = this.settings;
+    const { maxUtilizationPerMille: busyPerMille, maxReservedPerMille: mostPerMille, decayMicroseconds: lookBackMicroseconds } = this.settings;
     if (busyPerMille === 0) return 1;
     const needed = Math.ceil((shortMicroseconds * 1000) / (lookBackMicroseconds * busyPerMille));
     return Math.max(1, Math.min(needed, Math.floor((engines * mostPerMille) / 1000)));
@@ -130,7 +130,7 @@
   private decayed(service: string): Mix {
     const now = this.clock.nowMicroseconds();
     const mix = this.mixesByPool.get(service) ?? { short: 0, long: 0, at: now };
-    const decay = Math.exp(-(now - mix.at) / this.settings.lookBackMicroseconds);
+    const decay = Math.exp(-(now - mix.at) / this.settings.decayMicroseconds);
     return { short: mix.short * decay, long: mix.long * decay, at: now };
   }
 }
--- a/source/edge-proxy/placement/salts.ts
+++ b/source/edge-proxy/placement/salts.ts
@@ -21,7 +21,7 @@
   },
 
   /** All salts that may be in use now, with the pool on `weights` and the other pools on their intended weights. */
-  present: (blueprint: Blueprint, pool: Pool, weights: string): ReadonlySet<string> => {
+  allCurrent: (blueprint: Blueprint, pool: Pool, weights: string): ReadonlySet<string> => {
     const sets = currentSalts.get(blueprint) ?? new Map<string, ReadonlySet<string>>();
     currentSalts.set(blueprint, sets);
     const modelKey = `${pool.model}\u0000${weights}`;
--- a/source/edge-proxy/placement/deskLink.ts
+++ b/source/edge-proxy/placement/schedulerClient.ts
@@ -10,7 +10,7 @@
 const pauseMicroseconds = 1_000_000;
 
 /** Client of the scheduler, the agent that places long requests for all proxies. Without a timely answer, the proxy places a request itself. */
-export class DeskLink {
+export class SchedulerClient {
   private missed = 0;
   private pausedUntil = -Infinity;
 
@@ -25,23 +25,23 @@
   ) {}
 
   /** Asks the scheduler to place a request; undefined: the proxy places it itself. */
-  public async reserve(order: DeskOrder): Promise<DeskWord | undefined> {
+  public async reserve(request: DeskOrder): Promise<DeskWord | undefined> {
     const address = this.address();
     if (this.askMicroseconds === 0) return undefined;
     const startedMicroseconds = this.clock.nowMicroseconds();
     if (address === undefined || startedMicroseconds < this.pausedUntil) {
-      this.recordResult(order, address === undefined ? 'unknown' : 'resting', startedMicroseconds);
+      this.recordResult(request, address === undefined ? 'unknown' : 'resting', startedMicroseconds);
       return undefined;
     }
-    const answer = await this.transport.ask(address, { kind: 'reserve', order }, this.askMicroseconds);
+    const answer = await this.transport.ask(address, { kind: 'reserve', order: request }, this.askMicroseconds);
     const decision =
       answer.kind === 'answered' && answer.message.kind === 'reserved' ? answer.message['word'] : undefined;
     if (DeskMessages.isWord(decision) && decision.engine !== '') {
       this.missed = 0;
-      this.recordResult(order, 'placed', startedMicroseconds);
+      this.recordResult(request, 'placed', startedMicroseconds);
       return decision;
     }
-    this.recordResult(order, answer.kind === 'answered' ? 'declined' : 'silent', startedMicroseconds);
+    this.recordResult(request, answer.kind === 'answered' ? 'declined' : 'silent', startedMicroseconds);
     this.missed += 1;
     // Paused because each failed call delays a request.
     if (this.missed >= maxConsecutiveFailures) this.pausedUntil = this.clock.nowMicroseconds() + pauseMicroseconds;
--- a/source/edge-proxy/sends/runningSend.ts
+++ b/source/edge-proxy/sends/runningSend.ts
@@ -5,16 +5,16 @@
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
-import type { Fence } from '../fence/fence';
-import type { Identifier } from '../fence/identify';
+import type { StalenessGuard } from '../identification/stalenessGuard';
+import type { RequestIdentifier } from '../identification/requestIdentifier';
 import { noFetch, type FetchPlan } from '../fetch/fetchPlanner';
 import type { LinkSpeeds } from '../fetch/linkSpeeds';
 import type { PartMoves } from '../fetch/partMoves';
-import type { Context, Placed, Resolved, Step } from '../path/order';
-import { OrderLimits } from '../path/orderLimits';
-import type { DeskLink } from '../placement/deskLink';
+import type { RequestContext, PlacedRequest, ResolvedRequest, PolicyResult } from '../pipeline/request';
+import { RequestLimits } from '../pipeline/requestLimits';
+import type { SchedulerClient } from '../placement/schedulerClient';
 import type { EngineView } from '../placement/engineView';
-import type { ReadSpeeds } from '../placement/readSpeeds';
+import type { PrefillSpeeds } from '../placement/prefillSpeeds';
 import type { RetryBudget } from './retryBudget';
 import type { AnswerEnd } from '../outliers/outlierDetector';
 import { FinalEvent, SendStates, type SendEvent, type SendState } from './sendState';
@@ -23,14 +23,14 @@
 export type SendParts = Readonly<{
   sender: BackEndSender;
   words: BackEndWords;
-  fence: Fence;
-  identifier: Identifier;
+  fence: StalenessGuard;
+  identifier: RequestIdentifier;
   view: EngineView;
   speeds: LinkSpeeds;
   /** What imports of named parts have taken, and how fast engines read. */
   moves: PartMoves;
-  readSpeeds: ReadSpeeds;
-  desk: Pick<DeskLink, 'done'>;
+  readSpeeds: PrefillSpeeds;
+  desk: Pick<SchedulerClient, 'done'>;
   /** Whether answers still running on weights whose time is over are cut. */
   cutsOldWeights: boolean;
   clock: Clock;
@@ -40,9 +40,9 @@
   logRead: Log | undefined;
   budgetOf: (service: string) => RetryBudget;
   /** How long an order may still be held. */
-  holdingLeft: (context: Context) => number;
+  holdingLeft: (context: RequestContext) => number;
   /** What an order's class means to an engine; undefined: nothing is said. */
-  urgencyOf: (context: Context) => number | undefined;
+  urgencyOf: (context: RequestContext) => number | undefined;
   /** When an order that engines had no room for should be asked again. */
   busySeconds: number;
   /** Whether a send that never reached its engine counts as none. */
@@ -81,38 +81,38 @@
   private begunWith: Begun = { reading: 0, inFlight: 0 };
   private sentMicroseconds: number;
   private cutSend: () => void = () => undefined;
-  private stopped: Step | undefined;
-  private finish: (step: Step) => void = () => undefined;
+  private stopped: PolicyResult | undefined;
+  private finish: (step: PolicyResult) => void = () => undefined;
   private readonly startedMicroseconds: number;
 
   public constructor(
     private readonly parts: SendParts,
-    private readonly context: Context,
-    private readonly resolved: Resolved,
-    private readonly placed: Placed,
+    private readonly context: RequestContext,
+    private readonly resolved: ResolvedRequest,
+    private readonly placed: PlacedRequest,
     private readonly fetch: FetchPlan,
-    private readonly lastLook: () => Step | undefined,
+    private readonly lastLook: () => PolicyResult | undefined,
   ) {
     this.startedMicroseconds = parts.clock.nowMicroseconds();
     this.sentMicroseconds = this.startedMicroseconds;
   }
 
-  public run(): Promise<Step> {
+  public run(): Promise<PolicyResult> {
     const { parts, context, placed, fetch } = this;
     const { order, answer } = context;
     parts.tell(fetch.began);
     this.begunWith = {
-      reading: parts.view.work.of(placed.engine).reading,
+      reading: parts.view.work.of(placed.engine).pendingPrefillTokens,
       inFlight: parts.view.ownInFlight(placed.engine),
     };
-    parts.view.began(placed.engine);
-    parts.view.work.began(placed.engine, placed.bootEpoch, {
+    parts.view.recordSendStart(placed.engine);
+    parts.view.work.recordSendStart(placed.engine, placed.bootEpoch, {
       order: order.id,
-      toRead: placed.toRead ?? 0,
-      tokens: (order.promptTokens ?? 0) + (order.mostTokens ?? 0),
+      tokensToPrefill: placed.tokensToPrefill ?? 0,
+      tokens: (order.promptTokens ?? 0) + (order.maxOutputTokens ?? 0),
       fills: fetch.fills,
     });
-    const over = new Promise<Step>((resolve) => {
+    const over = new Promise<PolicyResult>((resolve) => {
       this.finish = resolve;
     });
     const cancelLimit = parts.clock.after(Math.max(0, this.leftMicroseconds()), () =>
@@ -137,7 +137,7 @@
     );
     this.cutSend = cut;
     // Why after: the caller may have left in the meantime, or the sender may have failed at once.
-    answer.whenGone(() => this.abandon(Refusals.make(499, 'mayHaveRun', 'userAgentGone', 'The caller left.')));
+    answer.onClientGone(() => this.abandon(Refusals.make(499, 'mayHaveRun', 'userAgentGone', 'The caller left.')));
     return over.finally(() => {
       cancelLimit();
       parts.view.ended(placed.engine);
@@ -156,7 +156,7 @@
     const { service, mapping } = this.resolved;
     const { order } = this.context;
     const spent = this.parts.clock.nowMicroseconds() - order.arrivedMicroseconds;
-    return Math.min(service.answerLimitMicroseconds, OrderLimits.of(order, mapping) - spent);
+    return Math.min(service.answerLimitMicroseconds, RequestLimits.of(order, mapping) - spent);
   }
 
   /** Called with every piece of news: an answer on weights whose time is over ends here, visibly. */
@@ -168,7 +168,7 @@
       this.parts.seenAgeMicroseconds(this.placed.engine) > this.parts.silentMicroseconds
     ) {
       // Why: a frozen engine would find the order in its conn when it wakes, long after what it was taken under is gone.
-      const stands = this.parts.identifier.stillStands(this.context.order, this.resolved);
+      const stands = this.parts.identifier.revalidate(this.context.order, this.resolved);
       const changed = stands.kind === 'refuse' ? stands.refusal : undefined;
       const unlisted = !this.parts.view.isListed(this.resolved.mapping.service, this.placed.engine);
       if ((changed !== undefined && changed.code !== 'notFresh') || stands.kind === 'moved' || unlisted) {
@@ -220,7 +220,7 @@
       model: service.kind === 'pool' ? service.model : '',
       weights: this.placed.weights,
       urgency: this.parts.urgencyOf(this.context),
-      leftMicroseconds: Number.isFinite(OrderLimits.of(order, mapping)) ? this.leftMicroseconds() : undefined,
+      leftMicroseconds: Number.isFinite(RequestLimits.of(order, mapping)) ? this.leftMicroseconds() : undefined,
       salt,
       target,
       source,
@@ -256,10 +256,10 @@
       const refusal = Refusals.make(503, 'notRun', 'engineBusy', 'The engine is busy.', this.parts.busySeconds);
       if (meaning.notRun === 'busy') {
         // Why back to holding: the next place should come from fresher counts, not from guessing again.
-        this.parts.view.saidFull(this.placed.engine);
+        this.parts.view.markFull(this.placed.engine);
         this.again(refusal, 'hold');
       } else {
-        this.parts.view.saidOther(this.placed.engine);
+        this.parts.view.markAbsent(this.placed.engine);
         this.again(refusal);
       }
       return;
@@ -298,7 +298,7 @@
     if (head.status < 500 || head.status === 504 || !this.isRepeatable()) return false;
     const { engine } = this.placed;
     const isElsewhere = ({ name }: Readonly<{ name: string }>): boolean =>
-      name !== engine && !this.context.avoided.includes(name);
+      name !== engine && !this.context.avoidedEngines.includes(name);
     if (!this.parts.view.candidates(this.resolved.mapping.service).some(isElsewhere)) return false;
     const refusal = Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The engine failed.');
     const context = this.contextAgain(refusal, 'again');
@@ -362,13 +362,13 @@
   /** What the time to the first event tells of reading and moving, where little else was in the way. */
   private learn(): void {
     const { parts, placed, fetch } = this;
-    const toRead = placed.toRead ?? 0;
+    const toRead = placed.tokensToPrefill ?? 0;
     if (toRead === 0) return;
     const took = parts.clock.nowMicroseconds() - this.sentMicroseconds;
     this.tellRead(took);
     if (this.begunWith.inFlight > fewBefore) return;
     const { move } = fetch;
-    if (move === undefined) parts.readSpeeds.saw(placed.engine, toRead + this.begunWith.reading, took);
+    if (move === undefined) parts.readSpeeds.addMeasurement(placed.engine, toRead + this.begunWith.reading, took);
     else {
       const reading = ((toRead + this.begunWith.reading) * 1000) / parts.readSpeeds.of(placed.engine);
       parts.moves.measured(placed.engine, move, Math.max(0, took - reading));
@@ -387,12 +387,12 @@
   }
 
   private tellRead(took: number): void {
-    if (this.parts.logRead === undefined || this.fetch.fills.length + this.placed.matched === 0) return;
+    if (this.parts.logRead === undefined || this.fetch.fills.length + this.placed.cachedParts === 0) return;
     const { placed, fetch, context } = this;
     const { order } = context;
     const tokens = order.parts?.map(({ size }) => size).join('+') ?? '';
     this.parts.logRead(
-      `Order ${order.id} (${tokens}) at ${placed.engine}, weights ${placed.weights}, kept ${placed.matched}, ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'by guess' : `in ${Math.round(fetch.move.microseconds / 1000)}`}, to store ${fetch.target === undefined ? 'no' : 'yes'}, read ${placed.toRead} behind ${this.begunWith.reading}, ${this.begunWith.inFlight} running: first event after ${Math.round(took / 1000)} ms, ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after it came.`,
+      `Order ${order.id} (${tokens}) at ${placed.engine}, weights ${placed.weights}, kept ${placed.cachedParts}, ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'by guess' : `in ${Math.round(fetch.move.microseconds / 1000)}`}, to store ${fetch.target === undefined ? 'no' : 'yes'}, read ${placed.tokensToPrefill} behind ${this.begunWith.reading}, ${this.begunWith.inFlight} running: first event after ${Math.round(took / 1000)} ms, ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after it came.`,
     );
   }
 
@@ -431,7 +431,7 @@
         return;
       }
       this.parts.view.outliers.unreached(this.placed.engine);
-      if (this.parts.unsentIsFree) this.parts.view.saidOther(this.placed.engine);
+      if (this.parts.unsentIsFree) this.parts.view.markAbsent(this.placed.engine);
       this.again(Refusals.make(503, 'notRun', 'engineFailed', 'The engine could not be reached.', 1), 'unsent');
       return;
     }
@@ -483,15 +483,15 @@
   }
 
   /** What the next send goes out with, paid for; undefined: there may be none. */
-  private contextAgain(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): Context | undefined {
+  private contextAgain(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): RequestContext | undefined {
     const kind = how === 'hold' ? 'hold' : 'again';
     const after = this.events.lastId ?? this.context.after;
-    const context: Context = {
+    const context: RequestContext = {
       ...this.context,
       sends: this.context.sends + (how === 'unsent' && this.parts.unsentIsFree ? 0 : 1),
       rounds: this.context.rounds + 1,
       mayHaveRun: this.context.mayHaveRun || refusal.verdict !== 'notRun',
-      avoided: [...this.context.avoided, this.placed.engine],
+      avoidedEngines: [...this.context.avoidedEngines, this.placed.engine],
       ...(after === undefined ? {} : { after }),
     };
     const spent =
@@ -506,6 +506,6 @@
       (free || (kind === 'hold' ? budget.mayHope(this.parts.holdingLeft(context)) : budget.spend()));
     if (!mayGoOn) return undefined;
     this.parts.metrics.count('postdrum_sends_again_total', { service: this.resolved.mapping.service });
-    return { ...context, owesSend: kind === 'hold' };
+    return { ...context, owesRetryBudget: kind === 'hold' };
   }
 }
--- a/source/edge-proxy/sends/sendPolicy.ts
+++ b/source/edge-proxy/sends/sendPolicy.ts
@@ -1,6 +1,6 @@
 import { Refusals } from '../../shared/verdict/verdict';
 import { noFetch } from '../fetch/fetchPlanner';
-import type { Context, Placed, Policy, Resolved, Step } from '../path/order';
+import type { RequestContext, PlacedRequest, Policy, ResolvedRequest, PolicyResult } from '../pipeline/request';
 import { RunningSend, type SendParts } from './runningSend';
 
 /** The last policy: looks once more whether the order may go, sends it, and passes the answer on. */
@@ -10,7 +10,7 @@
 
   public constructor(private readonly parts: SendParts) {}
 
-  public readonly apply = async (context: Context): Promise<Step> => {
+  public readonly apply = async (context: RequestContext): Promise<PolicyResult> => {
     const { resolved, placed } = context;
     if (resolved === undefined || placed === undefined) throw new Error('nothing placed');
     const fetch = context.fetch ?? noFetch;
@@ -43,13 +43,13 @@
   }
 
   /** Undefined: it may go. Otherwise what becomes of an order of which nothing has been written. */
-  private lastLook(context: Context, resolved: Resolved, placed: Placed): Step | undefined {
+  private lastLook(context: RequestContext, resolved: ResolvedRequest, placed: PlacedRequest): PolicyResult | undefined {
     const { fence, identifier } = this.parts;
     // Why again here: the process may have been frozen since the order was taken.
-    if (!fence.fresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
+    if (!fence.isFresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
     if (context.answer.gone())
       return { kind: 'refuse', refusal: Refusals.make(499, 'notRun', 'userAgentGone', 'The caller left.') };
-    const stands = identifier.stillStands(context.order, resolved);
+    const stands = identifier.revalidate(context.order, resolved);
     if (stands.kind === 'refuse') return stands;
     if (stands.kind === 'moved') {
       const refusal = Refusals.make(503, 'notRun', 'mappingRemoved', 'The mapping changed again and again.', 1);
@@ -57,7 +57,7 @@
     }
     const { engine: name, bootEpoch, weights } = placed;
     // Why also those left out: it was placed there before, and one on probation counts this very order as its own.
-    if (this.parts.view.isAble(resolved.mapping.service, { name, bootEpoch, weights })) return undefined;
+    if (this.parts.view.isUsable(resolved.mapping.service, { name, bootEpoch, weights })) return undefined;
     const refusal = Refusals.make(503, 'notRun', 'noEngine', 'The engine left while the order was placed.', 1);
     return { kind: 'hold', context, refusal };
   }
--- a/source/fleet-simulator/faults/changeFaults.ts
+++ b/source/fleet-simulator/faults/changeFaults.ts
@@ -72,7 +72,7 @@
       .filter(({ agentProcess }) => agentProcess.alive)
       .reduce<SimEdge | undefined>(
         (best, edge) =>
-          best === undefined || edge.agent.stewardship.held().length > best.agent.stewardship.held().length
+          best === undefined || edge.agent.stewardship.activeControllers().length > best.agent.stewardship.activeControllers().length
             ? edge
             : best,
         undefined,
--- a/source/fleet-simulator/faults/worstCoreFaults.ts
+++ b/source/fleet-simulator/faults/worstCoreFaults.ts
@@ -18,7 +18,7 @@
 const leaderOr = (trouble: Trouble): SimKeeper => {
   const { fleet } = trouble;
   const leads = ({ keeper, name, process }: SimKeeper): boolean =>
-    process.alive && keeper?.owners()['blueprint']?.owner === name;
+    process.alive && keeper?.keyLeaders()['blueprint']?.owner === name;
   return fleet.present().find(leads) ?? someKeeper(trouble);
 };
 
@@ -172,7 +172,7 @@
   /** The edge machine that holds most engine leases, and so gave the last commands to engines, is killed. */
   leaseHolderKilled: async (trouble) => {
     const { fleet } = trouble;
-    const held = Object.values(leaderOr(trouble).keeper?.duties.holders() ?? {}).map(({ holder }) => holder);
+    const held = Object.values(leaderOr(trouble).keeper?.duties.grantedLeases() ?? {}).map(({ holder }) => holder);
     const edge = fleet.edges.find(({ name }) => held.includes(name)) ?? fleet.edge(0);
     fleet.killEdge(edge);
     await wait(trouble, 300_000, 3_000_000);
--- a/source/fleet-simulator/judges/remains.ts
+++ b/source/fleet-simulator/judges/remains.ts
@@ -9,8 +9,8 @@
   };
   for (const { name, proxy, agent } of fleet.edges) {
     for (const [what, count] of Object.entries(proxy.remains())) expectNone(name, what, count);
-    for (const steward of agent.stewardship.held())
-      expectNone(`the shard of ${steward.name}`, 'charged blocks', steward.counts().charged);
+    for (const steward of agent.stewardship.activeControllers())
+      expectNone(`the shard of ${steward.name}`, 'charged blocks', steward.blockCounts().charged);
   }
   for (const name of fleet.backEndMachines())
     expectNone(name, 'running orders', fleet.backEnds.get(name).engine?.status().inFlight ?? 0);
--- a/source/fleet-simulator/machines/simCallers.ts
+++ b/source/fleet-simulator/machines/simCallers.ts
@@ -1,5 +1,5 @@
 import type { EdgeProxy } from '../../edge-proxy/edgeProxy';
-import type { AnswerSink } from '../../edge-proxy/path/order';
+import type { ResponseSink } from '../../edge-proxy/pipeline/request';
 import { HashChains } from '../../shared/directory/hashChain';
 import type { Refusal } from '../../shared/verdict/verdict';
 import { Answers } from '../../stand-in-engine/standInEngine';
@@ -131,10 +131,10 @@
       call.retryAfterSeconds = refusal.retryAfterSeconds;
       finish(true);
     };
-    const answer: AnswerSink = {
+    const answer: ResponseSink = {
       begun: () => call.status !== 0,
       gone: () => call.left,
-      whenGone: (act) => void (call.left ? act() : gone.push(act)),
+      onClientGone: (act) => void (call.left ? act() : gone.push(act)),
       head: ({ status, headers }) => {
         call.status = status;
         call.verdict = headers['postdrum-verdict'] ?? '';
--- a/source/fleet-simulator/machines/simFleet.ts
+++ b/source/fleet-simulator/machines/simFleet.ts
@@ -1,5 +1,5 @@
-import { KeeperDefaults } from '../../core-keeper/controlSettings';
-import { CoreKeeper } from '../../core-keeper/coreKeeper';
+import { ControlNodeDefaults } from '../../core-keeper/controlNodeSettings';
+import { ControlNode } from '../../core-keeper/controlNode';
 import type { ChangeOrder, ChangeOutcome } from '../../core-keeper/register/messages';
 import { AgentDefaults, EdgeAgent } from '../../edge-agent/edgeAgent';
 import { EdgeProxy, ProxyDefaults, type ProxySettings } from '../../edge-proxy/edgeProxy';
@@ -62,7 +62,7 @@
   replaces: string;
   replaced: boolean;
   process: SimProcess;
-  keeper: CoreKeeper | undefined;
+  keeper: ControlNode | undefined;
   exits: number;
 };
 export type SimEdge = {
@@ -277,15 +277,15 @@
     const process = new SimProcess(this.world, keeper.name, keeper.machine, this.drift());
     keeper.process = process;
     const effects = { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) };
-    const made = new CoreKeeper(effects, keeper.disk.of(process), {
-      ...KeeperDefaults,
+    const made = new ControlNode(effects, keeper.disk.of(process), {
+      ...ControlNodeDefaults,
       name: keeper.name,
       member: keeper.member,
       seeds: this.seeds,
       replaces: keeper.replaces,
     });
     keeper.keeper = made;
-    made.news.on('broken', () => {
+    made.events.on('broken', () => {
       keeper.exits += 1;
       process.kill();
     });
--- a/source/measure/hollow/hollowCore.ts
+++ b/source/measure/hollow/hollowCore.ts
@@ -1,5 +1,5 @@
-import { KeeperDefaults } from '../../core-keeper/controlSettings';
-import { CoreKeeper } from '../../core-keeper/coreKeeper';
+import { ControlNodeDefaults } from '../../core-keeper/controlNodeSettings';
+import { ControlNode } from '../../core-keeper/controlNode';
 import type { ChangeOrder } from '../../core-keeper/register/messages';
 import { SimDisk } from '../../fleet-simulator/world/simDisk';
 import { SimNetwork } from '../../fleet-simulator/world/simNetwork';
@@ -11,7 +11,7 @@
   public readonly world: World;
   public readonly network: SimNetwork;
   public readonly seeds: readonly string[];
-  public readonly keepers: readonly CoreKeeper[];
+  public readonly keepers: readonly ControlNode[];
   private changes = 0;
 
   public constructor(seed: number, count: number) {
@@ -21,11 +21,11 @@
     this.keepers = this.seeds.map((address, index) => {
       const machine = `10.1.0.${index + 1}`;
       const process = new SimProcess(this.world, `core-${index + 1}`, machine);
-      return new CoreKeeper(
+      return new ControlNode(
         { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) },
         new SimDisk(this.world).of(process),
         {
-          ...KeeperDefaults,
+          ...ControlNodeDefaults,
           name: `core-${index + 1}`,
           member: { address, operatorsAddress: `${machine}:2`, zone: '' },
           seeds: this.seeds,
--- a/source/measure/measurements/membership.ts
+++ b/source/measure/measurements/membership.ts
@@ -1,8 +1,8 @@
 import { AgentDefaults } from '../../edge-agent/edgeAgent';
 import { Membership } from '../../edge-agent/membership/membership';
-import { DutyHolder } from '../../edge-agent/stewards/dutyHolder';
-import { DutyLine, DutySubjects } from '../../edge-agent/stewards/dutyLine';
-import type { CoreLink } from '../../edge-agent/core-link/coreLink';
+import { LeaseHolder } from '../../edge-agent/leases/leaseHolder';
+import { LeaseCandidacy, LeaseSubjects } from '../../edge-agent/leases/leaseCandidacy';
+import type { ControlLink } from '../../edge-agent/control-link/controlLink';
 import { ShardBook } from '../../shared/directory/shardBook';
 import { ShardNews } from '../../shared/directory/shardNews';
 import { realClock } from '../../shared/effects/clock/realClock';
@@ -50,9 +50,9 @@
     };
     const settings = { leaseMicroseconds: AgentDefaults.leaseMicroseconds, askMicroseconds: 1 };
     // Why no link: what is measured here asks no keeper.
-    const duties = new DutyHolder(self.name, {} as CoreLink, effects, settings);
-    const line = new DutyLine(self.name, duties, members, facts, realClock, AgentDefaults);
-    const subjects = Array.from({ length: engines }, (_, index) => DutySubjects.engine(Made.engine(index + 1)));
+    const duties = new LeaseHolder(self.name, {} as ControlLink, effects, settings);
+    const line = new LeaseCandidacy(self.name, duties, members, facts, realClock, AgentDefaults);
+    const subjects = Array.from({ length: engines }, (_, index) => LeaseSubjects.engine(Made.engine(index + 1)));
     const own = subjects.filter(({ factKey }) => facts.value<{ holder: string }>(factKey)?.holder === self.name);
     const shards = new ShardBook();
     const holders = subjects.map(({ name }) => name);
@@ -60,19 +60,19 @@
       shards.set(holder, new ShardNews({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 }));
     return {
       newsTurn: await Costs.each(() => {
-        members.defend();
+        members.refuteSuspicion();
         members.tick();
-        return [members.colleagues(), members.neighbours()];
+        return [members.gossipPeers(), members.zonePeers()];
       }),
-      watchTurn: await Costs.each(() => members.watched()),
+      watchTurn: await Costs.each(() => members.probeTargets()),
       ballotTurn: await Costs.each(() => {
         const names = members.present().map(({ name }) => name);
-        for (const subject of own) line.handsOver(subject, names);
-        return subjects.filter((subject) => !own.includes(subject) && line.standsFor(subject, names));
+        for (const subject of own) line.handoverTarget(subject, names);
+        return subjects.filter((subject) => !own.includes(subject) && line.shouldRequest(subject, names));
       }),
       lineTurn: await Costs.each((turn) => {
         const names = members.present().map(({ name }) => name);
-        return line.handsOver(DutySubjects.engine(Made.engine(1 + (turn % engines))), names);
+        return line.handoverTarget(LeaseSubjects.engine(Made.engine(1 + (turn % engines))), names);
       }),
       keepOnlyTurn: await Costs.each(() => shards.keepOnly(holders)),
     };
--- a/source/measure/measurements/placement.ts
+++ b/source/measure/measurements/placement.ts
@@ -1,19 +1,19 @@
 import { pack, unpack } from 'msgpackr';
 import { WorkDesk } from '../../edge-agent/desk/workDesk';
-import { Fence } from '../../edge-proxy/fence/fence';
+import { StalenessGuard } from '../../edge-proxy/identification/stalenessGuard';
 import { LinkSpeeds } from '../../edge-proxy/fetch/linkSpeeds';
 import { MoveSettings, PartMoves } from '../../edge-proxy/fetch/partMoves';
-import type { Order, Resolved } from '../../edge-proxy/path/order';
-import { WorkPlacementSettings } from '../../edge-proxy/placement/byWork';
-import { DeskLink } from '../../edge-proxy/placement/deskLink';
+import type { ProxyRequest, ResolvedRequest } from '../../edge-proxy/pipeline/request';
+import { PlacementCostSettings } from '../../edge-proxy/placement/placementCosts';
+import { SchedulerClient } from '../../edge-proxy/placement/schedulerClient';
 import { EngineView } from '../../edge-proxy/placement/engineView';
 import { EngineWork } from '../../edge-proxy/placement/engineWork';
 import { DemandSettings, DemandView } from '../../edge-proxy/demand/demandView';
 import { Metrics } from '../../shared/metrics/metrics';
-import { Lanes, LaneSettings } from '../../edge-proxy/placement/lanes';
-import { PromptKeys } from '../../edge-proxy/placement/placePolicies';
-import { ReadSpeeds } from '../../edge-proxy/placement/readSpeeds';
-import { WorkPlacer } from '../../edge-proxy/placement/workPlacer';
+import { ReservedEngines, ReservedEngineSettings } from '../../edge-proxy/placement/reservedEngines';
+import { PromptKeys } from '../../edge-proxy/placement/placementPolicies';
+import { PrefillSpeeds } from '../../edge-proxy/placement/prefillSpeeds';
+import { CostPlacer } from '../../edge-proxy/placement/costPlacer';
 import { DeskMessages } from '../../shared/desk/messages';
 import { LookUps } from '../../shared/directory/lookup';
 import { ShardBook } from '../../shared/directory/shardBook';
@@ -30,7 +30,7 @@
 const models = 23;
 const blocksPerHolder = 50;
 
-const orderOf = (turn: number): Order => ({
+const orderOf = (turn: number): ProxyRequest => ({
   id: `order-${turn}`,
   method: 'POST',
   path: '/v1/chat/completions',
@@ -45,7 +45,7 @@
     { name: `own-${turn}`, size: 700 },
   ],
   promptTokens: 2800,
-  mostTokens: 300,
+  maxOutputTokens: 300,
 });
 
 /** One proxy's view of a fleet, with the clock in the hand of who measures. */
@@ -60,21 +60,21 @@
   const freshness = new Freshness(clock, undefined, 'listed');
   Made.give(freshness, clock, 'blueprint', JSON.stringify(Made.blueprint(services, 10, services)));
   Made.give(freshness, clock, 'engines', JSON.stringify(Made.list(engines, services)));
-  const work = new EngineWork(clock, { latelyMicroseconds: 3_000_000 });
-  const fence = new Fence(freshness, clock, Infinity);
+  const work = new EngineWork(clock, { recentMicroseconds: 3_000_000 });
+  const fence = new StalenessGuard(freshness, clock, Infinity);
   const view = new EngineView(Made.daemon(1), freshness, facts, fence, clock, work);
   const shards = new ShardBook();
   const text = freshness.blueprint;
   const service = text?.services[Made.service(1)];
   const mapping = text?.mappings['mapping-1'];
   if (text === undefined || service === undefined || mapping === undefined) throw new Error('no blueprint is in force');
-  const resolved: Resolved = {
+  const resolved: ResolvedRequest = {
     mappingName: 'mapping-1',
     mapping,
     tenant: 'tenant-1',
     trustDomain: '',
     service,
-    under: text,
+    resolvedWith: text,
   };
   for (let number = 1; number <= engines; number += 1) {
     const holder = Made.engine(number);
@@ -103,15 +103,15 @@
     listen: () => Promise.reject(new Error('nobody listens here')),
     close: () => Promise.resolve(),
   };
-  const speeds = new ReadSpeeds();
-  const placer = new WorkPlacer(
+  const speeds = new PrefillSpeeds();
+  const placer = new CostPlacer(
     view,
     new PartMoves(view, new LinkSpeeds(1000, 4096), MoveSettings.usual),
     speeds,
     random,
     Made.zone(1),
-    new Lanes(clock, LaneSettings.usual),
-    new DeskLink(
+    new ReservedEngines(clock, ReservedEngineSettings.usual),
+    new SchedulerClient(
       transport,
       clock,
       () => view.others.listHolder()?.address,
@@ -119,7 +119,7 @@
       new Metrics(),
       () => undefined,
     ),
-    WorkPlacementSettings.usual,
+    PlacementCostSettings.usual,
     new DemandView(facts, clock, DemandSettings.usual),
     new Metrics(),
   );
--- a/source/measure/measurements/proxyPath.ts
+++ b/source/measure/measurements/proxyPath.ts
@@ -1,5 +1,5 @@
 import { EdgeProxy, ProxyDefaults } from '../../edge-proxy/edgeProxy';
-import type { AnswerSink, Order } from '../../edge-proxy/path/order';
+import type { ResponseSink, ProxyRequest } from '../../edge-proxy/pipeline/request';
 import { World } from '../../fleet-simulator/world/world';
 import { BackEndHeaders, type BackEndSender } from '../../shared/back-end/protocol';
 import { ShardBook } from '../../shared/directory/shardBook';
@@ -132,7 +132,7 @@
     proxy.stop();
     let whole = 0;
     let refused = '';
-    const orderOf = (turn: number): Order => ({
+    const orderOf = (turn: number): ProxyRequest => ({
       id: `order-${turn}`,
       method: 'POST',
       path: '/v1/chat/completions',
@@ -147,10 +147,10 @@
     });
     const order = await Costs.each(async (turn) => {
       let begun = false;
-      const sink: AnswerSink = {
+      const sink: ResponseSink = {
         begun: () => begun,
         gone: () => false,
-        whenGone: () => undefined,
+        onClientGone: () => undefined,
         head: () => void (begun = true),
         part: () => undefined,
         end: () => void (whole += 1),
--- a/source/shared/register/majorityRead.ts
+++ b/source/shared/register/majorityRead.ts
@@ -1,7 +1,7 @@
 import type { CoreMember, DocumentKey } from '../blueprint/types';
 import { DocumentKeys } from '../blueprint/types';
 import type { Statement } from '../freshness/freshness';
-import { Epochs, Stamps, type KeyWord, type Stamp } from './types';
+import { Epochs, Stamps, type KeyStatement, type Stamp } from './types';
 
 /** The member list as one member knows it; two sets while a member changes. */
 export type MembersView = Readonly<{
@@ -11,11 +11,11 @@
 }>;
 
 /** What one control node has accepted for each key, and its member list. */
-export type WordsAnswer = Readonly<{
+export type StatementsAnswer = Readonly<{
   kind: 'words';
   stamp: Stamp;
   membersRevision: number;
-  words: readonly KeyWord[];
+  words: readonly KeyStatement[];
   view: MembersView;
 }>;
 
@@ -27,7 +27,7 @@
   isMajority: boolean;
 }>;
 
-const mergeWeightsAges = (statements: readonly KeyWord[]): Statement['weights'] => {
+const mergeWeightsAges = (statements: readonly KeyStatement[]): Statement['weights'] => {
   const best: Record<string, { weights: string; previous: string | null; ageMicroseconds: number | null }> = {};
   for (const statement of statements) {
     for (const [service, age] of Object.entries(statement.weights ?? {})) {
@@ -47,13 +47,13 @@
 };
 
 /** One member's statement about one key. */
-type MemberStatement = Readonly<{ keeper: string; word: KeyWord }>;
+type MemberStatement = Readonly<{ keeper: string; word: KeyStatement }>;
 
-const compareValues = (left: KeyWord, right: KeyWord): number =>
+const compareValues = (left: KeyStatement, right: KeyStatement): number =>
   Epochs.compare(left.epoch, right.epoch) || left.revision - right.revision;
 
-const newestStatement = (statements: readonly MemberStatement[]): KeyWord | undefined =>
-  statements.reduce<KeyWord | undefined>(
+const newestStatement = (statements: readonly MemberStatement[]): KeyStatement | undefined =>
+  statements.reduce<KeyStatement | undefined>(
     (best, { word }) => (best === undefined || compareValues(word, best) > 0 ? word : best),
     undefined,
   );
@@ -66,13 +66,13 @@
 const provenStatement = (
   statements: readonly MemberStatement[],
   sets: MembersView['sets'],
-  isDecided: (statement: KeyWord) => boolean,
-): KeyWord | undefined => {
+  isDecided: (statement: KeyStatement) => boolean,
+): KeyStatement | undefined => {
   const names = statements.map(({ keeper }) => keeper);
   const newest = newestStatement(statements);
-  if (newest === undefined || !Stamps.reached(sets, names)) return undefined;
+  if (newest === undefined || !Stamps.hasMajority(sets, names)) return undefined;
   const holders = statements.filter(({ word }) => compareValues(word, newest) === 0).map(({ keeper }) => keeper);
-  if (Stamps.reached(sets, holders) || isDecided(newest)) return newest;
+  if (Stamps.hasMajority(sets, holders) || isDecided(newest)) return newest;
   const others = statements.filter(({ keeper }) => !holders.includes(keeper));
   return provenStatement(others, sets, isDecided);
 };
@@ -83,19 +83,19 @@
    * What a set of answers proves. A revision is reported only if it is known to be decided: a majority holds it under one epoch, a
    * leader announced it as decided, or it is the one already applied.
    */
-  judge: (
-    answers: readonly WordsAnswer[],
+  evaluate: (
+    answers: readonly StatementsAnswer[],
     fleet: string,
     appliedValue: (key: DocumentKey) => Readonly<{ revision: number; digest: string }> | undefined,
   ): MajorityRead => {
-    const valid = Stamps.sound(answers.filter(({ stamp }) => fleet !== '' && stamp.fleet === fleet));
+    const valid = Stamps.currentAnswers(answers.filter(({ stamp }) => fleet !== '' && stamp.fleet === fleet));
     const view = valid.reduce<MembersView | undefined>(
       (best, answer) => (best === undefined || answer.view.revision > best.revision ? answer.view : best),
       undefined,
     );
     if (
       view === undefined ||
-      !Stamps.reached(
+      !Stamps.hasMajority(
         view.sets,
         valid.map(({ stamp }) => stamp.keeper),
       )
@@ -107,7 +107,7 @@
         answer.words.filter((word) => word.key === key).map((word) => ({ keeper: answer.stamp.keeper, word })),
       );
       const applied = appliedValue(key);
-      const isDecided = ({ revision, digest }: KeyWord): boolean =>
+      const isDecided = ({ revision, digest }: KeyStatement): boolean =>
         (applied?.revision === revision && applied.digest === digest) ||
         keyStatements.some(({ word }) => word.decidedRevision === revision && word.decidedDigest === digest);
       const proven = provenStatement(keyStatements, view.sets, isDecided);
--- a/source/shared/register/types.ts
+++ b/source/shared/register/types.ts
@@ -8,7 +8,7 @@
   none: { number: 0, keeper: '' } as Epoch,
   compare: (left: Epoch, right: Epoch): number =>
     left.number - right.number || (left.keeper < right.keeper ? -1 : left.keeper > right.keeper ? 1 : 0),
-  text: (epoch: Epoch): string => `${epoch.number}.${epoch.keeper}`,
+  toText: (epoch: Epoch): string => `${epoch.number}.${epoch.keeper}`,
 } as const;
 
 /** The changes that led to a value, in fixed-size records, and the highest base of the changes no longer recorded. */
@@ -33,7 +33,7 @@
 export type WeightsAge = Readonly<{ weights: string; previous: string | null; ageMicroseconds: number | null }>;
 
 /** A control node's statement about one key: what it has accepted, what it knows as decided, and the leader it knows. */
-export type KeyWord = Readonly<{
+export type KeyStatement = Readonly<{
   key: DocumentKey;
   epoch: Epoch;
   revision: number;
@@ -52,15 +52,15 @@
 /** Majority rules over stamped answers. */
 export const Stamps = {
   /** Drops answers of a control node that has lost its disk since; they do not count towards a majority. */
-  sound: <Item extends Readonly<{ stamp: Stamp }>>(answers: readonly Item[]): readonly Item[] =>
+  currentAnswers: <Item extends Readonly<{ stamp: Stamp }>>(answers: readonly Item[]): readonly Item[] =>
     answers.filter(({ stamp }) =>
       answers.every((other) => (other.stamp.known[stamp.keeper] ?? 0) <= stamp.incarnation),
     ),
-  majority: (count: number): number => Math.floor(count / 2) + 1,
+  majoritySize: (count: number): number => Math.floor(count / 2) + 1,
   /** Whether the names include a majority of each set; there are two sets while one member changes. */
-  reached: (sets: readonly (readonly string[])[], names: readonly string[]): boolean =>
+  hasMajority: (sets: readonly (readonly string[])[], names: readonly string[]): boolean =>
     sets.length > 0 &&
     sets.every(
-      (set) => set.length > 0 && set.filter((name) => names.includes(name)).length >= Stamps.majority(set.length),
+      (set) => set.length > 0 && set.filter((name) => names.includes(name)).length >= Stamps.majoritySize(set.length),
     ),
 } as const;
--- a/tests/back-ends.test.ts
+++ b/tests/back-ends.test.ts
@@ -6,7 +6,7 @@
 import { BackEndAnswers, CacheHeaders, type SendFailure, type SendHead } from '../source/shared/back-end/protocol';
 import { CallersDoor } from '../source/edge-proxy/door/callersDoor';
 import type { EdgeProxy } from '../source/edge-proxy/edgeProxy';
-import type { AnswerSink } from '../source/edge-proxy/path/order';
+import type { ResponseSink } from '../source/edge-proxy/pipeline/request';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { realRandom } from '../source/shared/effects/random/random';
 import { HttpLimits } from '../source/shared/http/httpDoor';
@@ -226,7 +226,7 @@
   const stall = new Promise<void>((resolve) => {
     stalled = resolve;
   });
-  const handle = async (_order: unknown, answer: AnswerSink): Promise<void> => {
+  const handle = async (_order: unknown, answer: ResponseSink): Promise<void> => {
     answer.head({ status: 200, headers: { 'content-type': 'text/plain' } });
     for (let number = 0; number < 400; number += 1) {
       waiting += 1;
--- a/tests/clocks.test.ts
+++ b/tests/clocks.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { DutyVoter } from '../source/core-keeper/duties/dutyVoter';
-import { Ledger } from '../source/core-keeper/ledger/ledger';
-import { KeeperCore } from '../source/core-keeper/register/keeperCore';
-import type { CoreLink } from '../source/edge-agent/core-link/coreLink';
-import { DutyHolder } from '../source/edge-agent/stewards/dutyHolder';
+import { LeaseVoter } from '../source/core-keeper/leases/leaseVoter';
+import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
+import { ReplicaCore } from '../source/core-keeper/register/replicaCore';
+import type { ControlLink } from '../source/edge-agent/control-link/controlLink';
+import { LeaseHolder } from '../source/edge-agent/leases/leaseHolder';
 import { SimDisk } from '../source/fleet-simulator/world/simDisk';
 import { SimNetwork } from '../source/fleet-simulator/world/simNetwork';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
@@ -104,26 +104,26 @@
   const world = new World(8);
   const network = new SimNetwork(world);
   const keeperProcess = new SimProcess(world, 'k', '10.1.0.1', voterDrift);
-  const ledger = new Ledger(new SimDisk(world).of(keeperProcess), keeperProcess.clock, () => undefined, 1_000_000);
+  const ledger = new WriteAheadLog(new SimDisk(world).of(keeperProcess), keeperProcess.clock, () => undefined, 1_000_000);
   await Promise.all([ledger.open(), world.runFor(5000)]);
   await Promise.all([
     ledger.write([{ kind: 'forming', fleet: 'f', members: {} }, { kind: 'formed' }]),
     world.runFor(5000),
   ]);
-  const voter = new DutyVoter(new KeeperCore('k', ledger, keeperProcess.clock), keeperProcess.clock);
+  const voter = new LeaseVoter(new ReplicaCore('k', ledger, keeperProcess.clock), keeperProcess.clock);
   await network.transportOf(keeperProcess).listen('10.1.0.1:1', async (message) => {
     if (message.kind !== 'ballots') return { kind: 'heard' };
     return { kind: 'ballots', answers: await voter.vote(message['ballots'] as never, 0) };
   });
   const member = { address: '10.1.0.1:1', operatorsAddress: '10.1.0.1:2', zone: '' };
-  const link = { keepers: () => ({ k: member }), sets: () => [['k']], membersRevision: () => 0 } as unknown as CoreLink;
-  const holderOf = (name: string, drift: number): DutyHolder => {
+  const link = { keepers: () => ({ k: member }), sets: () => [['k']], membersRevision: () => 0 } as unknown as ControlLink;
+  const holderOf = (name: string, drift: number): LeaseHolder => {
     const process = new SimProcess(world, name, `10.2.0.${name.length}`, drift);
     const effects = { clock: process.clock, random: world.random, transport: network.transportOf(process) };
-    return new DutyHolder(name, link, effects, { leaseMicroseconds: 2_500_000, askMicroseconds: 300_000 });
+    return new LeaseHolder(name, link, effects, { leaseMicroseconds: 2_500_000, askMicroseconds: 300_000 });
   };
   const first = holderOf('a', holderDrift);
-  await Promise.all([first.ballot(['d']), world.runFor(20_000)]);
+  await Promise.all([first.requestLeases(['d']), world.runFor(20_000)]);
   assert.equal(first.term('d'), 1);
   await world.runFor(400_000);
   keeperProcess.clockFaults.bootLeapMicroseconds += voterLeaps;
--- a/tests/command-line-platform.test.ts
+++ b/tests/command-line-platform.test.ts
@@ -8,10 +8,10 @@
 import { platformDialect } from '../platform/operators/dialect';
 import { platformManner } from '../platform/operators/manner';
 import { platformOperatorsWords } from '../platform/operators/words';
-import { KeeperDefaults } from '../source/core-keeper/controlSettings';
-import type { OperatorsWords } from '../source/core-keeper/operators/operatorsWords';
-import { ownOperatorsWords } from '../source/core-keeper/operators/ownWords';
-import { startKeeper, type KeeperProgram } from '../source/core-keeper/program/keeperProgram';
+import { ControlNodeDefaults } from '../source/core-keeper/controlNodeSettings';
+import type { OperatorApiFormat } from '../source/core-keeper/operators/operatorApiFormat';
+import { nativeOperatorApiFormat } from '../source/core-keeper/operators/nativeOperatorApiFormat';
+import { startControlNode, type RunningControlNode } from '../source/core-keeper/program/controlNodeProgram';
 import { AgentDefaults, EdgeAgent } from '../source/edge-agent/edgeAgent';
 import type { ListedEngine } from '../source/edge-agent/engine-list/engineLister';
 import { BlueprintChecks } from '../source/postdrum/checking/blueprintCheck';
@@ -32,14 +32,14 @@
 const folder = mkdtempSync(path.join(tmpdir(), 'postdrum-line-'));
 
 /** One keeper alone on a real disk and real conns. */
-const keeperOf = async (words: OperatorsWords, dialect: Dialect): Promise<KeeperProgram> => {
+const keeperOf = async (words: OperatorApiFormat, dialect: Dialect): Promise<RunningControlNode> => {
   const [fleetPort, operatorsPort] = [await freePort(), await freePort()];
   const member = { address: `127.0.0.1:${fleetPort}`, operatorsAddress: `127.0.0.1:${operatorsPort}`, zone: '' };
-  return startKeeper({
+  return startControlNode({
     effects: { clock: realClock, random: realRandom, transport: new TcpTransport(realClock) },
     disk: await nodeDisk(mkdtempSync(path.join(folder, 'keeper-'))),
     settings: {
-      ...KeeperDefaults,
+      ...ControlNodeDefaults,
       name: 'only',
       member,
       seeds: [member.address],
@@ -47,9 +47,9 @@
       replaces: '',
     },
     dialect,
-    words,
-    door: { address: member.operatorsAddress, answerMicroseconds: 850_000, answerMicrosecondsPerByte: 1 },
-    broken: assert.fail,
+    operatorApiFormat: words,
+    operatorApi: { address: member.operatorsAddress, answerMicroseconds: 850_000, answerMicrosecondsPerByte: 1 },
+    onDiskFailure: assert.fail,
   });
 };
 
@@ -102,14 +102,14 @@
 };
 
 describe('the command line at a fleet on the platform', () => {
-  let keeper: KeeperProgram;
-  let own: KeeperProgram;
+  let keeper: RunningControlNode;
+  let own: RunningControlNode;
   const closing: (() => Promise<void>)[] = [];
   before(async () => {
     await bundled({ postdrum: path.join('platform', 'operators', 'commandLine.ts') }, folder);
     [keeper, own] = await Promise.all([
       keeperOf(platformOperatorsWords, platformDialect),
-      keeperOf(ownOperatorsWords, ownDialect),
+      keeperOf(nativeOperatorApiFormat, ownDialect),
     ]);
   });
   after(async () => {
@@ -118,7 +118,7 @@
   });
 
   /** Why not in one go: the keeper it asks runs in this very process. */
-  const run = (words: readonly string[], core = keeper.door.address): Promise<Ran> =>
+  const run = (words: readonly string[], core = keeper.operatorApi.address): Promise<Ran> =>
     new Promise((resolve) => {
       const child = spawn(process.execPath, [path.join(folder, 'postdrum.cjs'), ...words], {
         stdio: ['ignore', 'pipe', 'pipe'],
@@ -135,7 +135,7 @@
     return file;
   };
   const take = (ifMatch: number, text: string): Promise<number> =>
-    request(`http://${keeper.door.address}/-/config`, {
+    request(`http://${keeper.operatorApi.address}/-/config`, {
       method: 'PUT',
       headers: { 'if-match': String(ifMatch) },
       body: text,
@@ -152,7 +152,7 @@
       [['blueprint', 'check', path.join(folder, 'none.json')], undefined],
       [['blueprint', 'check', written(platformDocument(1))], '127.0.0.1:1'],
       // A fleet that speaks in the other manner says nothing about this document.
-      [['blueprint', 'check', written(platformDocument(1))], own.door.address],
+      [['blueprint', 'check', written(platformDocument(1))], own.operatorApi.address],
       [['blueprint', 'take', written(platformDocument(1))], undefined],
       [['engines', 'show'], undefined],
       [['frobnicate'], undefined],
@@ -179,7 +179,7 @@
       Promise.resolve(
         agent.freshness.revision('blueprint') > 0 &&
           Object.keys(agent.freshness.engines?.engines ?? {}).length === 2 &&
-          keeper.keeper.agents().length === 1 &&
+          keeper.controlNode.agents().length === 1 &&
           // Why: the findings below are those of a fleet whose stewards have spoken, of engines that said nothing.
           agent.facts.value<EngineFact>(FactKeys.engine('i-1'))?.reachable === false,
       ),
@@ -232,7 +232,7 @@
   });
 
   test('a keeper answers for an agent it does not know at once, and plainly', async () => {
-    const { statusCode, body } = await request(`http://${keeper.door.address}/agents/nobody`);
+    const { statusCode, body } = await request(`http://${keeper.operatorApi.address}/agents/nobody`);
     assert.deepEqual([statusCode, Object.keys((await body.json()) as object)], [404, ['error']]);
   });
 });
--- a/tests/control-fuzz.test.ts
+++ b/tests/control-fuzz.test.ts
@@ -7,11 +7,11 @@
 import { pack, unpack } from 'msgpackr';
 import fc from 'fast-check';
 import { platformDialect } from '../platform/operators/dialect';
-import { KeeperStates, type KeeperEvent } from '../source/core-keeper/ledger/keeperState';
-import { Ledger } from '../source/core-keeper/ledger/ledger';
-import { Records } from '../source/core-keeper/ledger/records';
-import { Answers } from '../source/core-keeper/messages/answers';
-import { Asks } from '../source/core-keeper/messages/asks';
+import { ReplicaStates, type ReplicaEvent } from '../source/core-keeper/write-ahead-log/replicaState';
+import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
+import { RecordCodec } from '../source/core-keeper/write-ahead-log/recordCodec';
+import { ControlResponses } from '../source/core-keeper/messages/controlResponses';
+import { ControlRequests } from '../source/core-keeper/messages/controlRequests';
 import { SimDisk } from '../source/fleet-simulator/world/simDisk';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import { World } from '../source/fleet-simulator/world/world';
@@ -38,14 +38,14 @@
   return kind;
 };
 
-const stateOf = ({ keeper }: ControlMachine): string =>
+const stateOf = ({ controlNode: keeper }: ControlMachine): string =>
   JSON.stringify([keeper?.core.ledger.pending, keeper?.core.ledger.synced]);
 
 const asMessage = (value: unknown): Message => value as Message;
 
 const startedCluster = async (): Promise<ControlFleet> => {
   const fleet = new ControlFleet(31, platformDialect);
-  assert.ok(await fleet.begin(3));
+  assert.ok(await fleet.startAll(3));
   const text = platformDocument(1);
   const change = { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'first' } as const;
   assert.equal((await fleet.change(fleet.machine(1), change))?.kind, 'taken');
@@ -54,15 +54,15 @@
 };
 
 describe('messages to a control node', () => {
-  for (const kind of Asks.kinds)
+  for (const kind of ControlRequests.kinds)
     test(`${kind}: a refused message is answered and changes no state, and the node keeps running`, async () => {
       const fleet = await startedCluster();
       const machine = fleet.machine(2);
-      const own = machine.keeper?.core.state.fleet;
+      const own = machine.controlNode?.core.state.fleet;
       // All other nodes are down, so that nothing but the message itself can change the state.
       for (const other of fleet.machines) if (other !== machine) other.kill();
       await fleet.world.runFor(3_000_000);
-      const arbitrary = arbitraryOf(Asks.schemaOf(kind)).chain(damaged);
+      const arbitrary = arbitraryOf(ControlRequests.schemaOf(kind)).chain(damaged);
       let refused = 0;
       await fc.assert(
         fc.asyncProperty(arbitrary, async (value) => {
@@ -70,7 +70,7 @@
           const arrived = asMessage(unpack(pack(value)));
           // The node's own fleet, because messages of other fleets are refused before their contents are checked.
           const message = typeof arrived['fleet'] === 'string' ? { ...arrived, fleet: own } : arrived;
-          const read = Asks.read(message);
+          const read = ControlRequests.read(message);
           if (read.kind === 'good') return;
           refused += 1;
           const state = stateOf(machine);
@@ -81,7 +81,7 @@
         settings,
       );
       assert.equal(machine.exits, 0);
-      const page = machine.keeper?.metrics.page() ?? '';
+      const page = machine.controlNode?.metrics.page() ?? '';
       if (refused > 0)
         assert.match(page, new RegExp(`postdrum_messages_refused_total\\{message="${kind}"\\} ${refused}`));
     });
@@ -89,18 +89,18 @@
   test('answers valid messages of all kinds in any order, also of another fleet and epoch, without a crash', async () => {
     const fleet = await startedCluster();
     const machine = fleet.machine(2);
-    const { fleet: own } = machine.keeper?.core.state ?? { fleet: '' };
+    const { fleet: own } = machine.controlNode?.core.state ?? { fleet: '' };
     const any = fc.oneof(
-      ...Asks.kinds.map((kind) =>
+      ...ControlRequests.kinds.map((kind) =>
         fc
-          .tuple(arbitraryOf(Asks.schemaOf(kind)), fc.boolean())
+          .tuple(arbitraryOf(ControlRequests.schemaOf(kind)), fc.boolean())
           .map(([value, isOwn]) => asMessage({ ...(value as object), ...(isOwn ? { fleet: own } : {}) })),
       ),
     );
     await fc.assert(
       fc.asyncProperty(fc.array(any, { minLength: 1, maxLength: 6 }), async (messages) => {
         for (const message of messages) {
-          assert.equal(Asks.read(message).kind, 'good');
+          assert.equal(ControlRequests.read(message).kind, 'good');
           await responseKindOf(fleet, machine, message);
         }
         assert.equal(await responseKindOf(fleet, machine, { kind: 'ping' }), 'pong');
@@ -115,24 +115,24 @@
     const machine = fleet.machine(1);
     for (const kind of ['constructor', 'toString', '__proto__', 'of a later build'])
       assert.equal(await responseKindOf(fleet, machine, { kind }), 'refused');
-    assert.match(machine.keeper?.metrics.page() ?? '', /postdrum_messages_refused_total\{message="unknown"\} 4/);
+    assert.match(machine.controlNode?.metrics.page() ?? '', /postdrum_messages_refused_total\{message="unknown"\} 4/);
   });
 
   test('ignores a response that does not match its schema', () => {
-    for (const kind of Answers.kinds)
+    for (const kind of ControlResponses.kinds)
       fc.assert(
-        fc.property(arbitraryOf(Answers.schemaOf(kind)), (value) => {
-          const read = Answers.read({ kind: 'answered', message: asMessage(value) }, kind);
+        fc.property(arbitraryOf(ControlResponses.schemaOf(kind)), (value) => {
+          const read = ControlResponses.read({ kind: 'answered', message: asMessage(value) }, kind);
           assert.notEqual(read, undefined);
           const wrong = asMessage({ ...(value as object), kind: 'another' });
-          assert.equal(Answers.read({ kind: 'answered', message: wrong }, kind), undefined);
+          assert.equal(ControlResponses.read({ kind: 'answered', message: wrong }, kind), undefined);
         }),
         settings,
       );
   });
 });
 
-const events: readonly KeeperEvent[] = [
+const events: readonly ReplicaEvent[] = [
   { kind: 'forming', fleet: 'one', members: {} },
   { kind: 'formed' },
   { kind: 'promised', key: 'blueprint', epoch: { number: 1, keeper: 'core-1' } },
@@ -146,7 +146,7 @@
   let result = { kind: '', state: undefined as unknown };
   process.enter(() => {
     void disk.replace('keeper.ledger', bytes).then(async () => {
-      const ledger = new Ledger(disk, process.clock, () => undefined, 1 << 30);
+      const ledger = new WriteAheadLog(disk, process.clock, () => undefined, 1 << 30);
       const { kind } = await ledger.open();
       result = { kind, state: ledger.synced };
     });
@@ -156,12 +156,12 @@
 };
 
 describe('the log of a control node', () => {
-  const whole = events.map((event) => Records.make([event]));
-  const states = events.map((_, index) => events.slice(0, index + 1).reduce(KeeperStates.reduce, KeeperStates.start));
+  const whole = events.map((event) => RecordCodec.encode([event]));
+  const states = events.map((_, index) => events.slice(0, index + 1).reduce(ReplicaStates.apply, ReplicaStates.initial));
 
   test('with any byte changed and any tail cut off, opens as a prefix of the written records or is refused', async () => {
     const bytes = Buffer.concat(whole);
-    const prefixes = [KeeperStates.start, ...states].map((state) => JSON.stringify(state));
+    const prefixes = [ReplicaStates.initial, ...states].map((state) => JSON.stringify(state));
     await fc.assert(
       fc.asyncProperty(
         fc.nat({ max: bytes.length - 1 }),
@@ -199,7 +199,7 @@
     ];
     for (const body of unknown)
       for (const at of [0, 2, whole.length]) {
-        const bytes = Buffer.concat([...whole.slice(0, at), Records.make(body), ...whole.slice(at)]);
+        const bytes = Buffer.concat([...whole.slice(0, at), RecordCodec.encode(body), ...whole.slice(at)]);
         assert.equal((await openLog(bytes)).kind, 'unreadable', JSON.stringify(body));
       }
   });
--- a/tests/control-leave-while-silent.test.ts
+++ b/tests/control-leave-while-silent.test.ts
@@ -23,10 +23,10 @@
   test('waits until the silent member is back and keeps the only copy until then, 4 seeds', async () => {
     for (const seed of [901, 902, 903, 904]) {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       await fleet.world.runFor(3_000_000);
       assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
       const [leaving, behind] = fleet.machines.filter((machine) => machine !== leader);
       assert.ok(leader !== undefined && leaving !== undefined && behind !== undefined);
       const restoreLinks = [leader, leaving].flatMap(({ machine }) => [
--- a/tests/core-link.test.ts
+++ b/tests/control-link.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { CoreLink } from '../source/edge-agent/core-link/coreLink';
+import { ControlLink } from '../source/edge-agent/control-link/controlLink';
 import { AgentDefaults } from '../source/edge-agent/edgeAgent';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
@@ -26,7 +26,7 @@
 class LinkedFleet {
   public readonly fleet = new ControlFleet(11, ownDialect);
   public readonly freshness: Freshness;
-  public readonly link: CoreLink;
+  public readonly link: ControlLink;
   /** Digests of documents that were requested although they were no longer wanted. */
   public readonly staleRequests: string[] = [];
   private readonly ticker: Ticker;
@@ -44,7 +44,7 @@
         return transport.ask(address, message, limitMicroseconds);
       },
     };
-    this.link = new CoreLink(
+    this.link = new ControlLink(
       {
         clock: process.clock,
         random: world.random,
@@ -72,9 +72,9 @@
 
   public static async begin(): Promise<LinkedFleet> {
     const linked = new LinkedFleet();
-    assert.ok(await linked.fleet.begin(3), 'the control nodes are up');
+    assert.ok(await linked.fleet.startAll(3), 'the control nodes are up');
     linked.ticker.start();
-    const outcome = await linked.fleet.persist(
+    const outcome = await linked.fleet.changeWithRetries(
       { key: 'blueprint', form: 'whole', text: JSON.stringify(SimBlueprints.first()), ifMatch: 0, id: 'first' },
       5_000_000,
     );
@@ -87,7 +87,7 @@
   public async change(revision: number): Promise<void> {
     const text = JSON.stringify(SimBlueprints.first(`w${revision}`));
     const request = { key: 'blueprint', form: 'whole', text, ifMatch: revision - 1, id: `change-${revision}` } as const;
-    const outcome = await this.fleet.persist(request, 5_000_000);
+    const outcome = await this.fleet.changeWithRetries(request, 5_000_000);
     assert.equal(outcome?.kind, 'taken');
   }
 
@@ -154,7 +154,7 @@
       const { world, network } = linked.fleet;
       const text = JSON.stringify(SimBlueprints.first('w2'));
       const request = { key: 'blueprint', form: 'whole', text, ifMatch: 1, id: 'second' } as const;
-      assert.equal((await linked.fleet.persist(request, 5_000_000))?.kind, 'taken');
+      assert.equal((await linked.fleet.changeWithRetries(request, 5_000_000))?.kind, 'taken');
       const isWanted = (): boolean => linked.freshness.wanted().some(({ key }) => key === 'blueprint');
       assert.ok(await world.runUntil(isWanted, 1_000_000, 50));
       network.cut(edgeMachine, linked.machineOf(number));
@@ -167,7 +167,7 @@
   test('restarted control nodes soon know the agent again, one alone and all at once', async () => {
     const linked = await LinkedFleet.begin();
     const { world, machines } = linked.fleet;
-    const knowsAgent = (number: number): boolean => linked.fleet.machine(number).keeper?.agents().length === 1;
+    const knowsAgent = (number: number): boolean => linked.fleet.machine(number).controlNode?.agents().length === 1;
     // The agent usually sends its member entry on every tenth read only. A restarted node must not wait for that, at any phase of the count.
     for (let round = 0; round < 10; round += 1) {
       const numbers = round % 2 === 0 ? [(round % 3) + 1] : [1, 2, 3];
--- a/tests/control-figures.test.ts
+++ b/tests/control-measurements.test.ts
@@ -15,14 +15,14 @@
 
 const startedFleet = async (seed: number, count: number): Promise<ControlFleet> => {
   const fleet = new ControlFleet(seed, platformDialect, { membersWanted: count });
-  assert.ok(await fleet.begin(count));
+  assert.ok(await fleet.startAll(count));
   await fleet.world.runFor(3_000_000);
   assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
   return fleet;
 };
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
-  const found = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
+  const found = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
   assert.ok(found !== undefined, 'there is a leader');
   return found;
 };
@@ -63,7 +63,7 @@
           fault(fleet, leader);
           const began = fleet.world.nowMicroseconds;
           const others = fleet.machines.filter((machine) => machine !== leader);
-          assert.equal((await fleet.persistAt(others, put(2), 6_000_000))?.kind, 'taken');
+          assert.equal((await fleet.changeWithRetriesAt(others, put(2), 6_000_000))?.kind, 'taken');
           times.push(fleet.world.nowMicroseconds - began);
         }
         context.diagnostic(summary(times));
--- a/tests/control-members.test.ts
+++ b/tests/control-members.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
 import { Envelopes } from '../platform/operators/envelope';
-import { MemberPlans } from '../source/core-keeper/standing/memberPlan';
+import { MemberPlans } from '../source/core-keeper/membership/memberPlan';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
 import { ControlFleet } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
@@ -23,7 +23,7 @@
   for (const seed of [1, 2, 3])
     test(`five replicas with the same three seeds become five members, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, five);
-      assert.ok(await fleet.begin(5), 'five voting members');
+      assert.ok(await fleet.startAll(5), 'five voting members');
       assert.ok(fleet.world.nowMicroseconds < 6_000_000, `${fleet.world.nowMicroseconds}`);
       assert.equal((await fleet.change(fleet.machine(5), put(3, 0)))?.kind, 'taken');
       assert.equal(await documentAt(fleet, 4), platformDocument(3));
@@ -32,7 +32,7 @@
   test('with three members wanted, the fourth and fifth replica stand by and forward requests of operators', async () => {
     const fleet = new ControlFleet(4, platformDialect);
     for (let number = 1; number <= 5; number += 1) fleet.add().start(true);
-    assert.ok(await fleet.settled(3, 5_000_000));
+    assert.ok(await fleet.waitUntilSettled(3, 5_000_000));
     await fleet.world.runFor(3_000_000);
     assert.equal(fleet.machine(4).votes || fleet.machine(5).votes, false);
     assert.equal((await fleet.change(fleet.machine(5), put(1, 0)))?.kind, 'taken');
@@ -47,7 +47,7 @@
     assert.ok(fleet.machines.every(({ votes }) => !votes));
     fleet.machine(2).start(true);
     fleet.machine(3).start(true);
-    assert.ok(await fleet.settled(5, 6_000_000));
+    assert.ok(await fleet.waitUntilSettled(5, 6_000_000));
   });
 
   test('empty disks without the setting of a first start never found a fleet', async () => {
@@ -62,7 +62,7 @@
   for (const seed of [11, 12, 13, 14])
     test(`a standby replaces a silent member, which returns as a standby, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       fleet.machine(2).kill(true);
       const killedAt = fleet.world.nowMicroseconds;
@@ -70,9 +70,9 @@
       await fleet.world.runFor(200_000);
       standby.start();
       assert.ok(await fleet.world.runUntil(() => standby.votes, 5_000_000), 'the standby votes');
-      assert.ok(await fleet.settled(3, 1_000_000), 'the list without the silent member takes effect');
+      assert.ok(await fleet.waitUntilSettled(3, 1_000_000), 'the list without the silent member takes effect');
       assert.ok(fleet.world.nowMicroseconds - killedAt < 4_000_000, `${fleet.world.nowMicroseconds - killedAt}`);
-      const members = fleet.machine(1).keeper?.core.members().members ?? {};
+      const members = fleet.machine(1).controlNode?.core.members().members ?? {};
       assert.deepEqual(Object.keys(members).sort(), ['core-1', 'core-3', 'core-4']);
       assert.equal(await documentAt(fleet, 4), platformDocument(1));
       fleet.machine(2).start();
@@ -87,13 +87,13 @@
 
   test('a member that was replaced while frozen commits no change after it resumes', async () => {
     const fleet = new ControlFleet(15, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     fleet.machine(1).process.freeze();
     const standby = fleet.add();
     standby.start();
     assert.ok(await fleet.world.runUntil(() => standby.votes, 6_000_000));
-    assert.equal((await fleet.persist(put(2, 1), 3_000_000))?.kind, 'taken');
+    assert.equal((await fleet.changeWithRetries(put(2, 1), 3_000_000))?.kind, 'taken');
     fleet.machine(1).process.thaw();
     const lateOutcome = await fleet.change(fleet.machine(1), put(4, 1, { note: 'late' }));
     assert.ok(lateOutcome?.kind !== 'taken', `${lateOutcome?.kind}`);
@@ -104,15 +104,15 @@
 
   test('a silent member stays on the list if there is no standby', async () => {
     const fleet = new ControlFleet(16, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     fleet.machine(3).kill(true);
     await fleet.world.runFor(20_000_000);
     fleet.machine(3).start();
-    assert.ok(await fleet.settled(3, 3_000_000));
+    assert.ok(await fleet.waitUntilSettled(3, 3_000_000));
   });
 
   test('a joining replica replaces a silent member or is added, and only one change is made at a time', () => {
-    const plan = MemberPlans.next;
+    const plan = MemberPlans.plan;
     assert.deepEqual(plan({ a: 'voting', b: 'voting', c: 'silent' }, 3), { kind: 'replace', gone: 'c' });
     assert.deepEqual(plan({ a: 'voting', b: 'voting', c: 'doubtful' }, 5), { kind: 'wait' });
     assert.deepEqual(plan({ a: 'voting', b: 'nonvoting', c: 'silent' }, 5), { kind: 'wait' });
@@ -128,7 +128,7 @@
   for (let seed = 21; seed <= 32; seed += 1) {
     test(`all five lose power and keep their disks: the change persists, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, five);
-      assert.ok(await fleet.begin(5));
+      assert.ok(await fleet.startAll(5));
       assert.equal((await fleet.change(fleet.machine((seed % 5) + 1), put(7, 0)))?.kind, 'taken');
       for (const machine of fleet.machines) machine.kill(true);
       await fleet.world.runFor(500_000);
@@ -140,7 +140,7 @@
 
     test(`two of five lose their disks while the others lose power: the change persists, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, five);
-      assert.ok(await fleet.begin(5));
+      assert.ok(await fleet.startAll(5));
       const contacted = (seed % 5) + 1;
       assert.equal((await fleet.change(fleet.machine(contacted), put(7, 0)))?.kind, 'taken');
       const lost = [contacted, (contacted % 5) + 1];
@@ -149,22 +149,22 @@
       await fleet.world.runFor(500_000);
       const restartedAt = fleet.world.nowMicroseconds;
       for (const machine of fleet.machines) machine.start();
-      assert.ok(await fleet.settled(5, 6_000_000), 'the two with new disks vote again');
+      assert.ok(await fleet.waitUntilSettled(5, 6_000_000), 'the two with new disks vote again');
       assert.ok(fleet.world.nowMicroseconds - restartedAt < 4_000_000, `${fleet.world.nowMicroseconds - restartedAt}`);
       for (const number of [1, 2, 3, 4, 5]) assert.equal(await documentAt(fleet, number), platformDocument(7));
-      assert.equal((await fleet.persist(put(9, 7), 4_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetries(put(9, 7), 4_000_000))?.kind, 'taken');
     });
 
     test(`one of three loses its disk while the others lose power: the change persists, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       const contacted = (seed % 3) + 1;
       assert.equal((await fleet.change(fleet.machine(contacted), put(7, 0)))?.kind, 'taken');
       for (const machine of fleet.machines) machine.kill(true);
       fleet.machine(contacted).disk.wipe();
       await fleet.world.runFor(400_000);
       for (const machine of fleet.machines) machine.start();
-      assert.ok(await fleet.settled(3, 6_000_000));
+      assert.ok(await fleet.waitUntilSettled(3, 6_000_000));
       for (const number of [1, 2, 3]) assert.equal(await documentAt(fleet, number), platformDocument(7));
     });
   }
@@ -174,9 +174,9 @@
   for (let seed = 41; seed <= 48; seed += 1) {
     test(`the leader is cut off in both directions: a change sent at once is accepted in time, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
       assert.ok(leader !== undefined);
       for (const other of fleet.machines)
         if (other !== leader) {
@@ -192,9 +192,9 @@
 
     test(`messages to the leader are lost in one direction: a change is accepted in time, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
       assert.ok(leader !== undefined);
       for (const other of fleet.machines) if (other !== leader) fleet.network.cut(other.machine, leader.machine);
       const startedAt = fleet.world.nowMicroseconds;
@@ -205,11 +205,11 @@
 
     test(`one disk stalls, then another one is full: changes are accepted in time, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       fleet.machine((seed % 3) + 1).disk.faults.stalled = true;
       let startedAt = fleet.world.nowMicroseconds;
-      assert.equal((await fleet.persist(put(2, 1), 6_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetries(put(2, 1), 6_000_000))?.kind, 'taken');
       assert.ok(
         fleet.world.nowMicroseconds - startedAt < 3_500_000,
         `stalled ${fleet.world.nowMicroseconds - startedAt}`,
@@ -218,7 +218,7 @@
       await fleet.world.runFor(500_000);
       fleet.machine(((seed + 1) % 3) + 1).disk.faults.full = true;
       startedAt = fleet.world.nowMicroseconds;
-      assert.equal((await fleet.persist(put(3, 2), 6_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetries(put(3, 2), 6_000_000))?.kind, 'taken');
       assert.ok(fleet.world.nowMicroseconds - startedAt < 3_500_000, `full ${fleet.world.nowMicroseconds - startedAt}`);
       assert.equal(await documentAt(fleet, 1), platformDocument(3));
     });
--- a/tests/control-random.test.ts
+++ b/tests/control-random.test.ts
@@ -71,7 +71,7 @@
   }
 
   private async currentVersion(): Promise<number | undefined> {
-    const read = await this.call((machine) => machine.keeper?.read('blueprint'));
+    const read = await this.call((machine) => machine.controlNode?.read('blueprint'));
     if (read?.kind !== 'read') return undefined;
     const { document } = Envelopes.open(read.text);
     return document === '' ? 0 : (JSON.parse(document) as { version: number }).version;
@@ -84,7 +84,7 @@
     const text = platformDocument(sent.version, { by: operator });
     const change: ChangeOrder = { key: 'blueprint', form: 'whole', text, ifMatch, id: `${ifMatch} ${text}` };
     while (!this.stopped && sent.outcome === undefined) {
-      const outcome = await this.call((machine) => machine.keeper?.change(change));
+      const outcome = await this.call((machine) => machine.controlNode?.change(change));
       const isKnown =
         outcome?.kind === 'taken' ||
         (outcome?.kind === 'refused' && outcome.reason !== 'noMajority' && outcome.reason !== 'full');
@@ -183,7 +183,7 @@
     for (let seed = 1; seed <= rounds; seed += 1)
       test(`seed ${seed}`, async () => {
         const fleet = new ControlFleet(seed * 7919 + count, platformDialect, { membersWanted: count });
-        assert.ok(await fleet.begin(count));
+        assert.ok(await fleet.startAll(count));
         for (let number = 0; number < standbys; number += 1) fleet.add().start();
         await fleet.world.runFor(1_000_000);
         const operators = new Operators(fleet);
--- a/tests/control-read-back.test.ts
+++ b/tests/control-read-back.test.ts
@@ -36,10 +36,10 @@
 const race = async (fleet: ControlFleet, confirmed: Confirmed): Promise<void> => {
   const base = confirmed.version;
   const [first, second] = [largePut(base + 1, base), largePut(base + 2, base)];
-  fleet.send(randomItem(fleet, fleet.machines), second);
-  const outcome = await fleet.persist(first, 12_000_000);
+  fleet.sendWithoutResponse(randomItem(fleet, fleet.machines), second);
+  const outcome = await fleet.changeWithRetries(first, 12_000_000);
   if (outcome?.kind === 'taken') confirmed.version = base + 1;
-  else if ((await fleet.persist(second, 12_000_000))?.kind === 'taken') confirmed.version = base + 2;
+  else if ((await fleet.changeWithRetries(second, 12_000_000))?.kind === 'taken') confirmed.version = base + 2;
   else assert.fail(`neither of two concurrent changes was confirmed: ${JSON.stringify(outcome)}`);
 };
 
@@ -100,7 +100,7 @@
   for (let seed = firstSeed; seed < firstSeed + seeds; seed += 1)
     test(`seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
-      assert.ok(await fleet.begin(5));
+      assert.ok(await fleet.startAll(5));
       fleet.network.linkBytesPerSecond = linkBytesPerSecond;
       const confirmed: Confirmed = { version: 0 };
       await race(fleet, confirmed);
@@ -109,7 +109,7 @@
         await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 3_000_000));
       }
       await race(fleet, confirmed);
-      fleet.send(randomItem(fleet, fleet.machines), largePut(confirmed.version + 3, confirmed.version));
+      fleet.sendWithoutResponse(randomItem(fleet, fleet.machines), largePut(confirmed.version + 3, confirmed.version));
       await loseDisksAndPower(fleet);
       await fleet.world.runFor(recoveryMicroseconds);
       const { answered, asked, least } = await readBack(fleet);
--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -85,9 +85,9 @@
 /** Reads at every node; each answer must be at least as new as the last change confirmed when the read began. */
 const readAll = (fleet: ControlFleet, confirmed: Readonly<{ version: number }>, tally: Tally): void => {
   for (const machine of fleet.machines) {
-    if (!machine.process.alive || machine.keeper === undefined) continue;
+    if (!machine.process.alive || machine.controlNode === undefined) continue;
     const { version } = confirmed;
-    const { keeper, name } = machine;
+    const { controlNode: keeper, name } = machine;
     tally.asked += 1;
     machine.process.enter(
       () =>
@@ -104,7 +104,7 @@
   for (let seed = 1; seed <= seeds; seed += 1)
     test(`under partitions, one-way cuts, kills and disk faults, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
-      assert.ok(await fleet.begin(5));
+      assert.ok(await fleet.startAll(5));
       const confirmed = { version: 0 };
       const tally: Tally = { stale: [], answered: 0, asked: 0 };
       let isOver = false;
@@ -119,7 +119,7 @@
         const heal = fault?.(fleet);
         for (let change = 0; change < 2; change += 1) {
           const next = confirmed.version + 1;
-          const outcome = await fleet.persist(put(next, confirmed.version), 12_000_000);
+          const outcome = await fleet.changeWithRetries(put(next, confirmed.version), 12_000_000);
           assert.equal(outcome?.kind, 'taken', `round ${round}, version ${next}`);
           confirmed.version = next;
           await fleet.world.runFor(Math.floor(fleet.world.random.fraction() * 600_000));
@@ -139,14 +139,14 @@
   for (const seed of [1, 2, 3])
     test(`the leader's disk is full: changes are confirmed and every node answers reads, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
-      assert.ok(await fleet.begin(5));
+      assert.ok(await fleet.startAll(5));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
       assert.ok(leader !== undefined);
       leader.disk.faults.full = true;
       for (const version of [2, 3, 4]) {
         const began = fleet.world.nowMicroseconds;
-        assert.equal((await fleet.persist(put(version, version - 1), 6_000_000))?.kind, 'taken');
+        assert.equal((await fleet.changeWithRetries(put(version, version - 1), 6_000_000))?.kind, 'taken');
         assert.ok(fleet.world.nowMicroseconds - began < 3_500_000);
         for (const machine of fleet.machines) {
           const read = await fleet.read(machine, 1_000_000);
@@ -156,14 +156,14 @@
       leader.kill(true);
       leader.disk.faults.full = false;
       leader.start();
-      assert.ok(await fleet.settled(5, 10_000_000));
+      assert.ok(await fleet.waitUntilSettled(5, 10_000_000));
       const read = await fleet.read(leader);
       assert.equal(read?.kind === 'read' ? versionIn(read.text) : read?.kind, 4);
     });
 
   test('all disks are full: changes are refused temporarily, reads are answered, and the same change is accepted later', async () => {
     const fleet = new ControlFleet(7, platformDialect, fiveMembers);
-    assert.ok(await fleet.begin(5));
+    assert.ok(await fleet.startAll(5));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     for (const { disk } of fleet.machines) disk.faults.full = true;
     for (const machine of fleet.machines) {
@@ -174,7 +174,7 @@
       assert.equal(read?.kind === 'read' ? versionIn(read.text) : read?.kind, 1, machine.name);
     }
     for (const { disk } of fleet.machines) disk.faults.full = false;
-    assert.equal((await fleet.persist(put(2, 1), 6_000_000))?.kind, 'taken');
+    assert.equal((await fleet.changeWithRetries(put(2, 1), 6_000_000))?.kind, 'taken');
   });
 });
 
@@ -195,7 +195,7 @@
   for (const seed of [1, 2])
     test(`is put, changed by one route and read at each node within the time limits, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
-      assert.ok(await fleet.begin(5));
+      assert.ok(await fleet.startAll(5));
       fleet.network.linkBytesPerSecond = 15_000_000;
       const timed = async (order: ChangeOrder, machine: ControlMachine): Promise<void> => {
         const began = fleet.world.nowMicroseconds;
