--- a/tests/control-safety.test.ts
+++ b/tests/control-safety.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
 import { Envelopes } from '../platform/operators/envelope';
-import { KeeperStates, type KeeperEvent } from '../source/core-keeper/ledger/keeperState';
+import { ReplicaStates, type ReplicaEvent } from '../source/core-keeper/write-ahead-log/replicaState';
 import { Changes, Digests, emptyEntry } from '../source/core-keeper/register/changes';
 import type { ChangeOrder, ChangeOutcome } from '../source/core-keeper/register/messages';
 import { maxRememberedChanges } from '../source/core-keeper/register/outcomeHistory';
@@ -23,7 +23,7 @@
 
 const leaderOf = (fleet: ControlFleet, key = 'blueprint'): ControlMachine => {
   const found = fleet.machines.find(
-    ({ process, keeper, name }) => process.alive && keeper?.owners()[key]?.owner === name,
+    ({ process, controlNode: keeper, name }) => process.alive && keeper?.keyLeaders()[key]?.owner === name,
   );
   assert.ok(found !== undefined, `${key} has a leader`);
   return found;
@@ -47,7 +47,7 @@
     for (const seed of [101, 102, 103])
       test(`a leader with links cut ${ways} confirms, refuses and returns nothing, seed ${seed}`, async () => {
         const fleet = new ControlFleet(seed, platformDialect);
-        assert.ok(await fleet.begin(3));
+        assert.ok(await fleet.startAll(3));
         assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
         const cut = leaderOf(fleet);
         const heal = cutOff(fleet, cut, ways);
@@ -58,7 +58,7 @@
         let version = 1;
         while (fleet.world.nowMicroseconds - began < 20_000_000) {
           const next = version + 1;
-          assert.equal((await fleet.persistAt(rest, put(next, version), 4_000_000))?.kind, 'taken');
+          assert.equal((await fleet.changeWithRetriesAt(rest, put(next, version), 4_000_000))?.kind, 'taken');
           version = next;
           const late = await fleet.change(cut, put(version + 1000, version - 1, { by: 'cut off' }), 1_500_000);
           assert.ok(late?.kind !== 'taken', 'it confirmed a change');
@@ -67,16 +67,16 @@
           assert.ok(read?.kind !== 'read', 'it returned a configuration');
           await fleet.world.runFor(1_000_000);
         }
-        assert.equal(cut.keeper?.owners()['blueprint']?.owner === cut.name, false, 'it still reports itself as leader');
+        assert.equal(cut.controlNode?.keyLeaders()['blueprint']?.owner === cut.name, false, 'it still reports itself as leader');
         heal();
         assert.equal(await documentAt(fleet, cut), platformDocument(version), 'outdated after the partition healed');
-        assert.equal((await fleet.persist(put(version + 1, version), 3_000_000))?.kind, 'taken');
+        assert.equal((await fleet.changeWithRetries(put(version + 1, version), 3_000_000))?.kind, 'taken');
       });
 
   for (const seed of [111, 112, 113, 114])
     test(`a member that returns does not depose the leader, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = leaderOf(fleet);
       const cut = fleet.machines.find((machine) => machine !== leader);
@@ -84,7 +84,7 @@
       const heal = cutOff(fleet, cut);
       // Other members first take over the keys that it led.
       await fleet.world.runFor(4_000_000);
-      const epochs = (): string => JSON.stringify(fleet.machines.find((one) => one !== cut)?.keeper?.owners());
+      const epochs = (): string => JSON.stringify(fleet.machines.find((one) => one !== cut)?.controlNode?.keyLeaders());
       const before = epochs();
       await fleet.world.runFor(16_000_000);
       heal();
@@ -95,27 +95,27 @@
 
   test('a member cut off from the leader alone does not depose it', async () => {
     const fleet = new ControlFleet(121, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     const leader = leaderOf(fleet);
     const [left] = fleet.machines.filter((machine) => machine !== leader);
     assert.ok(left !== undefined);
-    const before = leader.keeper?.owners()['blueprint'];
+    const before = leader.controlNode?.keyLeaders()['blueprint'];
     fleet.network.cut(leader.machine, left.machine);
     fleet.network.cut(left.machine, leader.machine);
     await fleet.world.runFor(15_000_000);
-    assert.deepEqual(leader.keeper?.owners()['blueprint'], before);
-    assert.equal((await fleet.persistAt([left], put(2, 1), 4_000_000))?.kind, 'taken', 'it still serves operators');
+    assert.deepEqual(leader.controlNode?.keyLeaders()['blueprint'], before);
+    assert.equal((await fleet.changeWithRetriesAt([left], put(2, 1), 4_000_000))?.kind, 'taken', 'it still serves operators');
     assert.equal(await documentAt(fleet, left), platformDocument(2));
   });
 
   test('a joining member follows the majority although the first seed is a restarted, partitioned member', async () => {
     const fleet = new ControlFleet(131, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     const cut = fleet.machine(2);
     const heal = cutOff(fleet, cut);
-    assert.equal((await fleet.persistAt([fleet.machine(1)], put(2, 1), 5_000_000))?.kind, 'taken');
+    assert.equal((await fleet.changeWithRetriesAt([fleet.machine(1)], put(2, 1), 5_000_000))?.kind, 'taken');
     cut.kill();
     cut.start();
     await fleet.world.runFor(3_000_000);
@@ -175,8 +175,8 @@
       key: 'blueprint',
       epoch: { number: 1, keeper: 'a' },
       entry: { ...entry, changes: [{ id: order.id, orderDigest, revision: 1 }] },
-    } as unknown as KeeperEvent;
-    const read = KeeperStates.cell(KeeperStates.reduce(KeeperStates.start, event), 'blueprint').accepted?.entry;
+    } as unknown as ReplicaEvent;
+    const read = ReplicaStates.acceptorState(ReplicaStates.apply(ReplicaStates.initial, event), 'blueprint').accepted?.entry;
     assert.ok(read !== undefined);
     assert.deepEqual(outcomeOfRepeat(read, order), { kind: 'taken', revision: 1 });
     assert.equal(outcomeOfRepeat(read, { ...order, text: `${order.text} ` })?.kind, 'refused');
@@ -186,30 +186,30 @@
   for (const seed of [201, 202, 203, 204, 205, 206])
     test(`different documents under one number, resent over lost answers and new leaders, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       let base = 1;
       for (let round = 0; round < 6; round += 1) {
         const version = base + 7;
         const pair = ['one', 'two'].map((by) => put(version, base, { by }));
         // Both are sent at once to different machines; the answers are lost, and a leader is killed.
-        for (const [index, order] of pair.entries()) fleet.send(fleet.machine(((round + index) % 3) + 1), order);
+        for (const [index, order] of pair.entries()) fleet.sendWithoutResponse(fleet.machine(((round + index) % 3) + 1), order);
         await fleet.world.runFor(round * 1500);
         const leader = leaderOf(fleet);
         leader.kill(round % 2 === 0);
         await fleet.world.runFor(300_000);
         leader.start();
         const outcomes: (ChangeOutcome | undefined)[] = [];
-        for (const order of pair) outcomes.push(await fleet.persist(order, 8_000_000));
+        for (const order of pair) outcomes.push(await fleet.changeWithRetries(order, 8_000_000));
         assert.deepEqual(outcomes.map((outcome) => outcome?.kind).sort(), ['refused', 'taken'], `round ${round}`);
         const winner = pair[outcomes.findIndex((outcome) => outcome?.kind === 'taken')];
         const loser = pair[outcomes.findIndex((outcome) => outcome?.kind === 'refused')];
         assert.ok(winner !== undefined && loser !== undefined);
         // Both are repeated at every machine after the next change.
-        assert.equal((await fleet.persist(put(version + 1, version), 4_000_000))?.kind, 'taken');
+        assert.equal((await fleet.changeWithRetries(put(version + 1, version), 4_000_000))?.kind, 'taken');
         for (const machine of fleet.machines) {
-          assert.equal((await fleet.persistAt([machine], winner, 6_000_000))?.kind, 'taken');
-          assert.equal((await fleet.persistAt([machine], loser, 6_000_000))?.kind, 'refused');
+          assert.equal((await fleet.changeWithRetriesAt([machine], winner, 6_000_000))?.kind, 'taken');
+          assert.equal((await fleet.changeWithRetriesAt([machine], loser, 6_000_000))?.kind, 'refused');
         }
         base = version + 1;
       }
@@ -220,7 +220,7 @@
   for (const seed of [301, 302, 303, 304, 305, 306])
     test(`a majority remains if a member is lost right after a planned replacement, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const spare = fleet.add();
       spare.start();
@@ -233,18 +233,18 @@
       lost.kill(true);
       const began = fleet.world.nowMicroseconds;
       const rest = fleet.machines.filter((machine) => machine !== leaving && machine !== lost);
-      assert.equal((await fleet.persistAt(rest, put(2, 1), 4_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetriesAt(rest, put(2, 1), 4_000_000))?.kind, 'taken');
       assert.ok(fleet.world.nowMicroseconds - began < 3_000_000, `${fleet.world.nowMicroseconds - began}`);
       lost.disk.wipe();
       lost.start();
-      assert.ok(await fleet.settled(3, 4_000_000), 'three vote again');
+      assert.ok(await fleet.waitUntilSettled(3, 4_000_000), 'three vote again');
       for (const machine of rest) assert.equal(await documentAt(fleet, machine), platformDocument(2));
     });
 
   for (const seed of [311, 312, 313, 314])
     test(`a change survives if one of its two holders leaves and the other is lost right after, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const spare = fleet.add();
       spare.start();
@@ -253,7 +253,7 @@
       assert.ok(behind !== undefined && holder !== undefined && leaving !== undefined);
       // One member is partitioned while the change is accepted, so that only two members hold it.
       const heal = cutOff(fleet, behind);
-      assert.equal((await fleet.persistAt([holder], put(2, 1), 6_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetriesAt([holder], put(2, 1), 6_000_000))?.kind, 'taken');
       heal();
       await fleet.leave(leaving, 6_000_000);
       leaving.disk.wipe();
@@ -261,9 +261,9 @@
       holder.disk.wipe();
       const rest = [behind, spare];
       assert.equal(await documentAt(fleet, behind), platformDocument(2));
-      assert.equal((await fleet.persistAt(rest, put(3, 2), 5_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetriesAt(rest, put(3, 2), 5_000_000))?.kind, 'taken');
       holder.start();
-      assert.ok(await fleet.settled(3, 5_000_000));
+      assert.ok(await fleet.waitUntilSettled(3, 5_000_000));
       assert.equal(await documentAt(fleet, holder), platformDocument(3));
     });
 
@@ -271,7 +271,7 @@
     test(`after each crash, wipe or replacement another member may be lost once the catch-up time has passed, seed ${seed}`, async () => {
       const catchUp = 4_000_000;
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       let version = 1;
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       for (const how of ['crash', 'wipe', 'replace', 'wipe', 'replace'] as const) {
@@ -291,7 +291,7 @@
         const rest = fleet.machines.filter(({ votes }) => votes);
         const order = put(version + 1, version);
         version += 1;
-        assert.equal((await fleet.persistAt(rest, order, 4_000_000))?.kind, 'taken', `after ${how}`);
+        assert.equal((await fleet.changeWithRetriesAt(rest, order, 4_000_000))?.kind, 'taken', `after ${how}`);
         next.start();
         await fleet.world.runFor(catchUp);
       }
@@ -299,21 +299,21 @@
 
   test('a joining member that dies while it catches up blocks neither changes nor the next joining member', async () => {
     const fleet = new ControlFleet(331, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     fleet.machine(3).kill(true);
     const spare = fleet.add();
     spare.start();
     const isListed = (): boolean =>
-      fleet.machine(1).keeper?.core.members().members[spare.name] !== undefined && !spare.votes;
+      fleet.machine(1).controlNode?.core.members().members[spare.name] !== undefined && !spare.votes;
     assert.ok(await fleet.world.runUntil(isListed, 6_000_000));
     spare.kill(true);
     spare.disk.wipe();
-    assert.equal((await fleet.persist(put(2, 1), 4_000_000))?.kind, 'taken');
+    assert.equal((await fleet.changeWithRetries(put(2, 1), 4_000_000))?.kind, 'taken');
     const next = fleet.add();
     next.start();
     assert.ok(await fleet.world.runUntil(() => next.votes, 14_000_000), 'the next joining member votes');
-    assert.ok(await fleet.settled(3, 2_000_000));
+    assert.ok(await fleet.waitUntilSettled(3, 2_000_000));
     assert.equal(await documentAt(fleet, next), platformDocument(2));
   });
 });
@@ -334,12 +334,12 @@
         'two vote',
       );
       const rest = fleet.machines.filter(({ votes }) => votes);
-      assert.equal((await fleet.persistAt(rest, put(1, 0), 3_000_000))?.kind, 'taken');
+      assert.equal((await fleet.changeWithRetriesAt(rest, put(1, 0), 3_000_000))?.kind, 'taken');
       await fleet.world.runFor(10_000_000);
       heal();
-      assert.ok(await fleet.settled(3, 4_000_000), 'the third joins');
+      assert.ok(await fleet.waitUntilSettled(3, 4_000_000), 'the third joins');
       assert.equal(await documentAt(fleet, fleet.machine(missing)), platformDocument(1));
-      assert.equal(new Set(fleet.machines.map(({ keeper }) => keeper?.core.state.fleet)).size, 1);
+      assert.equal(new Set(fleet.machines.map(({ controlNode: keeper }) => keeper?.core.state.fleet)).size, 1);
     });
 
   test('a seed that two founders ask at the same time agrees to one of them, 20 seeds', async () => {
@@ -370,7 +370,7 @@
     const heal = cutOff(fleet, fleet.machine(3));
     for (const machine of fleet.machines) machine.start(true);
     assert.ok(await fleet.world.runUntil(() => fleet.machines.filter(({ votes }) => votes).length === 2, 5_000_000));
-    assert.equal((await fleet.persistAt([fleet.machine(1)], put(1, 0), 3_000_000))?.kind, 'taken');
+    assert.equal((await fleet.changeWithRetriesAt([fleet.machine(1)], put(1, 0), 3_000_000))?.kind, 'taken');
     fleet.machine(1).kill(true);
     fleet.machine(1).disk.wipe();
     heal();
@@ -383,7 +383,7 @@
   test('standby replicas configured as seeds never found a fleet among themselves', async () => {
     const fleet = new ControlFleet(421, platformDialect);
     for (let number = 1; number <= 6; number += 1) fleet.add().start(true);
-    assert.ok(await fleet.settled(3, 5_000_000));
+    assert.ok(await fleet.waitUntilSettled(3, 5_000_000));
     fleet.seedNumbers = [4, 5, 6];
     for (const number of [1, 2, 3]) fleet.machine(number).kill();
     for (const number of [4, 5, 6]) {
@@ -402,7 +402,7 @@
       for (const machine of fleet.machines) machine.kill();
       await fleet.world.runFor(300_000);
       for (const machine of fleet.machines) machine.start(false);
-      assert.ok(await fleet.settled(3, 5_000_000));
+      assert.ok(await fleet.waitUntilSettled(3, 5_000_000));
     });
 });
 
@@ -414,18 +414,18 @@
   ] as const)
     test(`a member lost for 300 changes (${how}) catches up and never leads or answers from outdated state`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const lost = fleet.machine(2);
       lost.kill(how === 'power');
       if (how === 'wiped') lost.disk.wipe();
       const rest = fleet.machines.filter((machine) => machine !== lost);
       for (let version = 2; version <= 300; version += 1)
-        assert.equal((await fleet.persistAt(rest, put(version, version - 1), 4_000_000))?.kind, 'taken');
+        assert.equal((await fleet.changeWithRetriesAt(rest, put(version, version - 1), 4_000_000))?.kind, 'taken');
       const bytes = fleet.network.bytes;
       const back = fleet.world.nowMicroseconds;
       lost.start();
-      assert.ok(await fleet.settled(3, 4_000_000));
+      assert.ok(await fleet.waitUntilSettled(3, 4_000_000));
       assert.equal(await documentAt(fleet, lost), platformDocument(300));
       assert.ok(fleet.world.nowMicroseconds - back < 4_000_000, 'caught up within the time limit');
       assert.ok(fleet.network.bytes - bytes < 400_000, `${fleet.network.bytes - bytes} bytes`);
@@ -470,18 +470,18 @@
   for (const seed of [601, 602, 603])
     test(`candidates with the old and the new member list never hold the same lease, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       const [first, second, cut] = fleet.machines;
       assert.ok(first !== undefined && second !== undefined && cut !== undefined);
-      const before = first.keeper?.core.members().revision ?? 0;
+      const before = first.controlNode?.core.members().revision ?? 0;
       // The replaced member still votes for daemons on its side of the partition and does not know its successor.
       cutOff(fleet, cut);
       const spare = fleet.add();
       spare.start();
       assert.ok(await fleet.world.runUntil(() => spare.votes, 8_000_000));
-      assert.ok(await fleet.world.runUntil(() => first.keeper?.core.members().sets.length === 1, 2_000_000));
+      assert.ok(await fleet.world.runUntil(() => first.controlNode?.core.members().sets.length === 1, 2_000_000));
       await fleet.world.runFor(3_000_000);
-      const now = first.keeper?.core.members().revision ?? 0;
+      const now = first.controlNode?.core.members().revision ?? 0;
       assert.ok(now > before && cut.votes);
       const old = await votes(fleet, [second, cut], 'old', 7, before);
       const next = await votes(fleet, [first, spare], 'next', 7, now);
@@ -492,9 +492,9 @@
   for (const seed of [611, 612])
     test(`the fencing token never decreases across wipes, a replacement and a loss of power on all, seed ${seed}`, async () => {
       const fleet = new ControlFleet(seed, platformDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       const revision = (): number =>
-        Math.max(...fleet.machines.map(({ keeper }) => keeper?.core.members().revision ?? 0));
+        Math.max(...fleet.machines.map(({ controlNode: keeper }) => keeper?.core.members().revision ?? 0));
       let fence = 0;
       const take = async (candidate: string): Promise<void> => {
         await fleet.world.runFor(3_000_000);
@@ -510,7 +510,7 @@
       fleet.machine(1).kill(true);
       fleet.machine(1).disk.wipe();
       fleet.machine(1).start();
-      assert.ok(await fleet.settled(3, 4_000_000));
+      assert.ok(await fleet.waitUntilSettled(3, 4_000_000));
       await take('bb');
       fleet.machine(2).kill(true);
       const spare = fleet.add();
--- a/tests/control-unreached-leader.test.ts
+++ b/tests/control-unreachable-leader.test.ts
@@ -17,7 +17,7 @@
 };
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
-  const found = fleet.machines.find(({ keeper, name }) => keeper?.owners()['blueprint']?.owner === name);
+  const found = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
   assert.ok(found !== undefined, 'there is a leader');
   return found;
 };
@@ -36,7 +36,7 @@
     test(`changes at every other of ${count} nodes are confirmed, 3 seeds`, async () => {
       for (const seed of [701, 702, 703]) {
         const fleet = new ControlFleet(seed, platformDialect, { membersWanted: count });
-        assert.ok(await fleet.begin(count));
+        assert.ok(await fleet.startAll(count));
         assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
         const leader = leaderOf(fleet);
         refuseAllTo(fleet, leader);
@@ -54,7 +54,7 @@
 
   test('a member that missed a change receives it over a connection opened by the leader', async () => {
     const fleet = new ControlFleet(721, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
     const leader = leaderOf(fleet);
     const [behind, other] = fleet.machines.filter((machine) => machine !== leader);
@@ -68,20 +68,20 @@
     for (const heal of heals) heal();
     await fleet.world.runFor(4_000_000);
     assert.equal(leaderOf(fleet), leader);
-    assert.equal(behind.keeper?.replicaStatus().keys['blueprint']?.revision, 2);
+    assert.equal(behind.controlNode?.replicaStatus().keys['blueprint']?.revision, 2);
   });
 
   test('no change is confirmed twice or lost when that leader dies', async () => {
     const fleet = new ControlFleet(711, platformDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
     const leader = leaderOf(fleet);
     refuseAllTo(fleet, leader);
     const others = fleet.machines.filter((other) => other !== leader);
-    for (const machine of others) fleet.send(machine, put(2));
+    for (const machine of others) fleet.sendWithoutResponse(machine, put(2));
     await fleet.world.runFor(750_000);
     leader.kill();
-    assert.deepEqual(await fleet.persistAt(others, put(2), 10_000_000), { kind: 'taken', revision: 2 });
-    assert.deepEqual(await fleet.persistAt(others, put(3), 10_000_000), { kind: 'taken', revision: 3 });
+    assert.deepEqual(await fleet.changeWithRetriesAt(others, put(2), 10_000_000), { kind: 'taken', revision: 2 });
+    assert.deepEqual(await fleet.changeWithRetriesAt(others, put(3), 10_000_000), { kind: 'taken', revision: 3 });
   });
 });
--- a/tests/demand.test.ts
+++ b/tests/demand.test.ts
@@ -6,14 +6,14 @@
 import { DemandSettings, DemandView } from '../source/edge-proxy/demand/demandView';
 import { LinkSpeeds } from '../source/edge-proxy/fetch/linkSpeeds';
 import { MoveSettings, PartMoves } from '../source/edge-proxy/fetch/partMoves';
-import type { Order, Resolved } from '../source/edge-proxy/path/order';
-import { WorkPlacementSettings } from '../source/edge-proxy/placement/byWork';
-import type { DeskLink } from '../source/edge-proxy/placement/deskLink';
+import type { ProxyRequest, ResolvedRequest } from '../source/edge-proxy/pipeline/request';
+import { PlacementCostSettings } from '../source/edge-proxy/placement/placementCosts';
+import type { SchedulerClient } from '../source/edge-proxy/placement/schedulerClient';
 import type { EngineView } from '../source/edge-proxy/placement/engineView';
-import { Lanes, LaneSettings } from '../source/edge-proxy/placement/lanes';
-import { PromptKeys } from '../source/edge-proxy/placement/placePolicies';
-import { ReadSpeeds } from '../source/edge-proxy/placement/readSpeeds';
-import { WorkPlacer } from '../source/edge-proxy/placement/workPlacer';
+import { ReservedEngines, ReservedEngineSettings } from '../source/edge-proxy/placement/reservedEngines';
+import { PromptKeys } from '../source/edge-proxy/placement/placementPolicies';
+import { PrefillSpeeds } from '../source/edge-proxy/placement/prefillSpeeds';
+import { CostPlacer } from '../source/edge-proxy/placement/costPlacer';
 import { CopyPlaces } from '../source/shared/demand/copyPlaces';
 import { HeavyHitters } from '../source/shared/demand/heavyHitters';
 import { DemandLimits, PrefixDemand, type DemandFact, type Wanted } from '../source/shared/demand/prefixDemand';
@@ -356,7 +356,7 @@
   });
 });
 
-const prefixOrder = (prefix: string, own: string): Order => ({
+const prefixOrder = (prefix: string, own: string): ProxyRequest => ({
   id: 'o',
   method: 'POST',
   path: '/',
@@ -381,7 +381,7 @@
   const order = prefixOrder('rules', 'own');
   const shape = { linkBytesPerSecond: 137_500_000_000, tokenBytes: 163_840, keptTokens: 150_000 };
   const service = { ...pool, shape };
-  const resolved = { service, trustDomain: 'shared', mapping: { service: 'pool' } } as unknown as Resolved;
+  const resolved = { service, trustDomain: 'shared', mapping: { service: 'pool' } } as unknown as ResolvedRequest;
   const keys = new PromptKeys(resolved, order);
   const view = {
     addressOf: (holder: string) => `${holder}:1`,
@@ -401,17 +401,17 @@
       offers.push(...asked.offers);
       return Promise.resolve(undefined);
     },
-  } as unknown as DeskLink;
+  } as unknown as SchedulerClient;
   const counted = new Metrics();
-  const placer = new WorkPlacer(
+  const placer = new CostPlacer(
     view,
     new PartMoves(view, new LinkSpeeds(1000, 64), MoveSettings.usual),
-    new ReadSpeeds(),
+    new PrefillSpeeds(),
     seededRandom(1),
     'z',
-    new Lanes(clock, LaneSettings.usual),
+    new ReservedEngines(clock, ReservedEngineSettings.usual),
     desk,
-    WorkPlacementSettings.usual,
+    PlacementCostSettings.usual,
     demandView,
     counted,
   );
@@ -467,21 +467,21 @@
 
   test('weights change, and the name that a prefix is counted under does not', () => {
     const one = new PromptKeys(
-      { service: { ...pool, weights: '1' }, trustDomain: 'shared' } as unknown as Resolved,
+      { service: { ...pool, weights: '1' }, trustDomain: 'shared' } as unknown as ResolvedRequest,
       prefixOrder('rules', 'own1'),
     );
     const two = new PromptKeys(
-      { service: { ...pool, weights: '2' }, trustDomain: 'shared' } as unknown as Resolved,
+      { service: { ...pool, weights: '2' }, trustDomain: 'shared' } as unknown as ResolvedRequest,
       prefixOrder('rules', 'own2'),
     );
     const walled = new PromptKeys(
-      { service: pool, trustDomain: 'walled/a' } as unknown as Resolved,
+      { service: pool, trustDomain: 'walled/a' } as unknown as ResolvedRequest,
       prefixOrder('rules', 'own1'),
     );
     assert.equal(one.prefix(), two.prefix());
     assert.notEqual(one.prefix(), walled.prefix());
     assert.match(one.prefix(), /^[0-9a-f]{12}$/);
-    const short = new PromptKeys({ service: pool, trustDomain: 'shared' } as unknown as Resolved, {
+    const short = new PromptKeys({ service: pool, trustDomain: 'shared' } as unknown as ResolvedRequest, {
       ...prefixOrder('rules', 'own1'),
       parts: [
         { name: 'rules', size: 90 },
--- a/tests/doors-callers.test.ts
+++ b/tests/doors-callers.test.ts
@@ -5,7 +5,7 @@
 import { CallersDoor, type DoorOptions } from '../source/edge-proxy/door/callersDoor';
 import { ReadinessDoor } from '../source/edge-proxy/door/readinessDoor';
 import type { EdgeProxy } from '../source/edge-proxy/edgeProxy';
-import type { AnswerSink, Order } from '../source/edge-proxy/path/order';
+import type { ResponseSink, ProxyRequest } from '../source/edge-proxy/pipeline/request';
 import { ProxyStops } from '../source/edge-proxy/proxyProgram';
 import type { CallerLimits } from '../source/shared/blueprint/types';
 import { realRandom } from '../source/shared/effects/random/random';
@@ -14,7 +14,7 @@
 import { RawCaller } from './support/rawCaller';
 import { HandClock } from './support/rawEngine';
 
-type Taken = Readonly<{ order: Order; answer: AnswerSink }>;
+type Taken = Readonly<{ order: ProxyRequest; answer: ResponseSink }>;
 
 /** A door whose proxy does what a test says, and keeps what it was handed. */
 class Stage {
@@ -35,7 +35,7 @@
   ): Promise<Stage> {
     const stage = new Stage(act);
     const proxy = {
-      handle: (order: Order, answer: AnswerSink) => {
+      handle: (order: ProxyRequest, answer: ResponseSink) => {
         const taken = { order, answer };
         stage.taken.push(taken);
         for (const wake of stage.waiting.splice(0)) wake();
@@ -74,7 +74,7 @@
     void answer.part(Buffer.from(text));
     answer.end();
   };
-const id = (order: Order): string => order.id;
+const id = (order: ProxyRequest): string => order.id;
 const head = (number: number | string, extra = 'content-length: 0'): string =>
   `POST /p/${number}?q=${number} HTTP/1.1\r\nhost: h.example\r\npostdrum-request-id: r${number}\r\n${extra}\r\n\r\n`;
 const turns = async (count = 20): Promise<void> => {
@@ -258,7 +258,7 @@
         answer.head({ status: 200, headers: {} });
         await caller.until((text) => text.includes('200'));
       }
-      const gone = new Promise<void>((resolve) => answer.whenGone(resolve));
+      const gone = new Promise<void>((resolve) => answer.onClientGone(resolve));
       caller.socket.destroy();
       await gone;
       assert.equal(answer.gone(), true);
--- a/tests/agent-stewards.test.ts
+++ b/tests/engine-controllers.test.ts
@@ -300,7 +300,7 @@
   for (let round = 0; round < 20; round += 1) {
     sendLoad();
     await world.runFor(100_000);
-    assert.equal(leaving.agent.stewardship.held().length, 0, 'it requests no lease again');
+    assert.equal(leaving.agent.stewardship.activeControllers().length, 0, 'it requests no lease again');
     if (!fleet.settled(['engine-1', 'engine-2', 'engine-3', 'engine-4'])) vacantMicroseconds += 100_000;
   }
   assert.ok(vacantMicroseconds <= 1_500_000, `${vacantMicroseconds} us without a controller or a reader of the list`);
--- a/tests/engine-view.test.ts
+++ b/tests/engine-view.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Fence } from '../source/edge-proxy/fence/fence';
+import { StalenessGuard } from '../source/edge-proxy/identification/stalenessGuard';
 import { EngineView } from '../source/edge-proxy/placement/engineView';
 import { EngineWork } from '../source/edge-proxy/placement/engineWork';
 import { Made, weights } from '../source/measure/hollow/made';
@@ -33,9 +33,9 @@
     Made.daemon(1),
     freshness,
     facts,
-    new Fence(freshness, clock, Infinity),
+    new StalenessGuard(freshness, clock, Infinity),
     clock,
-    new EngineWork(clock, { latelyMicroseconds: 3_000_000 }),
+    new EngineWork(clock, { recentMicroseconds: 3_000_000 }),
   );
   const inFlight = (): number =>
     view.candidates(Made.service(1)).find(({ name }) => name === Made.engine(1))?.inFlight ?? -1;
@@ -44,8 +44,8 @@
 
 /** A send that the engine refuses because it is full. */
 const refuseAsFull = (view: EngineView): void => {
-  view.began(Made.engine(1));
-  view.saidFull(Made.engine(1));
+  view.recordSendStart(Made.engine(1));
+  view.markFull(Made.engine(1));
   view.ended(Made.engine(1));
 };
 
@@ -59,7 +59,7 @@
 
 test('an engine that reported itself full has capacity again when a request that ran there ends', () => {
   const { view, inFlight, advance } = setUp();
-  view.began(Made.engine(1));
+  view.recordSendStart(Made.engine(1));
   refuseAsFull(view);
   assert.equal(inFlight(), Made.engineFact(1).capacity);
   advance(2_000);
@@ -84,10 +84,10 @@
     for (let count = 0; count < 6; count += 1) view.outliers.answered(Made.engine(engine), 'good');
   assert.equal(names().length, 4);
   for (let count = 0; count < 4; count += 1) view.outliers.answered(Made.engine(2), 'failed');
-  view.review();
+  view.detectOutliers();
   assert.ok(!names().includes(Made.engine(2)));
   const { bootEpoch } = Made.engineFact(2);
-  assert.ok(view.isAble(Made.service(1), { name: Made.engine(2), bootEpoch, weights }));
+  assert.ok(view.isUsable(Made.service(1), { name: Made.engine(2), bootEpoch, weights }));
   assert.equal(view.capacity(Made.service(1)), 3 * Made.engineFact(1).capacity);
 });
 
@@ -117,7 +117,7 @@
 test('engines on previous weights stop being candidates at the cutoff, without any update', () => {
   const { view, freshness, clock, now, advance } = setUp(2);
   const isUsable = (): boolean =>
-    view.isAble(Made.service(1), { name: Made.engine(1), bootEpoch: Made.engineFact(1).bootEpoch, weights });
+    view.isUsable(Made.service(1), { name: Made.engine(1), bootEpoch: Made.engineFact(1).bootEpoch, weights });
   assert.equal(isUsable(), true);
   const next = JSON.parse(JSON.stringify(Made.blueprint(1, 1, 1))) as { services: Record<string, { weights: string }> };
   for (const service of Object.values(next.services)) service.weights = 'w2';
@@ -160,7 +160,7 @@
     assert.equal(view.capacity(service), totalCapacity);
   };
   assertFree(totalCapacity);
-  view.began(Made.engine(1));
+  view.recordSendStart(Made.engine(1));
   assertFree(totalCapacity - 1);
   facts.put({ key: 'member/other', version: [1, 0], value: { ...Made.member(2), name: 'other' } });
   const load = { agent: 'other', engines: { [Made.engine(2)]: 5 }, classes: {}, waiting: {}, tenants: {} };
--- a/tests/fleet-behaviour.test.ts
+++ b/tests/fleet-behaviour.test.ts
@@ -153,12 +153,12 @@
   const holders = (): readonly string[] =>
     fleet.edges
       .filter(({ agentProcess }) => agentProcess.alive)
-      .flatMap(({ agent, name }) => agent.stewardship.held().map(({ name: engine }) => `${engine} by ${name}`))
+      .flatMap(({ agent, name }) => agent.stewardship.activeControllers().map(({ name: engine }) => `${engine} by ${name}`))
       .sort();
   await world.runFor(20_000_000);
   assert.equal(holders().length, 7);
   const busiest = fleet.edges.reduce((best, edge) =>
-    edge.agent.stewardship.held().length > best.agent.stewardship.held().length ? edge : best,
+    edge.agent.stewardship.activeControllers().length > best.agent.stewardship.activeControllers().length ? edge : best,
   );
   busiest.agentProcess.kill();
   assert.ok(await world.runUntil(() => holders().length === 7, 10_000_000), holders().join('; '));
--- a/tests/held-past-timeout.test.ts
+++ b/tests/held-past-timeout.test.ts
@@ -2,8 +2,8 @@
 import { describe, test } from 'node:test';
 import { TakeDesk } from '../source/edge-proxy/holding/takeDesk';
 import { TakePolicies } from '../source/edge-proxy/holding/takePolicy';
-import type { Identifier } from '../source/edge-proxy/fence/identify';
-import type { Context, Step } from '../source/edge-proxy/path/order';
+import type { RequestIdentifier } from '../source/edge-proxy/identification/requestIdentifier';
+import type { RequestContext, PolicyResult } from '../source/edge-proxy/pipeline/request';
 import type { RetryBudget } from '../source/edge-proxy/sends/retryBudget';
 import { World } from '../source/fleet-simulator/world/world';
 import { Metrics } from '../source/shared/metrics/metrics';
@@ -14,7 +14,7 @@
 const heldOrder = async (
   routeMicroseconds: number | undefined,
   callerMicroseconds: number | undefined,
-): Promise<Readonly<{ step: Step | undefined; afterMicroseconds: number }>> => {
+): Promise<Readonly<{ step: PolicyResult | undefined; afterMicroseconds: number }>> => {
   const world = new World(1);
   const rank = {
     rank: 0,
@@ -32,12 +32,12 @@
   );
   const policy = TakePolicies.take(
     desk,
-    { stillStands: () => ({ kind: 'stands' }) } as unknown as Identifier,
+    { stillStands: () => ({ kind: 'stands' }) } as unknown as RequestIdentifier,
     () => ({}) as RetryBudget,
   );
   const began = world.nowMicroseconds;
   let afterMicroseconds = Infinity;
-  let step: Step | undefined;
+  let step: PolicyResult | undefined;
   void policy
     .apply({
       order: {
@@ -55,7 +55,7 @@
       },
       turnKept: false,
       owesSend: false,
-    } as unknown as Context)
+    } as unknown as RequestContext)
     .then((found) => {
       step = found;
       afterMicroseconds = world.nowMicroseconds - began;
--- a/tests/incident-starved-proxies.test.ts
+++ b/tests/incident-starved-proxies.test.ts
@@ -50,7 +50,7 @@
 /** Adds entries to the index of every engine at once, as after new weights. */
 const growIndex = ({ fleet }: FedFleet, entries: number): void => {
   for (const { agent } of fleet.edges.filter((edge) => fleet.hasAgent(edge)))
-    for (const { name } of agent.stewardship.held().filter(({ name: engine }) => engine.startsWith('engine-')))
+    for (const { name } of agent.stewardship.activeControllers().filter(({ name: engine }) => engine.startsWith('engine-')))
       for (let index = 0; index < entries; index += 1) {
         const physical = `${name}-${index}-0123456789abcdef`;
         agent.shards.get(name)?.put({ physical, logical: physical, name: physical, size: 512 });
--- a/tests/lease-model.test.ts
+++ b/tests/lease-model.test.ts
@@ -44,28 +44,28 @@
   {
     what: 'a holder uses its lease to the end, without a margin for clock drift',
     scope: 'a lease runs out while another candidate asks',
-    cuts: [['edge-agent/stewards/dutyHolder.ts', 'unusedPerMille = 11', 'unusedPerMille = 0']],
+    cuts: [['edge-agent/leases/leaseHolder.ts', 'leaseMarginPerMille = 11', 'leaseMarginPerMille = 0']],
     sees: /two hold/,
   },
   {
     what: 'a voter grants leases at once after a restart',
     scope: 'voters restart while a lease runs',
-    cuts: [['core-keeper/duties/dutyVoter.ts', 'if (now < this.votesFromMicroseconds && !renewal)', 'if (false)']],
+    cuts: [['core-keeper/leases/leaseVoter.ts', 'if (now < this.votesFromMicroseconds && !renewal)', 'if (false)']],
     sees: /two hold/,
   },
   {
     what: 'a voter grants a term twice',
     scope: 'two candidates at once, messages and power lost',
     cuts: [
-      ['core-keeper/duties/dutyVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
-      ['core-keeper/duties/dutyVoter.ts', 'if (after?.term !== request.term) return refuse(0);', ''],
+      ['core-keeper/leases/leaseVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
+      ['core-keeper/leases/leaseVoter.ts', 'if (after?.term !== request.term) return refuse(0);', ''],
     ],
     sees: /two had one fence|two hold|a fence fell/,
   },
   {
     what: 'a late renewal restores a released lease',
     scope: 'a lease given back while its renewal is on its way',
-    cuts: [['edge-agent/stewards/dutyHolder.ts', 'if (this.releasedTerms.get(duty) === term) continue;', '']],
+    cuts: [['edge-agent/leases/leaseHolder.ts', 'if (this.releasedTerms.get(duty) === term) continue;', '']],
     sees: /two hold/,
   },
 ];
--- a/tests/majority-read.test.ts
+++ b/tests/majority-read.test.ts
@@ -1,7 +1,7 @@
 /** What the answers of five control nodes prove while a change is being accepted. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { MajorityReads, type WordsAnswer } from '../source/shared/register/majorityRead';
+import { MajorityReads, type StatementsAnswer } from '../source/shared/register/majorityRead';
 
 const names = ['a', 'b', 'c', 'd', 'e'];
 const member = { address: '', operatorsAddress: '', zone: '' };
@@ -10,7 +10,7 @@
 /** What a control node has accepted, and which revision it knows to be decided. */
 type Held = Readonly<{ epoch: number; revision: number; decided: number }>;
 
-const answerOf = (keeper: string, { epoch, revision, decided }: Held): WordsAnswer => ({
+const answerOf = (keeper: string, { epoch, revision, decided }: Held): StatementsAnswer => ({
   kind: 'words',
   stamp: { fleet: 'fleet', keeper, incarnation: 0, known: {} },
   membersRevision: 1,
@@ -29,7 +29,7 @@
 });
 
 const provenRevisions = (held: Readonly<Record<string, Held>>): readonly number[] =>
-  MajorityReads.judge(
+  MajorityReads.evaluate(
     Object.entries(held).map(([keeper, word]) => answerOf(keeper, word)),
     'fleet',
     () => undefined,
--- a/tests/control-list-stuck.test.ts
+++ b/tests/member-list-deadlock.test.ts
@@ -17,16 +17,16 @@
   return { key: 'blueprint', form: 'whole', text, ifMatch: version - 1, id: `put ${version}` };
 };
 
-const isJoint = ({ keeper }: ControlMachine): boolean => keeper?.core.members().sets.length === 2;
+const isJoint = ({ controlNode: keeper }: ControlMachine): boolean => keeper?.core.members().sets.length === 2;
 
 describe('the leader of the member list is lost while one member lacks the changed list', () => {
   test('the joining member gets a vote and changes are confirmed, 8 seeds', async () => {
     for (let seed = 801; seed <= 808; seed += 1) {
       const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
       await fleet.world.runFor(3_000_000);
-      const leader = fleet.machines.find(({ keeper, name }) => keeper?.owners()['core-members']?.owner === name);
+      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['core-members']?.owner === name);
       assert.ok(leader !== undefined);
       const others = fleet.machines.filter((machine) => machine !== leader);
       const [informed, uninformed] = others as [ControlMachine, ControlMachine];
@@ -40,7 +40,7 @@
       leader.kill(true);
       fleet.network.cut(leader.machine, uninformed.machine);
       assert.equal(isJoint(uninformed), false);
-      assert.equal((await fleet.persistAt(others, put(2), 10_000_000))?.kind, 'taken', `seed ${seed}`);
+      assert.equal((await fleet.changeWithRetriesAt(others, put(2), 10_000_000))?.kind, 'taken', `seed ${seed}`);
       assert.ok(
         await fleet.world.runUntil(() => fleet.machine(4).votes, 10_000_000),
         `the joining member votes, seed ${seed}`,
--- a/tests/model-checker.test.ts
+++ b/tests/model-checker.test.ts
@@ -75,7 +75,7 @@
     scope: 'power lost on two of three right after a change',
     cuts: [
       [
-        'core-keeper/ledger/ledger.ts',
+        'core-keeper/write-ahead-log/writeAheadLog.ts',
         '      await file.sync();\n    } catch (error) {\n      // The log stops',
         '    } catch (error) {\n      // The log stops',
       ],
@@ -87,8 +87,8 @@
     scope: 'a wiped member and the one that lacks the change, apart from the last copy',
     cuts: [
       [
-        'core-keeper/standing/standing.ts',
-        'return answering.length >= Math.min(others.length, Stamps.majority(set.length));',
+        'core-keeper/membership/fleetMembership.ts',
+        'return answering.length >= Math.min(others.length, Stamps.majoritySize(set.length));',
         'return answering.length > 0;',
       ],
     ],
@@ -97,7 +97,7 @@
   {
     what: 'a changed list that stands alone at once',
     scope: 'a member out of reach right after a replacement began',
-    cuts: [['core-keeper/register/ownership.ts', ' || entry.learner !== undefined', '']],
+    cuts: [['core-keeper/register/leadership.ts', ' || entry.learner !== undefined', '']],
     sees: /no majority/,
   },
   {
@@ -121,7 +121,7 @@
     scope: 'two changes on one base, messages and power lost',
     cuts: [
       [
-        'core-keeper/register/ownership.ts',
+        'core-keeper/register/leadership.ts',
         'const entry = promises.accepted?.entry ?? this.initialEntry();',
         'const entry = this.initialEntry();',
       ],
@@ -131,19 +131,19 @@
   {
     what: 'a minority of the seeds founds',
     scope: 'two seeds found a fleet without the third; one of them loses its disk and meets the third alone',
-    cuts: [['core-keeper/standing/founding.ts', 'names.size < Stamps.majority(founders) || ', '']],
+    cuts: [['core-keeper/membership/fleetBootstrap.ts', 'names.size < Stamps.majoritySize(founders) || ', '']],
     sees: /two fleets/,
   },
   {
     what: 'a seed that lost its disk founds a fleet again',
     scope: 'two seeds found a fleet without the third; one of them loses its disk and meets the third alone',
-    cuts: [['core-keeper/standing/founding.ts', '!hellos.every(isOfFirstStart)', 'false']],
+    cuts: [['core-keeper/membership/fleetBootstrap.ts', '!hellos.every(isOfFirstStart)', 'false']],
     sees: /two fleets/,
   },
   {
     what: 'a member that leaves does not wait for its successor',
     scope: 'a member leaves that holds one of two copies, and the other copy is lost',
-    cuts: [['core-keeper/standing/memberChanges.ts', "if (leaveAnswer === 'free') return;", 'return;']],
+    cuts: [['core-keeper/membership/memberChanges.ts', "if (leaveAnswer === 'free') return;", 'return;']],
     sees: /no majority|a later read/,
   },
   {
@@ -151,8 +151,8 @@
     scope: 'a member wiped while the list changes, apart from the last copy',
     cuts: [
       [
-        'core-keeper/standing/standing.ts',
-        'return answering.length >= Math.min(others.length, Stamps.majority(set.length));',
+        'core-keeper/membership/fleetMembership.ts',
+        'return answering.length >= Math.min(others.length, Stamps.majoritySize(set.length));',
         'return answering.length > 0;',
       ],
     ],
@@ -177,7 +177,7 @@
     scope: 'power lost at any step while the log is rewritten as a snapshot',
     cuts: [
       [
-        'core-keeper/ledger/ledger.ts',
+        'core-keeper/write-ahead-log/writeAheadLog.ts',
         '    this.file = await this.disk.open(fileName);\n    await oldFile?.close();',
         '    void oldFile;',
       ],
--- a/tests/operators-door.test.ts
+++ b/tests/operator-api.test.ts
@@ -6,10 +6,10 @@
 import { describe, test } from 'node:test';
 import { platformDialect } from '../platform/operators/dialect';
 import { platformOperatorsWords } from '../platform/operators/words';
-import { KeeperDefaults } from '../source/core-keeper/controlSettings';
-import type { OperatorsWords } from '../source/core-keeper/operators/operatorsWords';
-import { ownOperatorsWords } from '../source/core-keeper/operators/ownWords';
-import { startKeeper, type KeeperProgram } from '../source/core-keeper/program/keeperProgram';
+import { ControlNodeDefaults } from '../source/core-keeper/controlNodeSettings';
+import type { OperatorApiFormat } from '../source/core-keeper/operators/operatorApiFormat';
+import { nativeOperatorApiFormat } from '../source/core-keeper/operators/nativeOperatorApiFormat';
+import { startControlNode, type RunningControlNode } from '../source/core-keeper/program/controlNodeProgram';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 import { ownDialect, type Dialect } from '../source/shared/blueprint/dialect';
 import { realClock } from '../source/shared/effects/clock/realClock';
@@ -49,18 +49,18 @@
 
 /** Starts a single control node on a real disk and real connections. With unreachable seeds it never gets a majority. */
 const withControlNode = async (
-  words: OperatorsWords,
+  words: OperatorApiFormat,
   dialect: Dialect,
-  work: (program: KeeperProgram) => Promise<void>,
+  work: (program: RunningControlNode) => Promise<void>,
   seeds?: readonly string[],
 ): Promise<void> => {
   const folder = mkdtempSync(path.join(tmpdir(), 'postdrum-door-'));
   const member = { address: '127.0.0.1:1', operatorsAddress: '127.0.0.1:0', zone: '' };
-  const program = await startKeeper({
+  const program = await startControlNode({
     effects: { clock: realClock, random: realRandom, transport: new TcpTransport(realClock) },
     disk: await nodeDisk(folder),
     settings: {
-      ...KeeperDefaults,
+      ...ControlNodeDefaults,
       name: 'only',
       member,
       listenAddress: '127.0.0.1:0',
@@ -69,9 +69,9 @@
       replaces: '',
     },
     dialect,
-    words,
-    door: { address: '127.0.0.1:0', answerMicroseconds: 850_000, answerMicrosecondsPerByte: 1 },
-    broken: assert.fail,
+    operatorApiFormat: words,
+    operatorApi: { address: '127.0.0.1:0', answerMicroseconds: 850_000, answerMicrosecondsPerByte: 1 },
+    onDiskFailure: assert.fail,
   });
   try {
     await work(program);
@@ -93,7 +93,7 @@
   const formats = [
     {
       name: 'own',
-      words: ownOperatorsWords,
+      words: nativeOperatorApiFormat,
       dialect: ownDialect,
       path: '/blueprint',
       document: own,
@@ -114,7 +114,7 @@
   ];
   for (const { name, words, dialect, path: target, document, next, headers, after } of formats) {
     test(`${name}: accepts, repeats and returns documents as sent; refuses a stale base, a broken document, a missing If-Match`, () =>
-      withControlNode(words, dialect, async ({ door: { address } }) => {
+      withControlNode(words, dialect, async ({ operatorApi: { address } }) => {
         const put = (text: string, ifMatch: number, id: string): Promise<HttpResponse> =>
           call(address, 'PUT', target, headers(ifMatch, id), text);
         assert.equal((await retryWhileUnavailable(() => call(address, 'GET', target))).status, 404);
@@ -141,7 +141,7 @@
       withControlNode(
         words,
         dialect,
-        async ({ door: { address } }) => {
+        async ({ operatorApi: { address } }) => {
           const startMicroseconds = realClock.nowMicroseconds();
           const responses = await Promise.all([
             call(address, 'PUT', target, headers(0, 'a'), document),
@@ -159,7 +159,7 @@
 });
 
 test('platform: changes named items and weights at their own paths', () =>
-  withControlNode(platformOperatorsWords, platformDialect, async ({ keeper, door: { address } }) => {
+  withControlNode(platformOperatorsWords, platformDialect, async ({ controlNode: keeper, operatorApi: { address } }) => {
     const target = '/-/config';
     assert.equal(
       (await retryWhileUnavailable(() => call(address, 'PUT', target, { 'if-match': '0' }, platformDocument(5))))
--- a/tests/operators-linearizable.test.ts
+++ b/tests/operators-linearizable.test.ts
@@ -6,7 +6,7 @@
 import { describe, test } from 'node:test';
 import { seededRandom, type Random } from '../source/shared/effects/random/random';
 import { HttpControlNodes } from './support/httpControlNodes';
-import { faultsOfHistory, type ChangeRecord, type OperatorRecord, type ReadRecord } from './support/operatorHistory';
+import { linearizabilityViolations, type ChangeRecord, type OperatorRecord, type ReadRecord } from './support/operatorHistory';
 import { platformDocument } from './support/platformDocument';
 
 const operatorCount = 8;
@@ -49,7 +49,7 @@
     const record: ReadRecord = {
       kind: 'read',
       version: stored.version,
-      mark: stored.by,
+      changeId: stored.by,
       startedAt,
       endedAt: performance.now(),
     };
@@ -67,7 +67,7 @@
     const outcome = await this.sendUntilKnown(base, text, startedAt + retryLimitMilliseconds);
     const record: ChangeRecord = {
       kind: 'change',
-      mark,
+      changeId: mark,
       base,
       version,
       startedAt,
@@ -96,7 +96,7 @@
     await sleep(300 + random.fraction() * 500);
     const name = pick(random, nodes.names);
     if (random.fraction() < 0.5) {
-      const heal = nodes.cutOff(name);
+      const heal = nodes.isolate(name);
       await sleep(random.fraction() * 1_200);
       heal();
     } else {
@@ -114,7 +114,7 @@
       const history: OperatorRecord[] = [];
       const random = seededRandom(seed);
       try {
-        await nodes.begin();
+        await nodes.startAll();
         const end = performance.now() + runMilliseconds;
         const operators = Array.from(
           { length: operatorCount },
@@ -127,7 +127,7 @@
         while (read === undefined && performance.now() < until) read = await last.read();
         assert.ok(read !== undefined, 'a final read succeeds');
       } finally {
-        await nodes.end();
+        await nodes.stopAll();
       }
       const changes = history.filter((record) => record.kind === 'change');
       const count = (outcome: ChangeRecord['outcome']): number =>
@@ -135,44 +135,44 @@
       context.diagnostic(
         `${history.length - changes.length} reads, ${count('accepted')} accepted, ${count('refused')} refused, ${count('unclear')} unclear`,
       );
-      assert.deepEqual(faultsOfHistory(history), []);
+      assert.deepEqual(linearizabilityViolations(history), []);
       assert.ok(count('accepted') > 5 && count('refused') > 0, 'changes were both accepted and refused');
     });
 });
 
 describe('the checker of histories reports those that are not linearizable', () => {
   const change = (given: Partial<ChangeRecord>): ChangeRecord => ({
-    ...{ kind: 'change', mark: 'a', base: 0, version: 1, startedAt: 0, endedAt: 1, outcome: 'accepted' },
+    ...{ kind: 'change', changeId: 'a', base: 0, version: 1, startedAt: 0, endedAt: 1, outcome: 'accepted' },
     ...given,
   });
   const read = (given: Partial<ReadRecord>): ReadRecord => ({
-    ...{ kind: 'read', version: 1, mark: 'a', startedAt: 2, endedAt: 3 },
+    ...{ kind: 'read', version: 1, changeId: 'a', startedAt: 2, endedAt: 3 },
     ...given,
   });
   const cases: readonly (readonly [string, readonly OperatorRecord[], boolean])[] = [
     [
       'valid history',
-      [change({}), read({}), change({ mark: 'b', base: 1, version: 3, startedAt: 4, endedAt: 5 })],
+      [change({}), read({}), change({ changeId: 'b', base: 1, version: 3, startedAt: 4, endedAt: 5 })],
       true,
     ],
-    ['two accepted changes on one base', [change({}), change({ mark: 'b', version: 2 })], false],
-    ['one version accepted twice', [change({}), change({ mark: 'b', base: 1, startedAt: 2, endedAt: 3 })], false],
-    ['older version read after an acknowledgement', [change({}), read({ version: 0, mark: '' })], false],
+    ['two accepted changes on one base', [change({}), change({ changeId: 'b', version: 2 })], false],
+    ['one version accepted twice', [change({}), change({ changeId: 'b', base: 1, startedAt: 2, endedAt: 3 })], false],
+    ['older version read after an acknowledgement', [change({}), read({ version: 0, changeId: '' })], false],
     [
       'older version read after a read',
-      [change({ outcome: 'unclear' }), read({}), read({ version: 0, mark: '', startedAt: 4 })],
+      [change({ outcome: 'unclear' }), read({}), read({ version: 0, changeId: '', startedAt: 4 })],
       false,
     ],
-    ['older version read during the change', [change({}), read({ version: 0, mark: '', startedAt: 0 })], true],
+    ['older version read during the change', [change({}), read({ version: 0, changeId: '', startedAt: 0 })], true],
     ['refused change read', [change({ outcome: 'refused' }), read({})], false],
     ['unclear change read', [change({ outcome: 'unclear' }), read({})], true],
     ['read of a change that was never sent', [read({})], false],
     [
       'changes accepted out of order',
-      [change({ version: 5, base: 4 }), change({ mark: 'b', base: 1, version: 2, startedAt: 2, endedAt: 3 })],
+      [change({ version: 5, base: 4 }), change({ changeId: 'b', base: 1, version: 2, startedAt: 2, endedAt: 3 })],
       false,
     ],
   ];
   for (const [title, history, isLinearizable] of cases)
-    test(title, () => assert.equal(faultsOfHistory(history).length === 0, isLinearizable));
+    test(title, () => assert.equal(linearizabilityViolations(history).length === 0, isLinearizable));
 });
--- a/tests/outdated-denials.test.ts
+++ b/tests/outdated-denials.test.ts
@@ -8,7 +8,7 @@
 import { PlatformProxySettings } from '../platform/settings/proxySettings';
 import { Digests } from '../source/core-keeper/register/changes';
 import { EdgeProxy } from '../source/edge-proxy/edgeProxy';
-import type { Order } from '../source/edge-proxy/path/order';
+import type { ProxyRequest } from '../source/edge-proxy/pipeline/request';
 import { World } from '../source/fleet-simulator/world/world';
 import type { BackEndSender } from '../source/shared/back-end/protocol';
 import type { Transport } from '../source/shared/effects/transport/transport';
@@ -53,7 +53,7 @@
   return proxy;
 };
 
-const requestOf = (path: string, key: string): Order => ({
+const requestOf = (path: string, key: string): ProxyRequest => ({
   id: 'r1',
   method: 'POST',
   path,
@@ -92,7 +92,7 @@
     await world.runFor(applyWithinMs * 1000);
     for (const [description, path, key] of denied) assert.equal(statusOf(proxy, path, key), '503 notRun', description);
     assert.equal(statusOf(proxy, '/long/1', 'key-a'), 'resolved');
-    assert.equal(proxy.identifier.refusedAtHead({ key: 'key-b', path: '/long/1', host: 'one.example' })?.status, 503);
+    assert.equal(proxy.identifier.refusalFromHead({ key: 'key-b', path: '/long/1', host: 'one.example' })?.status, 503);
   });
 
   test('a queued request whose key is missing from an outdated configuration does not get 401', async () => {
@@ -107,7 +107,7 @@
     proxy.freshness.hear({ ...confirmed, ageMicroseconds: 0, weights: {} }, world.nowMicroseconds);
     assert.ok(proxy.freshness.give({ ...confirmed, text } as SentBody));
     await world.runFor(applyWithinMs * 1000);
-    const validity = found.kind === 'resolved' ? proxy.identifier.stillStands(request, found.resolved) : undefined;
+    const validity = found.kind === 'resolved' ? proxy.identifier.revalidate(request, found.resolved) : undefined;
     assert.equal(validity?.kind === 'refuse' ? validity.refusal.status : undefined, 503);
   });
 
--- a/tests/owner-links.test.ts
+++ b/tests/owner-links.test.ts
@@ -4,7 +4,7 @@
 import { ownDialect } from '../source/shared/blueprint/dialect';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 
-const isOwner = ({ keeper, name }: ControlMachine): boolean => keeper?.owners()['blueprint']?.owner === name;
+const isOwner = ({ controlNode: keeper, name }: ControlMachine): boolean => keeper?.keyLeaders()['blueprint']?.owner === name;
 
 /** From now on the first so many accepts to a machine are lost with their conn, as when a link was just mended. */
 const breakAccepts = (
@@ -31,7 +31,7 @@
   for (const count of [1, 3])
     test(`a change whose accept is lost on ${count} conns in turn stands soon, under the same owner`, async () => {
       const fleet = new ControlFleet(21, ownDialect);
-      assert.ok(await fleet.begin(3));
+      assert.ok(await fleet.startAll(3));
       assert.ok(await fleet.world.runUntil(() => fleet.machines.some(isOwner), 3_000_000));
       const owner = fleet.machines.find(isOwner);
       assert.ok(owner !== undefined);
@@ -39,7 +39,7 @@
       assert.ok(silent !== undefined && broken !== undefined);
       fleet.network.cut(owner.machine, silent.machine);
       const brokenTimes = breakAccepts(fleet, broken, count);
-      const epoch = owner.keeper?.owners()['blueprint']?.epoch;
+      const epoch = owner.controlNode?.keyLeaders()['blueprint']?.epoch;
       const began = fleet.world.nowMicroseconds;
       const text = JSON.stringify(SimBlueprints.first());
       const outcome = await fleet.change(owner, { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'one' });
@@ -48,12 +48,12 @@
       // Why it matters: until then no agent can prove any revision, and the fence of every proxy goes on closing.
       const took = fleet.world.nowMicroseconds - began;
       assert.ok(took < fleet.settings.askMicroseconds / 2, `${took} µs`);
-      assert.equal(owner.keeper?.owners()['blueprint']?.epoch, epoch);
+      assert.equal(owner.controlNode?.keyLeaders()['blueprint']?.epoch, epoch);
     });
 
   test('a majority that cannot be reached is still given up after one patience', async () => {
     const fleet = new ControlFleet(22, ownDialect);
-    assert.ok(await fleet.begin(3));
+    assert.ok(await fleet.startAll(3));
     assert.ok(await fleet.world.runUntil(() => fleet.machines.some(isOwner), 3_000_000));
     const owner = fleet.machines.find(isOwner);
     assert.ok(owner !== undefined);
--- a/tests/parts-planner.test.ts
+++ b/tests/parts-planner.test.ts
@@ -5,10 +5,10 @@
 import { MoveSettings, PartMoves, type Move } from '../source/edge-proxy/fetch/partMoves';
 import { PartsPlanner } from '../source/edge-proxy/fetch/partsPlanner';
 import type { FetchPlan } from '../source/edge-proxy/fetch/fetchPlanner';
-import type { Placed, Resolved } from '../source/edge-proxy/path/order';
+import type { PlacedRequest, ResolvedRequest } from '../source/edge-proxy/pipeline/request';
 import type { EngineView } from '../source/edge-proxy/placement/engineView';
-import { PromptKeys } from '../source/edge-proxy/placement/placePolicies';
-import { ReadSpeeds } from '../source/edge-proxy/placement/readSpeeds';
+import { PromptKeys } from '../source/edge-proxy/placement/placementPolicies';
+import { PrefillSpeeds } from '../source/edge-proxy/placement/prefillSpeeds';
 import { LookUps, type LookUp } from '../source/shared/directory/lookup';
 import { PromptParts } from '../source/shared/directory/promptParts';
 import { ShardBook } from '../source/shared/directory/shardBook';
@@ -17,7 +17,7 @@
 import { pool } from './support/pool';
 
 const under = { services: { pool }, tenants: {} };
-const resolved = { service: pool, trustDomain: 'shared', mapping: { service: 'pool' }, under } as unknown as Resolved;
+const resolved = { service: pool, trustDomain: 'shared', mapping: { service: 'pool' }, under } as unknown as ResolvedRequest;
 const order = {
   id: 'o',
   method: 'POST',
@@ -38,13 +38,13 @@
   keepers: readonly string[],
   hasStore = true,
   { wanted = false, isOn = true, storeTokens = 0, weights = '1' } = {},
-): Readonly<{ moves: PartMoves; lookUp: LookUp; keys: PromptKeys; plan: (placed: Partial<Placed>) => FetchPlan }> => {
+): Readonly<{ moves: PartMoves; lookUp: LookUp; keys: PromptKeys; plan: (placed: Partial<PlacedRequest>) => FetchPlan }> => {
   const keys = new PromptKeys(resolved, order);
   const shards = new ShardBook();
   for (const holder of ['e1', 'e2', ...(hasStore ? ['store'] : [])]) {
     const shard = new ShardNews({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 });
     shards.set(holder, shard);
-    const [shared] = keys.under('1');
+    const [shared] = keys.keysFor('1');
     if (shared !== undefined && keepers.includes(holder)) shard.put({ ...shared, name: shared.physical, size: 13_000 });
   }
   const store = shards.get('store');
@@ -61,9 +61,9 @@
     stores: () => (hasStore ? [{ name: 'store', address: 'store:1', bootEpoch: 'b' }] : []),
   } as unknown as EngineView;
   const moves = new PartMoves(view, new LinkSpeeds(1000, 64), MoveSettings.usual);
-  const planner = new PartsPlanner(view, shards, moves, new ReadSpeeds(), new Metrics(), demand);
-  const lookUp = LookUps.find(shards, keys.under('1'), () => 'b');
-  const placed: Placed = { engine: 'e1', address: 'e1:1', bootEpoch: 'b', weights: '1', matched: 0 };
+  const planner = new PartsPlanner(view, shards, moves, new PrefillSpeeds(), new Metrics(), demand);
+  const lookUp = LookUps.find(shards, keys.keysFor('1'), () => 'b');
+  const placed: PlacedRequest = { engine: 'e1', address: 'e1:1', bootEpoch: 'b', weights: '1', cachedParts: 0 };
   return { moves, lookUp, keys, plan: (given) => planner.plan({ ...placed, ...given }, resolved, keys, lookUp) };
 };
 
@@ -75,7 +75,7 @@
     [['e1'], true, 'store'],
     [['e1'], false, undefined],
   ] as const) {
-    const plan = setUp(keepers, hasStore).plan({ matched: 1 });
+    const plan = setUp(keepers, hasStore).plan({ cachedParts: 1 });
     assert.equal(plan.source?.holder, source, `${keepers.join()} ${hasStore}`);
     assert.equal(plan.source?.at ?? 0, 0, 'from the first part on');
     assert.deepEqual(plan.fills, [], 'it is not expected to read any');
@@ -84,15 +84,15 @@
 });
 
 test('a store is told to keep the parts only where it is not known to', () => {
-  assert.equal(setUp(['e1', 'store']).plan({ matched: 1 }).target, undefined);
-  assert.equal(setUp(['e1']).plan({ matched: 1 }).target?.store, 'store:1');
+  assert.equal(setUp(['e1', 'store']).plan({ cachedParts: 1 }).target, undefined);
+  assert.equal(setUp(['e1']).plan({ cachedParts: 1 }).target?.store, 'store:1');
 });
 
 test('where nobody is known to keep them the home is guessed, or the store where the home reads them itself', () => {
-  assert.equal(setUp([]).plan({ home: 'e2' }).source?.holder, 'e2');
-  assert.equal(setUp([]).plan({ home: 'e1' }).source?.holder, 'store');
+  assert.equal(setUp([]).plan({ defaultEngine: 'e2' }).source?.holder, 'e2');
+  assert.equal(setUp([]).plan({ defaultEngine: 'e1' }).source?.holder, 'store');
   assert.equal(setUp([]).plan({}).source?.holder, 'store');
-  assert.equal(setUp([], false).plan({ home: 'e1' }).source, undefined);
+  assert.equal(setUp([], false).plan({ defaultEngine: 'e1' }).source, undefined);
 });
 
 test('the store goes before another engine, which drops what it keeps more often; an engine before reading', () => {
@@ -120,7 +120,7 @@
 
 test('a store that is nearly full is sent what is wanted or asked for again, and what is asked for once only in vain', () => {
   const target = (keepers: readonly string[], options: Parameters<typeof setUp>[2], matched = 0): boolean =>
-    setUp(keepers, true, options).plan({ matched }).target !== undefined;
+    setUp(keepers, true, options).plan({ cachedParts: matched }).target !== undefined;
   const full = { storeTokens: 1_900_000 };
   assert.ok(target([], { storeTokens: 1_000_000 }), 'there is room');
   assert.ok(!target([], full), 'nobody keeps it and few ask for it');
--- a/tests/policies.test.ts
+++ b/tests/policies.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { WeightsPlans } from '../source/edge-agent/stewards/weightsPlan';
+import { WeightsPlans } from '../source/edge-agent/engine-control/weightsPlan';
 import { Membership } from '../source/edge-agent/membership/membership';
-import { MajorityReads, type WordsAnswer } from '../source/shared/register/majorityRead';
-import { DutyVoter } from '../source/core-keeper/duties/dutyVoter';
-import { KeeperCore } from '../source/core-keeper/register/keeperCore';
-import { Ledger } from '../source/core-keeper/ledger/ledger';
+import { MajorityReads, type StatementsAnswer } from '../source/shared/register/majorityRead';
+import { LeaseVoter } from '../source/core-keeper/leases/leaseVoter';
+import { ReplicaCore } from '../source/core-keeper/register/replicaCore';
+import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
 import { Shares, type ClassLoad } from '../source/edge-proxy/holding/shares';
 import { TakeDesk, type Room, type TakeOrder } from '../source/edge-proxy/holding/takeDesk';
-import { Placements, type Scored } from '../source/edge-proxy/placement/placements';
+import { Placements, type ScoredCandidate } from '../source/edge-proxy/placement/placements';
 import { RetryBudget } from '../source/edge-proxy/sends/retryBudget';
 import { FinalEvent, SendStates } from '../source/edge-proxy/sends/sendState';
 import { LinkSpeeds } from '../source/edge-proxy/fetch/linkSpeeds';
@@ -367,7 +367,7 @@
     }),
     settings,
   );
-  const engine = (name: string, matched: number, inFlight: number): Scored => ({
+  const engine = (name: string, matched: number, inFlight: number): ScoredCandidate => ({
     name,
     address: '',
     bootEpoch: '',
@@ -491,7 +491,7 @@
   epoch: number,
   revision: number,
   decided = 0,
-): WordsAnswer => ({
+): StatementsAnswer => ({
   kind: 'words',
   stamp: { fleet: 'f', keeper, incarnation, known },
   membersRevision: 1,
@@ -510,8 +510,8 @@
 });
 
 test('a majority read names a revision only when it is known to stand', () => {
-  const judge = (answers: readonly WordsAnswer[], applied?: { revision: number; digest: string }): readonly number[] =>
-    MajorityReads.judge(answers, 'f', () => applied).statements.map(({ revision }) => revision);
+  const judge = (answers: readonly StatementsAnswer[], applied?: { revision: number; digest: string }): readonly number[] =>
+    MajorityReads.evaluate(answers, 'f', () => applied).statements.map(({ revision }) => revision);
   assert.deepEqual(judge([answer('a', 0, {}, 1, 2)]), [], 'one keeper is no majority');
   assert.deepEqual(judge([answer('a', 0, {}, 1, 2), answer('b', 0, {}, 1, 2)]), [2]);
   assert.deepEqual(judge([answer('a', 0, {}, 1, 3), answer('b', 0, {}, 1, 2)]), [], 'the higher one may vanish');
@@ -523,7 +523,7 @@
   );
   assert.deepEqual(judge([answer('a', 0, {}, 1, 2), answer('b', 0, { a: 1 }, 1, 2)]), [], 'a has lost its disk since');
   assert.deepEqual(
-    MajorityReads.judge(
+    MajorityReads.evaluate(
       [
         answer('a', 0, {}, 1, 2),
         { ...answer('b', 0, {}, 1, 2), stamp: { fleet: 'other', keeper: 'b', incarnation: 0, known: {} } },
@@ -539,7 +539,7 @@
 test('duties: one holder while a lease runs, rising terms, and none from a keeper that has just come back', async () => {
   const world = new World(9);
   const process = new SimProcess(world, 'k', '10.0.0.1');
-  const ledger = new Ledger(new SimDisk(world).of(process), world.clock, () => undefined, 1_000_000);
+  const ledger = new WriteAheadLog(new SimDisk(world).of(process), world.clock, () => undefined, 1_000_000);
   const settle = async <Result>(work: Promise<Result>): Promise<Result> => {
     const box: Result[] = [];
     void work.then((result) => box.push(result));
@@ -549,7 +549,7 @@
   };
   await settle(ledger.open());
   await settle(ledger.write([{ kind: 'forming', fleet: 'f', members: {} }, { kind: 'formed' }]));
-  const voter = new DutyVoter(new KeeperCore('k', ledger, world.clock), world.clock);
+  const voter = new LeaseVoter(new ReplicaCore('k', ledger, world.clock), world.clock);
   const ask = async (candidate: string, term: number): Promise<boolean> =>
     (await settle(voter.vote([{ duty: 'd', candidate, term, leaseMicroseconds: 1_000_000 }], 0)))[0]?.granted ?? false;
   assert.equal(await ask('x', 1), true);
@@ -561,8 +561,8 @@
   await world.runFor(1_100_000);
   assert.equal(await ask('x', 2), false);
   assert.equal(await ask('x', 3), true);
-  const again = new DutyVoter(new KeeperCore('k', ledger, world.clock), world.clock);
-  again.waitOneLease(1_000_000);
+  const again = new LeaseVoter(new ReplicaCore('k', ledger, world.clock), world.clock);
+  again.delayGrants(1_000_000);
   const early = (
     await settle(again.vote([{ duty: 'd', candidate: 'z', term: 4, leaseMicroseconds: 1_000_000 }], 0))
   )[0];
@@ -604,11 +604,11 @@
   const members = new Membership(own, book, clock, bounds, () => undefined);
   const say = (name: string, state: 'alive' | 'gone', minor: number): boolean =>
     book.put({ key: `member/${name}`, version: [1, minor], value: { ...own, name, address: `${name}:1`, state } });
-  assert.deepEqual(members.watched(), []);
+  assert.deepEqual(members.probeTargets(), []);
   say('b', 'alive', 0);
   say('c', 'alive', 0);
   assert.deepEqual(
-    members.watched().map(({ name }) => name),
+    members.probeTargets().map(({ name }) => name),
     ['b', 'c'],
   );
   const before = members.present();
@@ -616,13 +616,13 @@
   assert.equal(members.present(), before, 'a load says nothing of members');
   say('c', 'gone', 2);
   assert.deepEqual(
-    members.watched().map(({ name }) => name),
+    members.probeTargets().map(({ name }) => name),
     ['b'],
   );
   assert.deepEqual(
-    members.colleagues().map(({ name }) => name),
+    members.gossipPeers().map(({ name }) => name),
     ['b'],
   );
   book.forget('member/b');
-  assert.deepEqual(members.watched(), []);
+  assert.deepEqual(members.probeTargets(), []);
 });
--- a/tests/weights-known.test.ts
+++ b/tests/previous-weights.test.ts
@@ -3,18 +3,18 @@
 import { WeightsAges } from '../source/core-keeper/register/weightsAges';
 import { ownDialect } from '../source/shared/blueprint/dialect';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
-import { Fence } from '../source/edge-proxy/fence/fence';
+import { StalenessGuard } from '../source/edge-proxy/identification/stalenessGuard';
 import { Digests } from '../source/core-keeper/register/changes';
 import { Freshness, type Statement } from '../source/shared/freshness/freshness';
-import { MajorityReads, type WordsAnswer } from '../source/shared/register/majorityRead';
+import { MajorityReads, type StatementsAnswer } from '../source/shared/register/majorityRead';
 import { Epochs, type Entry, type WeightsAge } from '../source/shared/register/types';
 import { handClock } from './support/handClock';
 
 const epoch = { ...Epochs.none, counter: 1 } as typeof Epochs.none;
 
-const answer = (keeper: string, age: WeightsAge): WordsAnswer => ({
+const answer = (keeper: string, age: WeightsAge): StatementsAnswer => ({
   kind: 'words',
-  stamp: { keeper, fleet: 'f', incarnation: 1, known: {} } as WordsAnswer['stamp'],
+  stamp: { keeper, fleet: 'f', incarnation: 1, known: {} } as StatementsAnswer['stamp'],
   membersRevision: 1,
   view: { revision: 1, sets: [['a', 'b', 'c']], members: {} },
   words: [
@@ -39,7 +39,7 @@
     [joined, knows],
     [knows, joined],
   ] as const) {
-    const read = MajorityReads.judge([answer('a', first), answer('b', second)], 'f', () => undefined);
+    const read = MajorityReads.evaluate([answer('a', first), answer('b', second)], 'f', () => undefined);
     const [statement] = read.statements;
     assert.deepEqual(statement?.weights, { pool: { weights: 'w2', previous: 'w1', ageMicroseconds: 900_000 } });
   }
@@ -48,7 +48,7 @@
 test('engines on the previous weights stay in use until the limit although one statement does not name them', () => {
   const clock = handClock();
   const freshness = new Freshness(clock);
-  const fence = new Fence(freshness, clock, Infinity, 8_000_000);
+  const fence = new StalenessGuard(freshness, clock, Infinity, 8_000_000);
   const text = JSON.stringify(SimBlueprints.first('w2'));
   const digest = Digests.of(text);
   const statement = (previous: string | null, ageMicroseconds: number): Statement => ({
@@ -82,13 +82,13 @@
   ages.restored(entry('w1'));
   clock.now = 2_000_000;
   ages.accepted(entry('w2'));
-  assert.deepEqual(ages.words()['pool'], { weights: 'w2', previous: 'w1', ageMicroseconds: 0 });
+  assert.deepEqual(ages.ages()['pool'], { weights: 'w2', previous: 'w1', ageMicroseconds: 0 });
 });
 
 test('a statement without weights does not erase the weights that its receiver knows', () => {
   const clock = handClock();
   const freshness = new Freshness(clock);
-  const fence = new Fence(freshness, clock, Infinity, 8_000_000);
+  const fence = new StalenessGuard(freshness, clock, Infinity, 8_000_000);
   const texts = ['one', 'two'].map((path) => {
     const first = SimBlueprints.first('w2');
     const route = first.mappings['slip'];
--- a/tests/named-parts.test.ts
+++ b/tests/prompt-part-placement.test.ts
@@ -2,12 +2,12 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { WorkDesk } from '../source/edge-agent/desk/workDesk';
-import { Shares } from '../source/edge-proxy/fence/shares';
-import { ByWork, WorkPlacementSettings, type Offer } from '../source/edge-proxy/placement/byWork';
-import { Lanes, LaneSettings } from '../source/edge-proxy/placement/lanes';
+import { TrafficShares } from '../source/edge-proxy/identification/trafficShares';
+import { PlacementCosts, PlacementCostSettings, type PlacementOffer } from '../source/edge-proxy/placement/placementCosts';
+import { ReservedEngines, ReservedEngineSettings } from '../source/edge-proxy/placement/reservedEngines';
 import { WeightsRounds } from '../source/shared/weights/weightsRounds';
 import { EngineWork } from '../source/edge-proxy/placement/engineWork';
-import { ReadSpeeds } from '../source/edge-proxy/placement/readSpeeds';
+import { PrefillSpeeds } from '../source/edge-proxy/placement/prefillSpeeds';
 import { WholeEvents } from '../source/edge-proxy/sends/wholeEvents';
 import { World } from '../source/fleet-simulator/world/world';
 import type { Mapping } from '../source/shared/blueprint/types';
@@ -79,9 +79,9 @@
 
 test('a part that is being prefilled counts as cached until its request fails or the engine restarts', () => {
   const clock = handClock();
-  const work = new EngineWork(clock, { latelyMicroseconds: 1000 });
+  const work = new EngineWork(clock, { recentMicroseconds: 1000 });
   const names = ['s/a', 's/b', 's/own'];
-  work.began('e', 'boot1', { order: 'o', toRead: 900, tokens: 1000, fills: ['s/a', 's/b'] });
+  work.recordSendStart('e', 'boot1', { order: 'o', tokensToPrefill: 900, tokens: 1000, fills: ['s/a', 's/b'] });
   assert.equal(work.matched('e', 'boot1', names, 0), 2);
   assert.equal(work.matched('e', 'boot2', names, 0), 0, 'another boot epoch of the engine');
   assert.equal(work.matched('other', 'boot1', names, 0), 0);
@@ -92,15 +92,15 @@
   assert.equal(work.matched('e', 'boot1', names, 0), 2, 'prefilled recently');
   clock.now = 1001;
   assert.equal(work.matched('e', 'boot1', names, 0), 0, 'expired: cache events would show it by now');
-  work.began('e', 'boot1', { order: 'p', toRead: 900, tokens: 1000, fills: ['s/a'] });
+  work.recordSendStart('e', 'boot1', { order: 'p', tokensToPrefill: 900, tokens: 1000, fills: ['s/a'] });
   work.ended('e', 'p');
   assert.equal(work.matched('e', 'boot1', names, 0), 0, 'failed before the prefill finished');
-  work.began('e', 'boot1', { order: 'q', toRead: 1, tokens: 1, fills: ['s/a'] });
-  work.began('e', 'boot2', { order: 'r', toRead: 1, tokens: 1, fills: [] });
+  work.recordSendStart('e', 'boot1', { order: 'q', tokensToPrefill: 1, tokens: 1, fills: ['s/a'] });
+  work.recordSendStart('e', 'boot2', { order: 'r', tokensToPrefill: 1, tokens: 1, fills: [] });
   assert.equal(work.matched('e', 'boot2', names, 0), 0, 'fenced');
 });
 
-const offer = (name: string, change: Partial<Offer> = {}): Offer => ({
+const offer = (name: string, change: Partial<PlacementOffer> = {}): PlacementOffer => ({
   name,
   address: `${name}:1`,
   bootEpoch: 'b',
@@ -108,13 +108,13 @@
   capacity: 10,
   inFlight: 0,
   zone: 'z',
-  work: { reading: 0, tokens: 0 },
+  work: { pendingPrefillTokens: 0, tokens: 0 },
   matched: 0,
-  toRead: 10_000,
-  moveMicroseconds: 0,
+  tokensToPrefill: 10_000,
+  importDelayMicroseconds: 0,
   tokensPerMillisecond: 50,
   keptTokens: 100_000,
-  lane: false,
+  isReserved: false,
   ...change,
 });
 const demand = {
@@ -123,15 +123,15 @@
   zone: 'z',
   isShort: false,
 };
-const choose = (offers: readonly Offer[], seed = 1): string | undefined =>
-  ByWork.choose(offers, demand, seededRandom(seed), WorkPlacementSettings.usual)?.name;
+const choose = (offers: readonly PlacementOffer[], seed = 1): string | undefined =>
+  PlacementCosts.choose(offers, demand, seededRandom(seed), PlacementCostSettings.usual)?.name;
 
 test('a request goes where its parts are cached, unless that engine has a long prefill queue, many requests or full memory', () => {
   const keeps = { matched: 1, toRead: 1000 };
   assert.equal(choose([offer('a'), offer('b', keeps), offer('c')]), 'b');
-  assert.equal(choose([offer('a'), offer('b', { ...keeps, work: { reading: 40_000, tokens: 0 } })]), 'a');
+  assert.equal(choose([offer('a'), offer('b', { ...keeps, work: { pendingPrefillTokens: 40_000, tokens: 0 } })]), 'a');
   assert.equal(choose([offer('a'), offer('b', { ...keeps, inFlight: 30 })]), 'a');
-  assert.equal(choose([offer('a'), offer('b', { ...keeps, work: { reading: 0, tokens: 140_000 } })]), 'a');
+  assert.equal(choose([offer('a'), offer('b', { ...keeps, work: { pendingPrefillTokens: 0, tokens: 140_000 } })]), 'a');
   assert.equal(choose([]), undefined);
 });
 
@@ -141,15 +141,15 @@
   assert.equal(new Set(chosen).size, 1);
   const spread = Array.from({ length: 40 }, (_, index) => {
     const parts = [{ physical: `s/${index}`, logical: '', name: `s/${index}`, size: 9000 }];
-    return ByWork.choose(offers, { ...demand, parts }, seededRandom(1), WorkPlacementSettings.usual)?.name;
+    return PlacementCosts.choose(offers, { ...demand, parts }, seededRandom(1), PlacementCostSettings.usual)?.name;
   });
   assert.equal(new Set(spread).size, offers.length);
 });
 
 test('at equal cost an engine in the same zone is chosen', () => {
   const short = { ...demand, parts: [], isShort: true };
-  const of = (offers: readonly Offer[]): string | undefined =>
-    ByWork.choose(offers, short, seededRandom(1), WorkPlacementSettings.usual)?.name;
+  const of = (offers: readonly PlacementOffer[]): string | undefined =>
+    PlacementCosts.choose(offers, short, seededRandom(1), PlacementCostSettings.usual)?.name;
   assert.equal(of([offer('a', { zone: 'y' }), offer('b')]), 'b');
   assert.equal(of([offer('b', { zone: 'y' }), offer('a')]), 'a');
 });
@@ -158,25 +158,25 @@
   const short = { ...demand, parts: [], isShort: true, tokens: 300 };
   const fresh = { needsConnection: true };
   assert.equal(
-    ByWork.choose([offer('a', fresh), offer('b')], short, seededRandom(1), WorkPlacementSettings.usual)?.name,
+    PlacementCosts.choose([offer('a', fresh), offer('b')], short, seededRandom(1), PlacementCostSettings.usual)?.name,
     'b',
   );
   const busy = offer('b', { inFlight: 9 });
   assert.equal(
-    ByWork.choose([offer('a', fresh), busy], short, seededRandom(1), WorkPlacementSettings.usual)?.name,
+    PlacementCosts.choose([offer('a', fresh), busy], short, seededRandom(1), PlacementCostSettings.usual)?.name,
     'a',
   );
 });
 
 test('short requests use the reserved engines and long ones the others, until these have no capacity', () => {
-  const lane = offer('a', { lane: true });
+  const lane = offer('a', { isReserved: true });
   const short = { ...demand, parts: [], isShort: true, tokens: 300 };
-  const of = (offers: readonly Offer[]): string | undefined =>
-    ByWork.choose(offers, short, seededRandom(1), WorkPlacementSettings.usual)?.name;
+  const of = (offers: readonly PlacementOffer[]): string | undefined =>
+    PlacementCosts.choose(offers, short, seededRandom(1), PlacementCostSettings.usual)?.name;
   assert.equal(of([lane, offer('b')]), 'a');
-  assert.equal(of([offer('a', { lane: true, inFlight: 40 }), offer('b')]), 'b');
+  assert.equal(of([offer('a', { isReserved: true, inFlight: 40 }), offer('b')]), 'b');
   assert.equal(choose([lane, offer('b')]), 'b');
-  assert.equal(choose([lane, offer('b', { work: { reading: 60_000, tokens: 0 } })]), 'a');
+  assert.equal(choose([lane, offer('b', { work: { pendingPrefillTokens: 60_000, tokens: 0 } })]), 'a');
 });
 
 test('engines are reserved in proportion to the work of short requests, the same ones at every proxy', () => {
@@ -184,11 +184,11 @@
   const reservedAfter = (
     short: number,
     long: number,
-    headroomPerMille = LaneSettings.usual.headroomPerMille,
+    headroomPerMille = ReservedEngineSettings.usual.headroomPerMille,
   ): ReadonlySet<string> => {
-    const lanes = new Lanes(handClock(), { ...LaneSettings.usual, headroomPerMille });
-    for (let turn = 0; turn < short; turn += 1) lanes.saw('s', 5000, 10, 20, true);
-    for (let turn = 0; turn < long; turn += 1) lanes.saw('s', 200_000, 10, 20, false);
+    const lanes = new ReservedEngines(handClock(), { ...ReservedEngineSettings.usual, headroomPerMille });
+    for (let turn = 0; turn < short; turn += 1) lanes.recordPlacement('s', 5000, 10, 20, true);
+    for (let turn = 0; turn < long; turn += 1) lanes.recordPlacement('s', 200_000, 10, 20, false);
     return lanes.of('s', engines);
   };
   assert.equal(reservedAfter(100, 0).size, 0, 'only short requests');
@@ -208,9 +208,9 @@
   fc.assert(
     fc.property(orders, (seen) => {
       const proxies = seen.map(([short, long]) => {
-        const lanes = new Lanes(handClock(), LaneSettings.usual);
-        for (let turn = 0; turn < short; turn += 1) lanes.saw('s', 10_000, 0, 20, true);
-        for (let turn = 0; turn < long; turn += 1) lanes.saw('s', 200_000, 0, 20, false);
+        const lanes = new ReservedEngines(handClock(), ReservedEngineSettings.usual);
+        for (let turn = 0; turn < short; turn += 1) lanes.recordPlacement('s', 10_000, 0, 20, true);
+        for (let turn = 0; turn < long; turn += 1) lanes.recordPlacement('s', 200_000, 0, 20, false);
         return lanes;
       });
       const sum = (excluded: number): readonly [number, number] =>
@@ -251,11 +251,11 @@
 
 test('requests avoid an engine that changes its weights soon, unless the others cost much more', () => {
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
-  const choose = (...offers: readonly Offer[]): string | undefined =>
-    ByWork.choose(offers, short, seededRandom(1), WorkPlacementSettings.usual)?.name;
+  const choose = (...offers: readonly PlacementOffer[]): string | undefined =>
+    PlacementCosts.choose(offers, short, seededRandom(1), PlacementCostSettings.usual)?.name;
   assert.equal(choose(offer('a', { changesSoon: true }), offer('b', { inFlight: 5 })), 'b');
   assert.equal(choose(offer('a', { changesSoon: true }), offer('b', { inFlight: 90 })), 'a');
-  const lanes = [offer('a', { changesSoon: true, lane: true }), offer('b')] as const;
+  const lanes = [offer('a', { changesSoon: true, isReserved: true }), offer('b')] as const;
   assert.equal(choose(...lanes), 'a', 'a short request does not leave the reserved engines for it');
 });
 
@@ -265,7 +265,7 @@
     const random = seededRandom(3);
     const offers = [offer('a'), offer('b', { inFlight })];
     return Array.from({ length: 400 }, () =>
-      ByWork.choose(offers, short, random, WorkPlacementSettings.usual, proxies),
+      PlacementCosts.choose(offers, short, random, PlacementCostSettings.usual, proxies),
     ).filter((found) => found?.name === 'b').length;
   };
   assert.equal(chosen(1, 3), 0);
@@ -278,11 +278,11 @@
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
   const random = seededRandom(5);
   const offers = Array.from({ length: 12 }, (_, index) =>
-    offer(`e${index}`, { lane: true, inFlight: index === 0 ? 0 : 14 }),
+    offer(`e${index}`, { isReserved: true, inFlight: index === 0 ? 0 : 14 }),
   );
   const share = (proxies: number): number =>
     Array.from({ length: 1200 }, () =>
-      ByWork.choose(offers, short, random, WorkPlacementSettings.usual, proxies),
+      PlacementCosts.choose(offers, short, random, PlacementCostSettings.usual, proxies),
     ).filter((found) => found?.name === 'e0').length / 1200;
   assert.equal(share(9), 1, 'few proxies know the current load of each other');
   for (const proxies of [63, 195]) assert.ok(share(proxies) < 0.25, `${proxies} proxies: ${share(proxies)}`);
@@ -292,18 +292,18 @@
   const short = { tokens: 200, parts: [], zone: 'z', isShort: true };
   const random = seededRandom(6);
   const offers = Array.from({ length: 12 }, (_, index) =>
-    offer(`e${index}`, { lane: true, inFlight: index === 0 ? 60 : 3 }),
+    offer(`e${index}`, { isReserved: true, inFlight: index === 0 ? 60 : 3 }),
   );
   const chosen = Array.from({ length: 1200 }, () =>
-    ByWork.choose(offers, short, random, WorkPlacementSettings.usual, 195),
+    PlacementCosts.choose(offers, short, random, PlacementCostSettings.usual, 195),
   );
   assert.equal(chosen.filter((found) => found?.name === 'e0').length, 0);
 });
 
 test('a mix decays until it is no longer sent', () => {
   const clock = handClock();
-  const lanes = new Lanes(clock, LaneSettings.usual);
-  lanes.saw('s', 200_000, 0, 20, false);
+  const lanes = new ReservedEngines(clock, ReservedEngineSettings.usual);
+  lanes.recordPlacement('s', 200_000, 0, 20, false);
   assert.deepEqual(lanes.mixes(), { s: [0, 20] });
   clock.now = 60_000_000;
   assert.deepEqual(lanes.mixes(), {});
@@ -408,11 +408,11 @@
 });
 
 test('prefill speeds follow the measurements, and short prompts are not measured', () => {
-  const speeds = new ReadSpeeds();
+  const speeds = new PrefillSpeeds();
   const start = speeds.of('e');
-  speeds.saw('e', 100, 1_000_000);
+  speeds.addMeasurement('e', 100, 1_000_000);
   assert.equal(speeds.of('e'), start);
-  for (let turn = 0; turn < 50; turn += 1) speeds.saw('e', 20_000, 1_000_000);
+  for (let turn = 0; turn < 50; turn += 1) speeds.addMeasurement('e', 20_000, 1_000_000);
   assert.ok(Math.abs(speeds.of('e') - 20) < 1);
   assert.ok(speeds.of('unknown') < start, 'an unmeasured engine gets the average of the others');
 });
@@ -432,8 +432,8 @@
   };
   const counts: Record<string, number> = {};
   for (let index = 0; index < 4000; index += 1) {
-    const service = Shares.pick(mapping, `order-${index}`);
-    assert.equal(Shares.pick(mapping, `order-${index}`), service);
+    const service = TrafficShares.pickService(mapping, `order-${index}`);
+    assert.equal(TrafficShares.pickService(mapping, `order-${index}`), service);
     counts[service] = (counts[service] ?? 0) + 1;
   }
   assert.equal(counts['b'], undefined);
--- a/tests/quorum-reader.test.ts
+++ b/tests/quorum-reader.test.ts
@@ -4,7 +4,7 @@
 import { QuorumReader, type ReadOutcome } from '../source/core-keeper/register/quorumReader';
 import { World } from '../source/fleet-simulator/world/world';
 import type { Answer, Message, Transport } from '../source/shared/effects/transport/transport';
-import type { WordsAnswer } from '../source/shared/register/majorityRead';
+import type { StatementsAnswer } from '../source/shared/register/majorityRead';
 
 /** What one member has accepted for the configuration; undefined: it does not answer. */
 type Held =
@@ -20,7 +20,7 @@
   ),
 };
 
-const wordsOf = (keeper: string, held: NonNullable<Held>, known: Readonly<Record<string, number>>): WordsAnswer => ({
+const wordsOf = (keeper: string, held: NonNullable<Held>, known: Readonly<Record<string, number>>): StatementsAnswer => ({
   kind: 'words',
   stamp: { fleet: 'fleet', keeper, incarnation: held.incarnation ?? 0, known },
   membersRevision: 1,
--- a/tests/settings-change.test.ts
+++ b/tests/settings-change.test.ts
@@ -11,7 +11,7 @@
 import { AgentDefaults, EdgeAgent } from '../source/edge-agent/edgeAgent';
 import { EngineListDefaults, EngineListKeeper } from '../source/edge-agent/engine-list/engineListKeeper';
 import { EdgeProxy, type ProxySettings } from '../source/edge-proxy/edgeProxy';
-import { Fence } from '../source/edge-proxy/fence/fence';
+import { StalenessGuard } from '../source/edge-proxy/identification/stalenessGuard';
 import { RetryBudget } from '../source/edge-proxy/sends/retryBudget';
 import { World } from '../source/fleet-simulator/world/world';
 import type { BackEndDoor, BackEndSender } from '../source/shared/back-end/protocol';
@@ -128,15 +128,15 @@
 test('a fence goes over to other bounds at once', async () => {
   const world = new World(1);
   const freshness = new Freshness(world.clock, undefined, 'listed');
-  const fence = new Fence(freshness, world.clock, Infinity);
-  assert.equal(fence.fresh(), false, 'nothing is known');
+  const fence = new StalenessGuard(freshness, world.clock, Infinity);
+  assert.equal(fence.isFresh(), false, 'nothing is known');
   freshness.ageMicroseconds = () => world.nowMicroseconds;
   await world.runFor(4_000_000);
-  assert.equal(fence.fresh(), true);
-  fence.boundsAre(3_000_000, 1_000_000);
-  assert.equal(fence.fresh(), false);
-  fence.boundsAre(5_000_000, 1_000_000);
-  assert.equal(fence.fresh(), true);
+  assert.equal(fence.isFresh(), true);
+  fence.setBounds(3_000_000, 1_000_000);
+  assert.equal(fence.isFresh(), false);
+  fence.setBounds(5_000_000, 1_000_000);
+  assert.equal(fence.isFresh(), true);
 });
 
 /** A transport that reaches nobody and keeps whom it was to reach. */
--- a/tests/kept-words.test.ts
+++ b/tests/state-report-cache.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { KeptWords } from '../source/edge-agent/core-link/keptWords';
-import type { WordsAnswer } from '../source/shared/register/majorityRead';
+import { StateReportCache } from '../source/edge-agent/control-link/stateReportCache';
+import type { StatementsAnswer } from '../source/shared/register/majorityRead';
 import { SimBlueprints, SimFleet, usualShape } from '../source/fleet-simulator/machines/simFleet';
 import { World } from '../source/fleet-simulator/world/world';
 
-const report = (ageMicroseconds: number | null): WordsAnswer => ({
+const report = (ageMicroseconds: number | null): StatementsAnswer => ({
   kind: 'words',
   stamp: { fleet: 'f', keeper: 'k', incarnation: 1, known: {} },
   membersRevision: 1,
@@ -25,19 +25,19 @@
 });
 
 test('a report that a control node confirms by its tag has the ages that a new report would have', () => {
-  const cache = new KeptWords();
-  assert.equal(cache.known('a'), '');
-  cache.keep('a', report(500), 'tag', 10_000);
-  assert.equal(cache.known('a'), 'tag');
-  assert.deepEqual(cache.again('a', 'tag', 12_500), report(3000));
-  assert.equal(cache.again('a', 'other', 12_500), undefined);
-  assert.equal(cache.again('b', 'tag', 12_500), undefined);
-  cache.keep('a', report(null), 'tag', 10_000);
-  assert.deepEqual(cache.again('a', 'tag', 99_000), report(null));
-  cache.only(['b']);
-  assert.equal(cache.known('a'), '');
-  cache.keep('a', { ...report(1), words: 7 as never }, 'tag', 10_000);
-  assert.equal(cache.known('a'), '');
+  const cache = new StateReportCache();
+  assert.equal(cache.tag('a'), '');
+  cache.store('a', report(500), 'tag', 10_000);
+  assert.equal(cache.tag('a'), 'tag');
+  assert.deepEqual(cache.confirmed('a', 'tag', 12_500), report(3000));
+  assert.equal(cache.confirmed('a', 'other', 12_500), undefined);
+  assert.equal(cache.confirmed('b', 'tag', 12_500), undefined);
+  cache.store('a', report(null), 'tag', 10_000);
+  assert.deepEqual(cache.confirmed('a', 'tag', 99_000), report(null));
+  cache.retainOnly(['b']);
+  assert.equal(cache.tag('a'), '');
+  cache.store('a', { ...report(1), words: 7 as never }, 'tag', 10_000);
+  assert.equal(cache.tag('a'), '');
 });
 
 test('agents apply a change in time after a period of unchanged state reports', async () => {
--- a/tests/support/agentFleet.ts
+++ b/tests/support/agentFleet.ts
@@ -76,7 +76,7 @@
 
   /** Starts all nodes and waits until every agent applies the first configuration. */
   public async begin(): Promise<void> {
-    assert.ok(await this.control.begin(controlNodeCount));
+    assert.ok(await this.control.startAll(controlNodeCount));
     for (const { agent } of this.agents) void agent.start();
     const first = this.send(this.control.machine(1), 1, 0);
     assert.ok(
@@ -91,7 +91,7 @@
 
   public leader(): ControlMachine {
     const found = this.control.machines.find(
-      ({ keeper, name, process }) => process.alive && keeper?.owners()['blueprint']?.owner === name,
+      ({ controlNode: keeper, name, process }) => process.alive && keeper?.keyLeaders()['blueprint']?.owner === name,
     );
     assert.ok(found !== undefined, 'there is a leader');
     return found;
@@ -170,7 +170,7 @@
         isFinished = true;
         if (sent.outcome === 'open') this.control.world.plan(firstPauseMicroseconds * (turn + 1), () => call(turn + 1));
       };
-      const { process, keeper } = machine;
+      const { process, controlNode: keeper } = machine;
       if (!process.alive || keeper === undefined) return tryNext();
       process.whenDead(tryNext);
       this.control.world.plan(callTimeoutMicroseconds, tryNext);
--- a/tests/support/busyFleet.ts
+++ b/tests/support/busyFleet.ts
@@ -59,7 +59,7 @@
       .filter(({ agentProcess }) => agentProcess.alive)
       .flatMap(({ agent }) =>
         agent.stewardship
-          .held()
+          .activeControllers()
           .filter(({ name }) => name.startsWith('engine-'))
           .flatMap(({ name }) => agent.shards.get(name) ?? []),
       );
--- a/tests/support/controlFleet.ts
+++ b/tests/support/controlFleet.ts
@@ -1,5 +1,5 @@
-import { KeeperDefaults, type KeeperSettings } from '../../source/core-keeper/controlSettings';
-import { CoreKeeper } from '../../source/core-keeper/coreKeeper';
+import { ControlNodeDefaults, type ControlNodeSettings } from '../../source/core-keeper/controlNodeSettings';
+import { ControlNode } from '../../source/core-keeper/controlNode';
 import type { ChangeOrder, ChangeOutcome } from '../../source/core-keeper/register/messages';
 import type { ReadOutcome } from '../../source/core-keeper/register/quorumReader';
 import { SimDisk } from '../../source/fleet-simulator/world/simDisk';
@@ -15,7 +15,7 @@
   public readonly member: CoreMember;
   public readonly machine: string;
   public process: SimProcess;
-  public keeper: CoreKeeper | undefined;
+  public controlNode: ControlNode | undefined;
   public exits = 0;
 
   public constructor(
@@ -34,21 +34,21 @@
   }
 
   public get votes(): boolean {
-    return this.process.alive && this.keeper?.core.votes() === true;
+    return this.process.alive && this.controlNode?.core.votes() === true;
   }
 
   public start(isFirstStart = false): void {
     const process = new SimProcess(this.fleet.world, this.name, this.machine);
     this.process = process;
     const { world, network, dialect, settings } = this.fleet;
-    const keeper = new CoreKeeper(
+    const keeper = new ControlNode(
       { clock: process.clock, random: world.random, transport: network.transportOf(process) },
       this.disk.of(process),
       { ...settings, name: this.name, member: this.member, seeds: this.fleet.seeds, isFirstStart },
       dialect,
     );
-    this.keeper = keeper;
-    keeper.news.on('broken', () => {
+    this.controlNode = keeper;
+    keeper.events.on('broken', () => {
       this.exits += 1;
       process.kill();
     });
@@ -61,8 +61,8 @@
   }
 }
 
-const platformSettings: Omit<KeeperSettings, 'name' | 'member' | 'seeds'> = {
-  ...KeeperDefaults,
+const platformSettings: Omit<ControlNodeSettings, 'name' | 'member' | 'seeds'> = {
+  ...ControlNodeDefaults,
   replaces: '',
   joins: 'asks',
   isFirstStart: false,
@@ -79,13 +79,13 @@
   public readonly world: World;
   public readonly network: SimNetwork;
   public readonly machines: ControlMachine[] = [];
-  public readonly settings: Omit<KeeperSettings, 'name' | 'member' | 'seeds'>;
+  public readonly settings: Omit<ControlNodeSettings, 'name' | 'member' | 'seeds'>;
   public seedNumbers: readonly number[] = [1, 2, 3];
 
   public constructor(
     seed: number,
     public readonly dialect: Dialect,
-    settings: Partial<KeeperSettings> = {},
+    settings: Partial<ControlNodeSettings> = {},
   ) {
     this.world = new World(seed);
     this.network = new SimNetwork(this.world);
@@ -109,18 +109,18 @@
   }
 
   /** Starts this many machines for the first time; true once all of them vote and know all others. */
-  public async begin(count: number): Promise<boolean> {
+  public async startAll(count: number): Promise<boolean> {
     for (let number = 1; number <= count; number += 1) this.add().start(true);
-    return this.settled(count, 10_000_000);
+    return this.waitUntilSettled(count, 10_000_000);
   }
 
   /** Waits until this many machines vote and agree on a settled member list. */
-  public settled(count: number, limitMicroseconds: number): Promise<boolean> {
+  public waitUntilSettled(count: number, limitMicroseconds: number): Promise<boolean> {
     return this.world.runUntil(() => {
       const voting = this.machines.filter(({ votes }) => votes);
       return (
         voting.length >= count &&
-        voting.every(({ keeper }) => {
+        voting.every(({ controlNode: keeper }) => {
           const view = keeper?.core.members();
           return view !== undefined && view.sets.length === 1 && Object.keys(view.members).length === count;
         })
@@ -138,7 +138,7 @@
     const process = machine.process;
     process.enter(
       () =>
-        void machine.keeper?.change(order).then((given) => {
+        void machine.controlNode?.change(order).then((given) => {
           if (process.alive) outcome = given;
         }),
     );
@@ -151,7 +151,7 @@
     const process = machine.process;
     process.enter(
       () =>
-        void machine.keeper?.read('blueprint').then((given) => {
+        void machine.controlNode?.read('blueprint').then((given) => {
           if (process.alive) outcome = given;
         }),
     );
@@ -160,25 +160,25 @@
   }
 
   /** Sends a change and drops the response. */
-  public send(machine: ControlMachine, order: ChangeOrder): void {
-    machine.process.enter(() => void machine.keeper?.change(order));
+  public sendWithoutResponse(machine: ControlMachine, order: ChangeOrder): void {
+    machine.process.enter(() => void machine.controlNode?.change(order));
   }
 
   /** A planned stop. The process ends after its handover, or at the limit. */
   public async leave(machine: ControlMachine, limitMicroseconds: number): Promise<void> {
     let isOver = false;
-    machine.process.enter(() => void machine.keeper?.leave().then(() => (isOver = true)));
+    machine.process.enter(() => void machine.controlNode?.leave().then(() => (isOver = true)));
     await this.world.runUntil(() => isOver, limitMicroseconds);
     machine.kill();
   }
 
   /** Repeats the same call on one running machine after the other until its outcome is known, as operators do. */
-  public persist(order: ChangeOrder, limitMicroseconds: number): Promise<ChangeOutcome | undefined> {
-    return this.persistAt(this.machines, order, limitMicroseconds);
+  public changeWithRetries(order: ChangeOrder, limitMicroseconds: number): Promise<ChangeOutcome | undefined> {
+    return this.changeWithRetriesAt(this.machines, order, limitMicroseconds);
   }
 
   /** Like `changeWithRetries`, but only on the given machines. */
-  public async persistAt(
+  public async changeWithRetriesAt(
     machines: readonly ControlMachine[],
     order: ChangeOrder,
     limitMicroseconds: number,
--- a/tests/support/heldFleet.ts
+++ b/tests/support/heldFleet.ts
@@ -73,7 +73,7 @@
 
   public stewardOf(engine: string): HeldAgent | undefined {
     return this.agents.find(
-      ({ process, agent }) => process.alive && agent.stewardship.held().some(({ name }) => name === engine),
+      ({ process, agent }) => process.alive && agent.stewardship.activeControllers().some(({ name }) => name === engine),
     );
   }
 
--- a/tests/support/httpControlNodes.ts
+++ b/tests/support/httpControlNodes.ts
@@ -5,8 +5,8 @@
 import { platformDialect } from '../../platform/operators/dialect';
 import { platformOperatorsWords } from '../../platform/operators/words';
 import { Ports } from '../../source/fleet-runner/machines/child';
-import { KeeperDefaults } from '../../source/core-keeper/controlSettings';
-import { startKeeper, type KeeperProgram } from '../../source/core-keeper/program/keeperProgram';
+import { ControlNodeDefaults } from '../../source/core-keeper/controlNodeSettings';
+import { startControlNode, type RunningControlNode } from '../../source/core-keeper/program/controlNodeProgram';
 import { realClock } from '../../source/shared/effects/clock/realClock';
 import { nodeDisk } from '../../source/shared/effects/disk/nodeDisk';
 import { realRandom } from '../../source/shared/effects/random/random';
@@ -18,12 +18,12 @@
 const answerMicroseconds = 850_000;
 
 /** Status 0: no response within the limit. */
-export type HttpAnswer = Readonly<{ status: number; body: string }>;
+export type HttpResponse = Readonly<{ status: number; body: string }>;
 
 /** Three control nodes in this process, on real sockets and disks. A test can isolate one of them from the others. */
 export class HttpControlNodes {
   private readonly folder = mkdtempSync(path.join(tmpdir(), 'postdrum-http-nodes-'));
-  private readonly runningNodes = new Map<string, KeeperProgram>();
+  private readonly runningNodes = new Map<string, RunningControlNode>();
   private readonly isolatedNodes = new Set<string>();
   private members: readonly Readonly<{ name: string; address: string; operatorsAddress: string }>[] = [];
 
@@ -31,7 +31,7 @@
     return names;
   }
 
-  public async begin(): Promise<void> {
+  public async startAll(): Promise<void> {
     const ports = [...(await Ports.free('127.0.0.1', names.length * 2))];
     const address = (): string => `127.0.0.1:${ports.pop() ?? 0}`;
     this.members = names.map((name) => ({ name, address: address(), operatorsAddress: address() }));
@@ -40,11 +40,11 @@
 
   public async start(name: string, isFirstStart = false): Promise<void> {
     const member = this.member(name);
-    const program = await startKeeper({
+    const program = await startControlNode({
       effects: { clock: realClock, random: realRandom, transport: this.transportOf(name) },
       disk: await nodeDisk(path.join(this.folder, name)),
       settings: {
-        ...KeeperDefaults,
+        ...ControlNodeDefaults,
         name,
         member: { address: member.address, operatorsAddress: member.operatorsAddress, zone: '' },
         seeds: this.members.map((other) => other.address),
@@ -58,9 +58,9 @@
         passMicroseconds: 1_200_000,
       },
       dialect: platformDialect,
-      words: platformOperatorsWords,
-      door: { address: member.operatorsAddress, answerMicroseconds, answerMicrosecondsPerByte: 1 },
-      broken: (sentence) => {
+      operatorApiFormat: platformOperatorsWords,
+      operatorApi: { address: member.operatorsAddress, answerMicroseconds, answerMicrosecondsPerByte: 1 },
+      onDiskFailure: (sentence) => {
         throw new Error(sentence);
       },
     });
@@ -74,19 +74,19 @@
   }
 
   /** Isolates a node from the others; the returned function reconnects it. */
-  public cutOff(name: string): () => void {
+  public isolate(name: string): () => void {
     this.isolatedNodes.add(name);
     return () => void this.isolatedNodes.delete(name);
   }
 
-  public async end(): Promise<void> {
+  public async stopAll(): Promise<void> {
     this.isolatedNodes.clear();
     await Promise.all([...this.runningNodes.keys()].map((name) => this.stop(name)));
     rmSync(this.folder, { recursive: true, force: true });
   }
 
   /** One HTTP call with a time limit of a second, after which operators count a call as failed. */
-  public call(name: string, method: string, headers: Readonly<Record<string, string>>, body = ''): Promise<HttpAnswer> {
+  public call(name: string, method: string, headers: Readonly<Record<string, string>>, body = ''): Promise<HttpResponse> {
     const [host, port] = this.member(name).operatorsAddress.split(':');
     return new Promise((resolve) => {
       const none = (): void => resolve({ status: 0, body: '' });
--- a/tests/support/leaderDuel.ts
+++ b/tests/support/leaderDuel.ts
@@ -49,7 +49,7 @@
     const began = fleet.world.nowMicroseconds;
     machine?.process.enter(
       () =>
-        void machine.keeper?.read('blueprint').then((read) => {
+        void machine.controlNode?.read('blueprint').then((read) => {
           if (read.kind === 'read' && fleet.world.nowMicroseconds - began <= readLimitMicroseconds) reads.answered += 1;
         }),
     );
@@ -67,7 +67,7 @@
   const send = (order: ChangeOrder, turn: number): void => {
     if (!isOn) return;
     const machine = fleet.machines[turn % fleet.machines.length];
-    machine?.process.enter(() => void machine.keeper?.change(order));
+    machine?.process.enter(() => void machine.controlNode?.change(order));
     fleet.world.plan(writePauseMicroseconds, () => send(order, turn + 1));
   };
   send(largePut(2, 1), 0);
@@ -78,11 +78,11 @@
 };
 
 const takeovers = (fleet: ControlFleet): number =>
-  fleet.machines.reduce((sum, { keeper }) => sum + (keeper?.replicaStatus().keys['blueprint']?.takeovers ?? 0), 0);
+  fleet.machines.reduce((sum, { controlNode: keeper }) => sum + (keeper?.replicaStatus().keys['blueprint']?.takeovers ?? 0), 0);
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
-  const found = fleet.machines.find(({ process, keeper, name }) => {
-    return process.alive && keeper?.owners()['blueprint']?.owner === name;
+  const found = fleet.machines.find(({ process, controlNode: keeper, name }) => {
+    return process.alive && keeper?.keyLeaders()['blueprint']?.owner === name;
   });
   assert.ok(found !== undefined);
   return found;
@@ -96,9 +96,9 @@
 /** Runs the scenario and describes what was still wrong 3 s after the fault ended; empty if nothing was. */
 export const runFault = async (fault: Fault, workload: Workload, seed: number): Promise<string> => {
   const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
-  assert.ok(await fleet.begin(5));
+  assert.ok(await fleet.startAll(5));
   fleet.network.linkBytesPerSecond = linkBytesPerSecond;
-  assert.equal((await fleet.persist(largePut(1, 0), 10_000_000))?.kind, 'taken');
+  assert.equal((await fleet.changeWithRetries(largePut(1, 0), 10_000_000))?.kind, 'taken');
   await fleet.world.runFor(1_000_000);
   const leader = leaderOf(fleet);
   const reads = { answered: 0, started: 0 };
--- a/tests/support/model/leaseModel.ts
+++ b/tests/support/model/leaseModel.ts
@@ -1,8 +1,8 @@
-import { DutyVoter, type Ballot } from '../../../source/core-keeper/duties/dutyVoter';
-import { Ledger } from '../../../source/core-keeper/ledger/ledger';
-import { KeeperCore } from '../../../source/core-keeper/register/keeperCore';
-import type { CoreLink } from '../../../source/edge-agent/core-link/coreLink';
-import { DutyHolder } from '../../../source/edge-agent/stewards/dutyHolder';
+import { LeaseVoter, type LeaseRequest } from '../../../source/core-keeper/leases/leaseVoter';
+import { WriteAheadLog } from '../../../source/core-keeper/write-ahead-log/writeAheadLog';
+import { ReplicaCore } from '../../../source/core-keeper/register/replicaCore';
+import type { ControlLink } from '../../../source/edge-agent/control-link/controlLink';
+import { LeaseHolder } from '../../../source/edge-agent/leases/leaseHolder';
 import type { Clock } from '../../../source/shared/effects/clock/clock';
 import type { Message, Transport } from '../../../source/shared/effects/transport/transport';
 import type { Choice, ModelRun } from './explorer';
@@ -29,7 +29,7 @@
 /** The greatest clock drift. Clocks of voters run fast and those of holders slow, which is the worst case for a lease. */
 const driftPerMille = 5;
 
-type Voter = { readonly disk: ModelDisk; core: KeeperCore; votes: DutyVoter; bootNumber: number };
+type Voter = { readonly disk: ModelDisk; core: ReplicaCore; votes: LeaseVoter; bootNumber: number };
 type Pending = Readonly<{ label: string; act: () => void; lose?: () => void }>;
 
 /**
@@ -38,7 +38,7 @@
  */
 export class LeaseModel implements ModelRun {
   private readonly voters = new Map<string, Voter>();
-  private readonly candidates = new Map<string, DutyHolder>();
+  private readonly candidates = new Map<string, LeaseHolder>();
   private readonly pending: Pending[] = [];
   private readonly holderOfTerm = new Map<number, string>();
   private readonly delivered: string[] = [];
@@ -82,7 +82,7 @@
       bootNumber,
       core.ledger.synced.duties,
       core.ledger.pending.duties,
-      votes.holders(),
+      votes.grantedLeases(),
     ]);
     const held = [...this.candidates].map(([name, holder]) => [name, holder.term(duty)]);
     const pending = this.pending.map(({ label }) => label).sort();
@@ -164,7 +164,7 @@
     const holder = this.candidates.get(name);
     if (holder === undefined) throw new Error(`no candidate ${name}`);
     this.runningCalls += 1;
-    const acting = kind === 'ballot' ? holder.ballot([duty]) : holder.giveBack([duty]);
+    const acting = kind === 'ballot' ? holder.requestLeases([duty]) : holder.release([duty]);
     void acting.then(() => (this.runningCalls -= 1));
   }
 
@@ -180,15 +180,15 @@
     const isAlive = (): boolean => this.voters.get(name)?.bootNumber === bootNumber;
     const later = (act: () => void, what: string): void =>
       void this.pending.push({ label: `${name} ${what}`, act: () => (isAlive() ? act() : undefined) });
-    const ledger = new Ledger(disk.open(later), clock, () => undefined, 1 << 30);
-    const core = new KeeperCore(name, ledger, clock);
-    const votes = new DutyVoter(core, clock);
+    const ledger = new WriteAheadLog(disk.open(later), clock, () => undefined, 1 << 30);
+    const core = new ReplicaCore(name, ledger, clock);
+    const votes = new LeaseVoter(core, clock);
     this.voters.set(name, { disk, core, votes, bootNumber });
     const opened = await ledger.open();
-    if (opened.kind === 'opened' && !opened.fresh) votes.waitOneLease(leaseMicroseconds);
+    if (opened.kind === 'opened' && !opened.fresh) votes.delayGrants(leaseMicroseconds);
   }
 
-  private candidate(name: string): DutyHolder {
+  private candidate(name: string): LeaseHolder {
     const view = {
       sets: [voterNames],
       members: Object.fromEntries(voterNames.map((voter) => [voter, { address: voter }])),
@@ -198,13 +198,13 @@
       sets: () => view.sets,
       keepers: () => view.members,
       learnView: () => undefined,
-    } as unknown as CoreLink;
+    } as unknown as ControlLink;
     const effects = {
       clock: this.clock(1000 - driftPerMille),
       random: { fraction: () => 0, name: () => name },
       transport: this.transport(name),
     };
-    return new DutyHolder(name, link, effects, { leaseMicroseconds, askMicroseconds: 1 });
+    return new LeaseHolder(name, link, effects, { leaseMicroseconds, askMicroseconds: 1 });
   }
 
   private clock(perMille: number): Clock {
@@ -240,7 +240,7 @@
 
   private async answer(name: string, message: Message): Promise<Message> {
     const { votes } = this.voter(name);
-    const ballots = message['ballots'] as readonly Ballot[];
+    const ballots = message['ballots'] as readonly LeaseRequest[];
     if (message.kind === 'ballots') return { kind: 'ballots', answers: await votes.vote(ballots, 0) };
     votes.withdraw(ballots);
     return { kind: 'heard' };
--- a/tests/support/model/modelReplica.ts
+++ b/tests/support/model/modelReplica.ts
@@ -1,23 +1,23 @@
 /** One replica of the model: the register's own classes, with effects that the explorer holds in its hands. */
-import { KeeperStates } from '../../../source/core-keeper/ledger/keeperState';
-import { Ledger } from '../../../source/core-keeper/ledger/ledger';
-import { Asks, type Ask } from '../../../source/core-keeper/messages/asks';
+import { ReplicaStates } from '../../../source/core-keeper/write-ahead-log/replicaState';
+import { WriteAheadLog } from '../../../source/core-keeper/write-ahead-log/writeAheadLog';
+import { ControlRequests, type ControlRequest } from '../../../source/core-keeper/messages/controlRequests';
 import { Acceptor } from '../../../source/core-keeper/register/acceptor';
 import { EntryTransfer } from '../../../source/core-keeper/register/entryTransfer';
-import { KeeperCore } from '../../../source/core-keeper/register/keeperCore';
+import { ReplicaCore } from '../../../source/core-keeper/register/replicaCore';
 import type { ChangeOrder, ChangeOutcome } from '../../../source/core-keeper/register/messages';
 import { QuorumReader } from '../../../source/core-keeper/register/quorumReader';
 import { RegisterMetrics } from '../../../source/core-keeper/register/registerMetrics';
-import { Ownership } from '../../../source/core-keeper/register/ownership';
-import { MemberChanges } from '../../../source/core-keeper/standing/memberChanges';
-import { MemberWatch } from '../../../source/core-keeper/standing/memberWatch';
-import { Replaced, StandingKeeper } from '../../../source/core-keeper/standing/standing';
+import { Leadership } from '../../../source/core-keeper/register/leadership';
+import { MemberChanges } from '../../../source/core-keeper/membership/memberChanges';
+import { MemberFailureDetector } from '../../../source/core-keeper/membership/memberFailureDetector';
+import { MemberRemoval, FleetMembership } from '../../../source/core-keeper/membership/fleetMembership';
 import { DocumentKeys, type CoreMember, type DocumentKey } from '../../../source/shared/blueprint/types';
 import type { Cancel, Clock } from '../../../source/shared/effects/clock/clock';
 import type { Message, Transport } from '../../../source/shared/effects/transport/transport';
 import { Metrics } from '../../../source/shared/metrics/metrics';
-import type { WordsAnswer } from '../../../source/shared/register/majorityRead';
-import { Epochs, type Epoch, type KeyWord } from '../../../source/shared/register/types';
+import type { StatementsAnswer } from '../../../source/shared/register/majorityRead';
+import { Epochs, type Epoch, type KeyStatement } from '../../../source/shared/register/types';
 import type { ModelDisk } from './modelDisk';
 import { registerDialect } from './registerDialect';
 
@@ -91,14 +91,14 @@
   JSON.stringify({ members: Object.fromEntries(names.map((name) => [name, memberOf(name)])) });
 
 export class ModelReplica {
-  public readonly core: KeeperCore;
-  public readonly ledger: Ledger;
+  public readonly core: ReplicaCore;
+  public readonly ledger: WriteAheadLog;
   private readonly acceptor: Acceptor;
   private readonly entries: EntryTransfer;
-  private readonly standing: StandingKeeper;
+  private readonly standing: FleetMembership;
   private readonly members: MemberChanges;
   private readonly reader: QuorumReader;
-  private readonly leaderships: ReadonlyMap<DocumentKey, Ownership>;
+  private readonly leaderships: ReadonlyMap<DocumentKey, Leadership>;
 
   public constructor(
     public readonly name: string,
@@ -108,8 +108,8 @@
     const { transport } = effects;
     const clock = new ModelClock(effects.timer);
     const { isFirstStart, rewriteBytes, life } = effects.setup;
-    this.ledger = new Ledger(effects.disk.open(effects.later), clock, silent, rewriteBytes);
-    this.core = new KeeperCore(name, this.ledger, clock);
+    this.ledger = new WriteAheadLog(effects.disk.open(effects.later), clock, silent, rewriteBytes);
+    this.core = new ReplicaCore(name, this.ledger, clock);
     this.acceptor = new Acceptor(this.core);
     this.entries = new EntryTransfer(this.core, this.acceptor, transport, askMicroseconds);
     const random = { fraction: () => 0, name: () => `fleet of ${name} ${life}` };
@@ -119,16 +119,16 @@
       changeMicroseconds: 1,
       firstMembersText: () => firstMembersText(founders),
       dialect: registerDialect,
-      learnMembers: (address: string) => this.entries.takeMembers(address),
+      learnMembers: (address: string) => this.entries.fetchMembers(address),
       metrics: new RegisterMetrics(new Metrics()),
     };
     this.leaderships = new Map(
       DocumentKeys.map((key) => [
         key,
-        new Ownership(key, this.core, this.acceptor, transport, clock, random, settings, silent),
+        new Leadership(key, this.core, this.acceptor, transport, clock, random, settings, silent),
       ]),
     );
-    this.standing = new StandingKeeper(
+    this.standing = new FleetMembership(
       this.core,
       transport,
       random,
@@ -139,7 +139,7 @@
         askMicroseconds,
         founders: founders.length,
         isFirstStart,
-        foundingPatienceMicroseconds: 0,
+        majorityFoundingDelayMicroseconds: 0,
         joins: 'asks',
         isOnlyFleet: true,
       },
@@ -161,10 +161,10 @@
       this.core,
       clock,
       transport,
-      new MemberWatch(this.core, clock, 1),
+      new MemberFailureDetector(this.core, clock, 1),
       {
         leadership: () => this.leadership('core-members'),
-        words: () => this.words(),
+        keyStatements: () => this.words(),
         read: (key) => this.reader.read(key, 1),
         change: async (order) => (await this.leadership(order.key).change(order)) ?? { kind: 'unknown' },
       },
@@ -172,13 +172,13 @@
         joins: 'asks',
         membersWanted: founders.length,
         askMicroseconds,
-        learnerMicroseconds: 1,
-        handOverMicroseconds,
+        learnerTimeoutMicroseconds: 1,
+        handOverLimitMicroseconds: handOverMicroseconds,
       },
     );
   }
 
-  private wordsAnswer(): WordsAnswer {
+  private wordsAnswer(): StatementsAnswer {
     const view = this.core.members();
     return { kind: 'words', stamp: this.core.stamp(), membersRevision: view.revision, view, words: this.words() };
   }
@@ -192,7 +192,7 @@
 
   /** What a campaign leaves behind whose messages are all lost. */
   public promiseItself(key: DocumentKey): Promise<unknown> {
-    const { promised } = KeeperStates.cell(this.ledger.pending, key);
+    const { promised } = ReplicaStates.acceptorState(this.ledger.pending, key);
     return this.acceptor.prepare({
       kind: 'prepare',
       fleet: this.core.state.fleet,
@@ -213,7 +213,7 @@
     return this.ledger.write([{ kind: 'forming', fleet: 'fleet', members }, { kind: 'formed' }]);
   }
 
-  public leadership(key: DocumentKey): Ownership {
+  public leadership(key: DocumentKey): Leadership {
     const found = this.leaderships.get(key);
     if (found === undefined) throw new Error(`no key ${key}`);
     return found;
@@ -229,7 +229,7 @@
     for (let attempt = 0; attempt < readAttempts; attempt += 1) {
       const read = await this.reader.read('blueprint', 1);
       if (read.kind === 'read') return read.revision;
-      await this.leadership('blueprint').win('request');
+      await this.leadership('blueprint').acquire('request');
     }
     return undefined;
   }
@@ -256,48 +256,48 @@
 
   private async standingStep(): Promise<void> {
     await this.standing.step();
-    if (Replaced.isOut(this.core)) await this.ledger.write([{ kind: 'replaced' }]);
+    if (MemberRemoval.isRemoved(this.core)) await this.ledger.write([{ kind: 'replaced' }]);
   }
 
   private async follow(key: DocumentKey): Promise<void> {
     if (!this.core.votes()) return;
     const leader = this.effects.leaderOf(key);
-    if (leader === this && this.leadership(key).outranked(this.effects.highestPromise(key)))
-      await this.leadership(key).win('request');
-    else if (leader === undefined) await this.leadership(key).win('vacancy');
+    if (leader === this && this.leadership(key).observeEpoch(this.effects.highestPromise(key)))
+      await this.leadership(key).acquire('request');
+    else if (leader === undefined) await this.leadership(key).acquire('vacancy');
     else if (leader !== this && leader.holding(key) !== this.holding(key))
-      await this.entries.take(key, addressOf(leader.name));
+      await this.entries.fetchEntry(key, addressOf(leader.name));
   }
 
   private holding(key: DocumentKey): string {
-    const accepted = KeeperStates.cell(this.core.state, key).accepted;
-    return accepted === null ? '' : `${Epochs.text(accepted.epoch)} ${accepted.entry.revision}`;
+    const accepted = ReplicaStates.acceptorState(this.core.state, key).accepted;
+    return accepted === null ? '' : `${Epochs.toText(accepted.epoch)} ${accepted.entry.revision}`;
   }
 
   public async handle(message: Message): Promise<Message> {
-    const read = Asks.read(message);
-    if (read.kind === 'refused') throw new Error(`a replica of the model sent ${read.of}: ${read.fault}`);
-    return this.answer(read.ask);
+    const read = ControlRequests.read(message);
+    if (read.kind === 'refused') throw new Error(`a replica of the model sent ${read.requestKind}: ${read.fault}`);
+    return this.answer(read.request);
   }
 
-  private answer(ask: Ask): Promise<Message> | Message {
+  private answer(ask: ControlRequest): Promise<Message> | Message {
     switch (ask.kind) {
       case 'prepare':
         return this.acceptor.prepare(ask);
       case 'accept':
         return this.acceptor.accept(ask);
       case 'entry':
-        return this.entries.give(ask.key);
+        return this.entries.acceptRequestFor(ask.key);
       case 'hello':
         return this.standing.hello(ask.asker);
       case 'frame':
-        return this.standing.frame(ask);
+        return this.standing.transferState(ask);
       case 'form':
-        return this.standing.form(ask);
+        return this.standing.vote(ask);
       case 'takeIn':
         return this.members.takeIn(ask.name, ask.member);
       case 'memberLeaves':
-        return this.members.hearLeaving(ask.keeper);
+        return this.members.recordLeaving(ask.keeper);
       case 'silentMembers':
         return { kind: 'silentMembers', silent: [] };
       case 'mayLead':
@@ -316,17 +316,17 @@
   }
 
   private heldText(key: DocumentKey, digest: string): string | undefined {
-    const entry = KeeperStates.cell(this.core.state, key).accepted?.entry;
+    const entry = ReplicaStates.acceptorState(this.core.state, key).accepted?.entry;
     return entry?.digest === digest ? entry.text : undefined;
   }
 
-  private body({ key, digest }: Ask<'body'>): Message {
+  private body({ key, digest }: ControlRequest<'body'>): Message {
     const text = this.heldText(key, digest);
     return text === undefined ? { kind: 'noBody' } : { kind: 'body', key, revision: 0, digest, text };
   }
 
   /** Safety must not rest on the pre-vote, so a campaign for a request deposes any leader here. */
-  private hearsLeader({ key, reason }: Ask<'mayLead'>): boolean {
+  private hearsLeader({ key, reason }: ControlRequest<'mayLead'>): boolean {
     return reason === 'vacancy' && this.effects.leaderOf(key) !== undefined;
   }
 
@@ -335,16 +335,16 @@
     const leaders = [...this.leaderships].map(([key, { state }]) => [
       key,
       state.kind,
-      state.kind === 'none' ? '' : Epochs.text(state.epoch),
+      state.kind === 'none' ? '' : Epochs.toText(state.epoch),
     ]);
     return JSON.stringify([this.ledger.synced, this.ledger.pending, leaders], (_, value: unknown) =>
       value instanceof Uint8Array ? Buffer.from(value).toString('base64') : value,
     );
   }
 
-  private words(): readonly KeyWord[] {
+  private words(): readonly KeyStatement[] {
     return DocumentKeys.map((key) => {
-      const accepted = KeeperStates.cell(this.core.state, key).accepted;
+      const accepted = ReplicaStates.acceptorState(this.core.state, key).accepted;
       return {
         key,
         epoch: accepted?.epoch ?? Epochs.none,
--- a/tests/support/model/registerModel.ts
+++ b/tests/support/model/registerModel.ts
@@ -3,7 +3,7 @@
  * at most one change a base is confirmed, what was confirmed stays, reads never go back, nothing refused is in force.
  */
 import type { ChangeOrder, ChangeOutcome } from '../../../source/core-keeper/register/messages';
-import { KeeperStates } from '../../../source/core-keeper/ledger/keeperState';
+import { ReplicaStates } from '../../../source/core-keeper/write-ahead-log/replicaState';
 import type { DocumentKey } from '../../../source/shared/blueprint/types';
 import type { Message, Transport } from '../../../source/shared/effects/transport/transport';
 import { Epochs, type Epoch } from '../../../source/shared/register/types';
@@ -166,7 +166,7 @@
   private twoLeaders(): string {
     const led = [...this.machines.values()].flatMap(({ replica, isUp }) => {
       const { state } = replica.leadership('blueprint');
-      return isUp && state.kind === 'owning' ? [Epochs.text(state.epoch)] : [];
+      return isUp && state.kind === 'owning' ? [Epochs.toText(state.epoch)] : [];
     });
     return new Set(led).size === led.length ? '' : 'two lead under one epoch';
   }
@@ -308,7 +308,7 @@
 
   private highestPromise(by: string, key: DocumentKey): Epoch {
     const promises = [...this.machines].flatMap(([name, { replica, isUp }]) =>
-      isUp && this.isLinked(by, name) ? [KeeperStates.cell(replica.ledger.synced, key).promised] : [],
+      isUp && this.isLinked(by, name) ? [ReplicaStates.acceptorState(replica.ledger.synced, key).promised] : [],
     );
     return promises.reduce((high, epoch) => (Epochs.compare(epoch, high) > 0 ? epoch : high), Epochs.none);
   }
--- a/tests/support/operatorHistory.ts
+++ b/tests/support/operatorHistory.ts
@@ -7,7 +7,7 @@
 export type ChangeRecord = Readonly<{
   kind: 'change';
   /** Identifies the change; the document contains it. */
-  mark: string;
+  changeId: string;
   base: number;
   version: number;
   startedAt: number;
@@ -20,7 +20,7 @@
   kind: 'read';
   version: number;
   /** The identifier of the newest change in the document that was read. */
-  mark: string;
+  changeId: string;
   startedAt: number;
   endedAt: number;
 }>;
@@ -38,12 +38,12 @@
     accepted
       .slice(0, index)
       .filter((other) => other.base === change.base || other.version === change.version)
-      .map((other) => `${other.mark} and ${change.mark} were both accepted on ${change.base} or as ${change.version}`),
+      .map((other) => `${other.changeId} and ${change.changeId} were both accepted on ${change.base} or as ${change.version}`),
   );
 
 const staleReads = (accepted: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] => {
   const observed = [
-    ...accepted.map(({ version, endedAt, mark }) => ({ version, endedAt, what: `accepted ${mark}` })),
+    ...accepted.map(({ version, endedAt, changeId: mark }) => ({ version, endedAt, what: `accepted ${mark}` })),
     ...reads.map(({ version, endedAt }) => ({ version, endedAt, what: 'a read' })),
   ];
   return reads.flatMap((read) =>
@@ -57,24 +57,24 @@
   accepted.flatMap((later) =>
     accepted
       .filter((earlier) => earlier.endedAt < later.startedAt && earlier.version > later.version)
-      .map((earlier) => `${later.mark} (${later.version}) was accepted after ${earlier.mark} (${earlier.version})`),
+      .map((earlier) => `${later.changeId} (${later.version}) was accepted after ${earlier.changeId} (${earlier.version})`),
   );
 
 const readsOfRefusedChanges = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
   changes
-    .filter(({ outcome, mark }) => outcome === 'refused' && reads.some((read) => read.mark === mark))
-    .map(({ mark }) => `${mark} was refused but was read`);
+    .filter(({ outcome, changeId: mark }) => outcome === 'refused' && reads.some((read) => read.changeId === mark))
+    .map(({ changeId: mark }) => `${mark} was refused but was read`);
 
 const readsOfUnknownChanges = (changes: readonly ChangeRecord[], reads: readonly ReadRecord[]): readonly string[] =>
   reads
     .filter(
       (read) =>
-        read.version > 0 && !changes.some(({ mark, version }) => mark === read.mark && version === read.version),
+        read.version > 0 && !changes.some(({ changeId: mark, version }) => mark === read.changeId && version === read.version),
     )
-    .map(({ version, mark }) => `a read returned ${version} by ${mark}, which was never sent`);
+    .map(({ version, changeId: mark }) => `a read returned ${version} by ${mark}, which was never sent`);
 
 /** All violations of linearizability in the history; empty: none found. */
-export const faultsOfHistory = (history: readonly OperatorRecord[]): readonly string[] => {
+export const linearizabilityViolations = (history: readonly OperatorRecord[]): readonly string[] => {
   const changes = changesOf(history);
   const reads = readsOf(history);
   const accepted = changes.filter(({ outcome }) => outcome === 'accepted');
--- a/tests/support/rush.ts
+++ b/tests/support/rush.ts
@@ -1,6 +1,6 @@
 import { EdgeProxy, ProxyDefaults } from '../../source/edge-proxy/edgeProxy';
 import { DemandSettings } from '../../source/edge-proxy/demand/demandView';
-import type { AnswerSink, Order } from '../../source/edge-proxy/path/order';
+import type { ResponseSink, ProxyRequest } from '../../source/edge-proxy/pipeline/request';
 import { SimProcess } from '../../source/fleet-simulator/world/simProcess';
 import { World } from '../../source/fleet-simulator/world/world';
 import type { BackEndSender, SendSink } from '../../source/shared/back-end/protocol';
@@ -382,7 +382,7 @@
   return true;
 };
 
-const orderOf = (id: string, { process }: Proxy, parts: readonly PromptPart[]): Order => ({
+const orderOf = (id: string, { process }: Proxy, parts: readonly PromptPart[]): ProxyRequest => ({
   id,
   method: 'POST',
   path: '/v1/chat/completions',
@@ -394,7 +394,7 @@
   passed: { parts: parts.map(({ name, size }) => `${name}:${size}`).join(',') },
   parts,
   promptTokens: parts.reduce((sum, { size }) => sum + size, 0),
-  mostTokens: events,
+  maxOutputTokens: events,
   limitMicroseconds: 6_000_000,
 });
 
@@ -448,10 +448,10 @@
   const short = (number: number): void => {
     const handle = proxies[Math.floor(world.random.fraction() * proxies.length)];
     const id = `s${seed}-${number}`;
-    const ignored: AnswerSink = {
+    const ignored: ResponseSink = {
       begun: () => false,
       gone: () => false,
-      whenGone: () => undefined,
+      onClientGone: () => undefined,
       head: () => undefined,
       part: () => undefined,
       end: () => undefined,
@@ -475,10 +475,10 @@
     const answer: RushAnswer = { ends: 0, whole: false, status: 0, left: false };
     answers.set(id, answer);
     const asked = world.nowMicroseconds;
-    const sink: AnswerSink = {
+    const sink: ResponseSink = {
       begun: () => answer.status !== 0,
       gone: () => false,
-      whenGone: () => undefined,
+      onClientGone: () => undefined,
       head: ({ status }) => {
         answer.status = status;
         waits.push(world.nowMicroseconds - asked);
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -49,7 +49,7 @@
     seeds: 30,
     cuts: [
       [
-        'edge-proxy/path/pipeline.ts',
+        'edge-proxy/pipeline/pipeline.ts',
         "context.mayHaveRun && given.verdict === 'notRun'",
         "context.sends < 0 && given.verdict === 'notRun'",
       ],
@@ -62,7 +62,7 @@
     seeds: 10,
     cuts: [
       [
-        'edge-proxy/path/pipeline.ts',
+        'edge-proxy/pipeline/pipeline.ts',
         'if (context.answer.begun()) context.answer.cut();',
         'if (context.answer.begun()) context.answer.end();',
       ],
@@ -90,7 +90,7 @@
         'public relabel(weights: string): void { this.head = { ...this.head, weights }; }\n\n  public get size(): number {',
       ],
       [
-        'edge-agent/stewards/engineSteward.ts',
+        'edge-agent/engine-control/pollingEngineController.ts',
         'this.shard.fence(); this.fencedMicroseconds',
         'this.fencedMicroseconds',
       ],
@@ -161,7 +161,7 @@
       ],
       [
         'shared/register/majorityRead.ts',
-        'Stamps.reached(sets, holders) || isDecided(newest)',
+        'Stamps.hasMajority(sets, holders) || isDecided(newest)',
         'holders.length > 0 || isDecided(newest)',
       ],
     ],
@@ -178,7 +178,7 @@
         "if (kind !== 'store' && state !== '')",
       ],
       [
-        'edge-agent/stewards/engineSteward.ts',
+        'edge-agent/engine-control/pollingEngineController.ts',
         "if (engine.state === 'draining' && status.accepting && proxiesKnow)",
         "if (engine.state === 'draining' && !status.accepting && proxiesKnow)",
       ],
@@ -191,12 +191,12 @@
     seeds: 4,
     cuts: [
       [
-        'edge-proxy/fence/fence.ts',
+        'edge-proxy/identification/stalenessGuard.ts',
         "if (pool.weights === weights) return 'intended';",
         "if (weights !== '') return 'intended';",
       ],
       [
-        'edge-agent/stewards/engineSteward.ts',
+        'edge-agent/engine-control/pollingEngineController.ts',
         "if (step.kind === 'load')",
         "if (step.kind === 'load' && step.drainMicroseconds < 0)",
       ],
@@ -209,7 +209,7 @@
     seeds: 12,
     cuts: [
       [
-        'core-keeper/ledger/ledger.ts',
+        'core-keeper/write-ahead-log/writeAheadLog.ts',
         '      await file.sync();\n    } catch (error) {\n      // The log stops',
         '      await Promise.resolve();\n    } catch (error) {\n      // The log stops',
       ],
@@ -229,11 +229,11 @@
     seeds: 120,
     cuts: [
       [
-        'core-keeper/standing/standing.ts',
+        'core-keeper/membership/fleetMembership.ts',
         'if (!this.isMajority(view, sound)) return;',
         'if (sound.length < 1) return;',
       ],
-      ['core-keeper/standing/standing.ts', 'if (!this.isMajority(view, frames)) return;', 'frames.length = 0;'],
+      ['core-keeper/membership/fleetMembership.ts', 'if (!this.isMajority(view, frames)) return;', 'frames.length = 0;'],
     ],
   },
   {
@@ -254,7 +254,7 @@
     seeds: 80,
     cuts: [
       [
-        'core-keeper/register/ownership.ts',
+        'core-keeper/register/leadership.ts',
         "return mayBeAccepted ? { kind: 'unknown' } : undefined;",
         'return undefined;',
       ],
@@ -282,13 +282,13 @@
     seeds: 30,
     cuts: [
       [
-        'core-keeper/duties/dutyVoter.ts',
+        'core-keeper/leases/leaseVoter.ts',
         'if (lease !== undefined && lease.holder !== request.candidate && lease.untilMicroseconds > now) return',
         'if (lease !== undefined && lease.untilMicroseconds < 0) return',
       ],
-      ['core-keeper/duties/dutyVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
+      ['core-keeper/leases/leaseVoter.ts', 'if (request.term <= stored.term) return refuse(0);', ''],
       [
-        'core-keeper/duties/dutyVoter.ts',
+        'core-keeper/leases/leaseVoter.ts',
         'if (after?.term !== request.term) return refuse(0);',
         'if (after === undefined) return refuse(0);',
       ],
@@ -356,9 +356,9 @@
     faults: ['enginesReleased'],
     seeds: 8,
     cuts: [
-      ['edge-agent/stewards/engineSteward.ts', '>= drainAfterMicroseconds', '>= 0'],
+      ['edge-agent/engine-control/pollingEngineController.ts', '>= drainAfterMicroseconds', '>= 0'],
       [
-        'edge-agent/stewards/engineSteward.ts',
+        'edge-agent/engine-control/pollingEngineController.ts',
         "this.publishStatus(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);",
         '',
       ],
@@ -377,7 +377,7 @@
     cuts: [
       ['edge-proxy/edgeProxy.ts', 'freshMicroseconds: 1_500_000', 'freshMicroseconds: 900_000_000'],
       [
-        'edge-proxy/fence/identify.ts',
+        'edge-proxy/identification/requestIdentifier.ts',
         "return { kind: same ? 'stands' : 'moved' };",
         "return { kind: same || !same ? 'stands' : 'moved' };",
       ],
@@ -404,7 +404,7 @@
     seeds: 4,
     cuts: [
       [
-        'edge-proxy/fence/identify.ts',
+        'edge-proxy/identification/requestIdentifier.ts',
         "'This proxy cannot confirm that its setup is current.', this.retryAfterSeconds",
         "'This proxy cannot confirm that its setup is current.'",
       ],
@@ -418,7 +418,7 @@
     ending: 'nextDay',
     cuts: [
       [
-        'core-keeper/ledger/ledger.ts',
+        'core-keeper/write-ahead-log/writeAheadLog.ts',
         '      await file.sync();\n    } catch (error) {\n      // The log stops',
         '      await Promise.resolve();\n    } catch (error) {\n      // The log stops',
       ],
--- a/tests/support/sendStage.ts
+++ b/tests/support/sendStage.ts
@@ -1,6 +1,6 @@
 import { PlatformBackEndWords } from '../../platform/back-ends/words';
 import { noFetch } from '../../source/edge-proxy/fetch/fetchPlanner';
-import type { AnswerHead, AnswerSink, Context, Step } from '../../source/edge-proxy/path/order';
+import type { ResponseHead, ResponseSink, RequestContext, PolicyResult } from '../../source/edge-proxy/pipeline/request';
 import type { SendParts } from '../../source/edge-proxy/sends/runningSend';
 import { SendPolicy } from '../../source/edge-proxy/sends/sendPolicy';
 import { World } from '../../source/fleet-simulator/world/world';
@@ -15,8 +15,8 @@
   }) as Part;
 
 /** What one caller was given. */
-class Caller implements AnswerSink {
-  public given: AnswerHead | undefined;
+class Caller implements ResponseSink {
+  public given: ResponseHead | undefined;
   public text = '';
   public ended = false;
   private left = false;
@@ -24,10 +24,10 @@
 
   public readonly begun = (): boolean => this.given !== undefined;
   public readonly gone = (): boolean => this.left;
-  public readonly whenGone = (act: () => void): void => {
+  public readonly onClientGone = (act: () => void): void => {
     this.onGone.push(act);
   };
-  public readonly head = (head: AnswerHead): void => {
+  public readonly head = (head: ResponseHead): void => {
     this.given = head;
   };
   public readonly part = (bytes: Uint8Array): undefined => {
@@ -53,7 +53,7 @@
   public readonly world = new World(1);
   public readonly caller = new Caller();
   public sent: SendOrder | undefined;
-  public step: Step | undefined;
+  public step: PolicyResult | undefined;
   public cuts = 0;
   private sink: SendSink | undefined;
 
@@ -114,7 +114,7 @@
       rounds: 0,
       avoided: [],
       mayHaveRun: false,
-    } as unknown as Context;
+    } as unknown as RequestContext;
     void policy.apply(context).then((step) => {
       this.step = step;
     });
--- a/tests/duties-forgotten.test.ts
+++ b/tests/unused-duties-pruned.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import { DutyVoter, type BallotAnswer } from '../source/core-keeper/duties/dutyVoter';
-import { KeeperStates, type KeeperEvent, type KeeperState } from '../source/core-keeper/ledger/keeperState';
-import { Ledger } from '../source/core-keeper/ledger/ledger';
-import { KeeperCore } from '../source/core-keeper/register/keeperCore';
-import type { CoreLink } from '../source/edge-agent/core-link/coreLink';
-import { DutyHolder } from '../source/edge-agent/stewards/dutyHolder';
+import { LeaseVoter, type LeaseVote } from '../source/core-keeper/leases/leaseVoter';
+import { ReplicaStates, type ReplicaEvent, type ReplicaState } from '../source/core-keeper/write-ahead-log/replicaState';
+import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
+import { ReplicaCore } from '../source/core-keeper/register/replicaCore';
+import type { ControlLink } from '../source/edge-agent/control-link/controlLink';
+import { LeaseHolder } from '../source/edge-agent/leases/leaseHolder';
 import { SimDisk } from '../source/fleet-simulator/world/simDisk';
 import { SimNetwork } from '../source/fleet-simulator/world/simNetwork';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
@@ -25,20 +25,20 @@
       fc.record({ act: fc.constant('wipe' as const), keeper: fc.nat(2) }),
       fc.record({ act: fc.constant('rewrite' as const), keeper: fc.nat(2) }),
     );
-    const terms = (state: KeeperState): readonly number[] => duties.map((duty) => KeeperStates.duty(state, duty).term);
+    const terms = (state: ReplicaState): readonly number[] => duties.map((duty) => ReplicaStates.dutyTerm(state, duty).term);
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40, size: 'max' }), (steps) => {
-        const keepers = [KeeperStates.start, KeeperStates.start, KeeperStates.start];
+        const keepers = [ReplicaStates.initial, ReplicaStates.initial, ReplicaStates.initial];
         for (const operation of steps) {
-          const before = keepers[operation.keeper] ?? KeeperStates.start;
+          const before = keepers[operation.keeper] ?? ReplicaStates.initial;
           const others = keepers.filter((_, index) => index !== operation.keeper);
-          const events: readonly KeeperEvent[] =
+          const events: readonly ReplicaEvent[] =
             operation.act === 'grant'
               ? [
                   {
                     kind: 'dutyGranted',
                     duty: duties[operation.duty] ?? '',
-                    term: KeeperStates.duty(before, duties[operation.duty] ?? '').term + 1 + operation.above,
+                    term: ReplicaStates.dutyTerm(before, duties[operation.duty] ?? '').term + 1 + operation.above,
                     holder: 'x',
                   },
                 ]
@@ -50,7 +50,7 @@
                       { kind: 'joining', fleet: 'f', incarnation: 1 },
                       { kind: 'joined', frames: others },
                     ];
-          const next = events.reduce(KeeperStates.reduce, before);
+          const next = events.reduce(ReplicaStates.apply, before);
           keepers[operation.keeper] = next;
           // A replica with a wiped disk takes over the terms of the replicas that it joins from.
           const least = operation.act === 'wipe' ? others : [before];
@@ -67,32 +67,32 @@
   });
 
   test('a transferred state and a log of an earlier version have a floor of 0', () => {
-    const { dutyFloor, ...earlier } = { ...KeeperStates.start, duties: { 'engine/a': { term: 4, holder: 'x' } } };
+    const { dutyFloor, ...earlier } = { ...ReplicaStates.initial, duties: { 'engine/a': { term: 4, holder: 'x' } } };
     assert.equal(dutyFloor, 0);
-    const joined = KeeperStates.reduce(KeeperStates.start, { kind: 'joined', frames: [earlier] });
+    const joined = ReplicaStates.apply(ReplicaStates.initial, { kind: 'joined', frames: [earlier] });
     assert.deepEqual([joined.dutyFloor, joined.duties['engine/a']?.term], [0, 4]);
-    const read = KeeperStates.reduce(KeeperStates.start, { kind: 'whole', state: earlier as unknown as KeeperState });
-    assert.equal(KeeperStates.duty(read, 'engine/b').term, 0);
+    const read = ReplicaStates.apply(ReplicaStates.initial, { kind: 'whole', state: earlier as unknown as ReplicaState });
+    assert.equal(ReplicaStates.dutyTerm(read, 'engine/b').term, 0);
   });
 
   type VoterHarness = Readonly<{
     world: World;
-    ledger: Ledger;
-    request: (duty: string, candidate: string, term: number) => Promise<BallotAnswer>;
+    ledger: WriteAheadLog;
+    request: (duty: string, candidate: string, term: number) => Promise<LeaseVote>;
     /** Keeps requesting one duty for this time. */
     keepRequesting: (microseconds: number) => Promise<void>;
   }>;
   const openVoter = async (world: World, disk: SimDisk, isNew: boolean): Promise<VoterHarness> => {
     const process = new SimProcess(world, 'k', '10.0.0.1');
-    const ledger = new Ledger(disk.of(process), world.clock, () => undefined, 20_000);
+    const ledger = new WriteAheadLog(disk.of(process), world.clock, () => undefined, 20_000);
     const settle = async <Result>(work: Promise<Result>): Promise<Result> => {
       const [result] = await Promise.all([work, world.runFor(5000)]);
       return result;
     };
     await settle(ledger.open());
     if (isNew) await settle(ledger.write([{ kind: 'forming', fleet: 'f', members: {} }, { kind: 'formed' }]));
-    const voter = new DutyVoter(new KeeperCore('k', ledger, world.clock), world.clock);
-    const request = async (duty: string, candidate: string, term: number): Promise<BallotAnswer> => {
+    const voter = new LeaseVoter(new ReplicaCore('k', ledger, world.clock), world.clock);
+    const request = async (duty: string, candidate: string, term: number): Promise<LeaseVote> => {
       const [answer] = await settle(voter.vote([{ duty, candidate, term, leaseMicroseconds: lease }], 0));
       assert.ok(answer !== undefined);
       return answer;
@@ -160,8 +160,8 @@
 
 describe('the lease holder', () => {
   const setUp = async (
-    vote: (duty: string, term: number) => BallotAnswer | undefined,
-  ): Promise<Readonly<{ world: World; holder: DutyHolder; logged: string[]; rounds: () => number }>> => {
+    vote: (duty: string, term: number) => LeaseVote | undefined,
+  ): Promise<Readonly<{ world: World; holder: LeaseHolder; logged: string[]; rounds: () => number }>> => {
     const world = new World(4);
     const network = new SimNetwork(world);
     const keeper = new SimProcess(world, 'k', '10.1.0.1');
@@ -179,10 +179,10 @@
       keepers: () => ({ k: member }),
       sets: () => [['k']],
       membersRevision: () => 0,
-    } as unknown as CoreLink;
+    } as unknown as ControlLink;
     const agent = new SimProcess(world, 'a', '10.2.0.1');
     const logged: string[] = [];
-    const holder = new DutyHolder(
+    const holder = new LeaseHolder(
       'a',
       link,
       { clock: agent.clock, random: world.random, transport: network.transportOf(agent) },
@@ -191,7 +191,7 @@
     );
     return { world, holder, logged, rounds: () => rounds };
   };
-  const answer = (duty: string, term: number, floor: number): BallotAnswer => ({
+  const answer = (duty: string, term: number, floor: number): LeaseVote => ({
     duty,
     granted: term > floor,
     term: Math.max(term, floor),
@@ -202,9 +202,9 @@
 
   test('learns the floor from its first request and starts above it for every other duty', async () => {
     const { world, holder, rounds } = await setUp((duty, term) => answer(duty, term, 40));
-    await Promise.all([holder.ballot(['engine/a']), world.runFor(200_000)]);
+    await Promise.all([holder.requestLeases(['engine/a']), world.runFor(200_000)]);
     assert.deepEqual([holder.term('engine/a'), rounds()], [41, 2]);
-    await Promise.all([holder.ballot(['engine/a', 'engine/b']), world.runFor(200_000)]);
+    await Promise.all([holder.requestLeases(['engine/a', 'engine/b']), world.runFor(200_000)]);
     assert.deepEqual([holder.term('engine/b'), rounds()], [41, 3], 'one more round, not two');
   });
 
@@ -212,14 +212,14 @@
     let isSilent = false;
     const { world, holder, logged } = await setUp((duty, term) => (isSilent ? undefined : answer(duty, term, 0)));
     const names = Array.from({ length: 8 }, (_, number) => `engine/${number}`);
-    await Promise.all([holder.ballot([...names, 'list']), world.runFor(200_000)]);
-    await Promise.all([holder.giveBack(['list']), world.runFor(200_000)]);
+    await Promise.all([holder.requestLeases([...names, 'list']), world.runFor(200_000)]);
+    await Promise.all([holder.release(['list']), world.runFor(200_000)]);
     isSilent = true;
-    for (let turn = 0; turn < 12; turn += 1) await Promise.all([holder.ballot(names), world.runFor(400_000)]);
+    for (let turn = 0; turn < 12; turn += 1) await Promise.all([holder.requestLeases(names), world.runFor(400_000)]);
     assert.deepEqual(logged, [`Duties lapsed without renewal: ${names.slice(0, 6).join(', ')} and 2 more.`]);
     isSilent = false;
-    for (let turn = 0; turn < 12; turn += 1) await Promise.all([holder.ballot(names), world.runFor(400_000)]);
+    for (let turn = 0; turn < 12; turn += 1) await Promise.all([holder.requestLeases(names), world.runFor(400_000)]);
     assert.equal(logged.length, 1);
-    assert.equal(holder.held().length, 8);
+    assert.equal(holder.heldLeases().length, 8);
   });
 });
--- a/tests/ledger.test.ts
+++ b/tests/write-ahead-log.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { KeeperStates, type KeeperEvent } from '../source/core-keeper/ledger/keeperState';
-import { Ledger } from '../source/core-keeper/ledger/ledger';
-import { Records } from '../source/core-keeper/ledger/records';
+import { ReplicaStates, type ReplicaEvent } from '../source/core-keeper/write-ahead-log/replicaState';
+import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
+import { RecordCodec } from '../source/core-keeper/write-ahead-log/recordCodec';
 import { SimDisk } from '../source/fleet-simulator/world/simDisk';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import type { Disk, DiskFile } from '../source/shared/effects/disk/disk';
@@ -12,7 +12,7 @@
 const seeds = Number(process.env['POSTDRUM_TEST_RUNS'] ?? 100);
 const settings = { numRuns: seeds, seed: 4711 };
 
-const promise = (number: number): KeeperEvent => ({
+const promise = (number: number): ReplicaEvent => ({
   kind: 'promised',
   key: 'blueprint',
   epoch: { number, keeper: 'k' },
@@ -21,9 +21,9 @@
 test('records: a file cut at any byte yields only a prefix of the written records', () => {
   fc.assert(
     fc.property(fc.array(fc.string({ maxLength: 40 }), { minLength: 1, maxLength: 8 }), fc.nat(), (texts, position) => {
-      const whole = Buffer.concat(texts.map((text) => Records.make([text])));
+      const whole = Buffer.concat(texts.map((text) => RecordCodec.encode([text])));
       const cutAt = position % (whole.length + 1);
-      const read = Records.read(whole.subarray(0, cutAt));
+      const read = RecordCodec.decode(whole.subarray(0, cutAt));
       assert.equal(read.kind, 'sound');
       if (read.kind !== 'sound') return;
       assert.deepEqual(
@@ -43,12 +43,12 @@
       fc.nat(),
       fc.integer({ min: 1, max: 255 }),
       (texts, position, flip) => {
-        const parts = texts.map((text) => Records.make([text]));
+        const parts = texts.map((text) => RecordCodec.encode([text]));
         const whole = Buffer.concat(parts);
         const lastStart = whole.length - (parts.at(-1)?.length ?? 0);
         const at = position % whole.length;
         whole[at] = (whole[at] ?? 0) ^ flip;
-        const read = Records.read(whole);
+        const read = RecordCodec.decode(whole);
         if (at < lastStart) assert.equal(read.kind, 'corrupt');
         else assert.ok(read.kind === 'sound' && read.bodies.length === texts.length - 1);
       },
@@ -61,9 +61,9 @@
   world: World,
   disk: SimDisk,
   rewriteBytes = 1_000_000,
-): Promise<Readonly<{ ledger: Ledger; process: SimProcess; kind: string }>> => {
+): Promise<Readonly<{ ledger: WriteAheadLog; process: SimProcess; kind: string }>> => {
   const process = new SimProcess(world, 'keeper', '10.0.0.1');
-  const ledger = new Ledger(disk.of(process), process.clock, () => undefined, rewriteBytes);
+  const ledger = new WriteAheadLog(disk.of(process), process.clock, () => undefined, rewriteBytes);
   let kind = '';
   void ledger.open().then((result) => {
     kind = result.kind;
@@ -94,7 +94,7 @@
     const acknowledgedNumber = syncedNumber;
     const again = await openLog(world, disk);
     assert.equal(again.kind, 'opened', `seed ${seed}`);
-    const found = KeeperStates.cell(again.ledger.synced, 'blueprint').promised.number;
+    const found = ReplicaStates.acceptorState(again.ledger.synced, 'blueprint').promised.number;
     assert.ok(
       found >= acknowledgedNumber && found <= next,
       `seed ${seed}: found ${found}, acknowledged ${acknowledgedNumber}, written ${next}`,
@@ -112,7 +112,7 @@
   }
   assert.ok(disk.length('keeper.ledger') < 8000, `length ${disk.length('keeper.ledger')}`);
   const again = await openLog(world, disk);
-  assert.equal(KeeperStates.cell(again.ledger.synced, 'blueprint').promised.number, 300);
+  assert.equal(ReplicaStates.acceptorState(again.ledger.synced, 'blueprint').promised.number, 300);
 });
 
 test('log: a full disk refuses writes without storing them, and accepts later writes', async () => {
@@ -130,11 +130,11 @@
   assert.equal(await write(1), 'synced');
   disk.faults.full = true;
   assert.equal(await write(2), 'full');
-  assert.equal(KeeperStates.cell(ledger.pending, 'blueprint').promised.number, 1);
+  assert.equal(ReplicaStates.acceptorState(ledger.pending, 'blueprint').promised.number, 1);
   disk.faults.full = false;
   assert.equal(await write(3), 'synced');
   const again = await openLog(world, disk);
-  assert.equal(KeeperStates.cell(again.ledger.synced, 'blueprint').promised.number, 3);
+  assert.equal(ReplicaStates.acceptorState(again.ledger.synced, 'blueprint').promised.number, 3);
 });
 
 test('log: after a failed sync it refuses all writes and reports itself broken', async () => {
@@ -142,7 +142,7 @@
   const disk = new SimDisk(world);
   const { ledger } = await openLog(world, disk);
   let broken = '';
-  ledger.news.on('broken', (text) => {
+  ledger.notifications.on('broken', (text) => {
     broken = text;
   });
   disk.faults.syncFails = true;
@@ -194,9 +194,9 @@
       open: () => Promise.resolve(file),
       replace: () => Promise.resolve(),
     };
-    const ledger = new Ledger(disk, world.clock, () => undefined, 1_000_000);
+    const ledger = new WriteAheadLog(disk, world.clock, () => undefined, 1_000_000);
     const broken: string[] = [];
-    ledger.news.on('broken', (text) => void broken.push(text));
+    ledger.notifications.on('broken', (text) => void broken.push(text));
     await ledger.open();
     const outcomesOfWrites = [ledger.write([promise(1)]), ledger.write([promise(2)])];
     await afterTurns(turns);
