--- a/source/core-keeper/register/replicaReport.ts
+++ b/source/core-keeper/register/replicaReport.ts
@@ -55,7 +55,11 @@
         if (leader?.announced === undefined)
           return [
             key,
-            { owner: '', epoch: '', revision: ReplicaStates.acceptorState(core.state, key).accepted?.entry.revision ?? 0 },
+            {
+              owner: '',
+              epoch: '',
+              revision: ReplicaStates.acceptorState(core.state, key).accepted?.entry.revision ?? 0,
+            },
           ];
         return [
           key,
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -257,7 +257,8 @@
           weightsWithinMicroseconds: settings.weightsWithinMicroseconds,
           statusMicroseconds: settings.statusMicroseconds,
           leastPart: settings.leastPart,
-          publishAheadMicroseconds: () => LongPollControllerDefaults.publishAheadMicroseconds() * this.proxiesPace(mostNewsPause),
+          publishAheadMicroseconds: () =>
+            LongPollControllerDefaults.publishAheadMicroseconds() * this.proxiesPace(mostNewsPause),
         },
       },
       this.log,
--- a/source/edge-agent/engine-control/longPollEngineController.ts
+++ b/source/edge-agent/engine-control/longPollEngineController.ts
@@ -232,7 +232,8 @@
       this.changingSince = this.clock.nowMicroseconds();
     }
     this.publishStatus();
-    if (this.clock.steadyMicroseconds() - this.changePublishedMicroseconds < this.settings.publishAheadMicroseconds()) return;
+    if (this.clock.steadyMicroseconds() - this.changePublishedMicroseconds < this.settings.publishAheadMicroseconds())
+      return;
     if (status.busy !== true && this.maySendDirective(dueDirective.weights)) await this.sendDirective(dueDirective);
   }
 
--- a/source/edge-proxy/placement/engineView.ts
+++ b/source/edge-proxy/placement/engineView.ts
@@ -202,7 +202,10 @@
   private workAt(name: string): WorkSum {
     const own = this.work.of(name);
     const elsewhere = this.others.at(name);
-    return { pendingPrefillTokens: own.pendingPrefillTokens + elsewhere.work.pendingPrefillTokens, tokens: own.tokens + elsewhere.work.tokens };
+    return {
+      pendingPrefillTokens: own.pendingPrefillTokens + elsewhere.work.pendingPrefillTokens,
+      tokens: own.tokens + elsewhere.work.tokens,
+    };
   }
 
   /** Cached apart from the load counts: these change with each request, but the usable engines hardly ever. */
--- a/source/edge-proxy/placement/reservedEngines.ts
+++ b/source/edge-proxy/placement/reservedEngines.ts
@@ -112,7 +112,11 @@
 
   /** Number of engines that short requests need to stay within the utilization bound, by their recent work. */
   private minimumFor(shortMicroseconds: number, engines: number): number {
-    const { maxUtilizationPerMille: busyPerMille, maxReservedPerMille: mostPerMille, decayMicroseconds: lookBackMicroseconds } = this.settings;
+    const {
+      maxUtilizationPerMille: busyPerMille,
+      maxReservedPerMille: mostPerMille,
+      decayMicroseconds: lookBackMicroseconds,
+    } = this.settings;
     if (busyPerMille === 0) return 1;
     const needed = Math.ceil((shortMicroseconds * 1000) / (lookBackMicroseconds * busyPerMille));
     return Math.max(1, Math.min(needed, Math.floor((engines * mostPerMille) / 1000)));
--- a/tests/control-leave-while-silent.test.ts
+++ b/tests/control-leave-while-silent.test.ts
@@ -26,7 +26,9 @@
       assert.ok(await fleet.startAll(3));
       await fleet.world.runFor(3_000_000);
       assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
-      const leader = fleet.machines.find(({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name);
+      const leader = fleet.machines.find(
+        ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
+      );
       const [leaving, behind] = fleet.machines.filter((machine) => machine !== leader);
       assert.ok(leader !== undefined && leaving !== undefined && behind !== undefined);
       const restoreLinks = [leader, leaving].flatMap(({ machine }) => [
--- a/tests/control-safety.test.ts
+++ b/tests/control-safety.test.ts
@@ -67,7 +67,11 @@
           assert.ok(read?.kind !== 'read', 'it returned a configuration');
           await fleet.world.runFor(1_000_000);
         }
-        assert.equal(cut.controlNode?.keyLeaders()['blueprint']?.owner === cut.name, false, 'it still reports itself as leader');
+        assert.equal(
+          cut.controlNode?.keyLeaders()['blueprint']?.owner === cut.name,
+          false,
+          'it still reports itself as leader',
+        );
         heal();
         assert.equal(await documentAt(fleet, cut), platformDocument(version), 'outdated after the partition healed');
         assert.equal((await fleet.changeWithRetries(put(version + 1, version), 3_000_000))?.kind, 'taken');
@@ -105,7 +109,11 @@
     fleet.network.cut(left.machine, leader.machine);
     await fleet.world.runFor(15_000_000);
     assert.deepEqual(leader.controlNode?.keyLeaders()['blueprint'], before);
-    assert.equal((await fleet.changeWithRetriesAt([left], put(2, 1), 4_000_000))?.kind, 'taken', 'it still serves operators');
+    assert.equal(
+      (await fleet.changeWithRetriesAt([left], put(2, 1), 4_000_000))?.kind,
+      'taken',
+      'it still serves operators',
+    );
     assert.equal(await documentAt(fleet, left), platformDocument(2));
   });
 
@@ -176,7 +184,8 @@
       epoch: { number: 1, keeper: 'a' },
       entry: { ...entry, changes: [{ id: order.id, orderDigest, revision: 1 }] },
     } as unknown as ReplicaEvent;
-    const read = ReplicaStates.acceptorState(ReplicaStates.apply(ReplicaStates.initial, event), 'blueprint').accepted?.entry;
+    const read = ReplicaStates.acceptorState(ReplicaStates.apply(ReplicaStates.initial, event), 'blueprint').accepted
+      ?.entry;
     assert.ok(read !== undefined);
     assert.deepEqual(outcomeOfRepeat(read, order), { kind: 'taken', revision: 1 });
     assert.equal(outcomeOfRepeat(read, { ...order, text: `${order.text} ` })?.kind, 'refused');
@@ -193,7 +202,8 @@
         const version = base + 7;
         const pair = ['one', 'two'].map((by) => put(version, base, { by }));
         // Both are sent at once to different machines; the answers are lost, and a leader is killed.
-        for (const [index, order] of pair.entries()) fleet.sendWithoutResponse(fleet.machine(((round + index) % 3) + 1), order);
+        for (const [index, order] of pair.entries())
+          fleet.sendWithoutResponse(fleet.machine(((round + index) % 3) + 1), order);
         await fleet.world.runFor(round * 1500);
         const leader = leaderOf(fleet);
         leader.kill(round % 2 === 0);
--- a/tests/prompt-part-placement.test.ts
+++ b/tests/prompt-part-placement.test.ts
@@ -3,7 +3,11 @@
 import fc from 'fast-check';
 import { WorkDesk } from '../source/edge-agent/desk/workDesk';
 import { TrafficShares } from '../source/edge-proxy/identification/trafficShares';
-import { PlacementCosts, PlacementCostSettings, type PlacementOffer } from '../source/edge-proxy/placement/placementCosts';
+import {
+  PlacementCosts,
+  PlacementCostSettings,
+  type PlacementOffer,
+} from '../source/edge-proxy/placement/placementCosts';
 import { ReservedEngines, ReservedEngineSettings } from '../source/edge-proxy/placement/reservedEngines';
 import { WeightsRounds } from '../source/shared/weights/weightsRounds';
 import { EngineWork } from '../source/edge-proxy/placement/engineWork';
@@ -85,9 +89,9 @@
   assert.equal(work.matched('e', 'boot1', names, 0), 2);
   assert.equal(work.matched('e', 'boot2', names, 0), 0, 'another boot epoch of the engine');
   assert.equal(work.matched('other', 'boot1', names, 0), 0);
-  assert.deepEqual(work.of('e'), { reading: 900, tokens: 1000 });
+  assert.deepEqual(work.of('e'), { pendingPrefillTokens: 900, tokens: 1000 });
   work.begun('e', 'o');
-  assert.deepEqual(work.of('e'), { reading: 0, tokens: 1000 });
+  assert.deepEqual(work.of('e'), { pendingPrefillTokens: 0, tokens: 1000 });
   work.ended('e', 'o');
   assert.equal(work.matched('e', 'boot1', names, 0), 2, 'prefilled recently');
   clock.now = 1001;
--- a/tests/support/leaderDuel.ts
+++ b/tests/support/leaderDuel.ts
@@ -78,7 +78,10 @@
 };
 
 const takeovers = (fleet: ControlFleet): number =>
-  fleet.machines.reduce((sum, { controlNode: keeper }) => sum + (keeper?.replicaStatus().keys['blueprint']?.takeovers ?? 0), 0);
+  fleet.machines.reduce(
+    (sum, { controlNode: keeper }) => sum + (keeper?.replicaStatus().keys['blueprint']?.takeovers ?? 0),
+    0,
+  );
 
 const leaderOf = (fleet: ControlFleet): ControlMachine => {
   const found = fleet.machines.find(({ process, controlNode: keeper, name }) => {
