--- a/tests/platform-cut.test.ts
+++ b/tests/platform-cut.test.ts
@@ -35,9 +35,9 @@
     [
       ...Object.values(PlatformHeaders).filter((name): name is string => typeof name === 'string'),
       ...namesIn(
-        between(textOf('platform/settings/platformSettings.ts'), 'const leaves', '\n};'),
+        between(textOf('platform/settings/platformSettings.ts'), 'const fields', '\n};'),
         /^ {2}'?([\w.]+)'?: /gm,
-      ).flatMap((leaf) => leaf.split('.')),
+      ).flatMap((field) => field.split('.')),
       ...namesIn(textOf('platform/operators/document.ts'), /^ {2}(\w+)\??: /gm),
       ...namesIn(textOf('platform/engines/controlNames.ts'), /'([^']+)'/g),
       ...namesIn(textOf('platform/engines/controlAnswers.ts'), /\['(\w+)'\]/g),
