--- a/tests/clean-build.test.ts
+++ b/tests/clean-build.test.ts
@@ -5,8 +5,8 @@
 import path from 'node:path';
 import { describe, test } from 'node:test';
 
-/** The programs that each system package brings; a package that is listed in the deploy file must stand here. */
-const programsOf: Readonly<Record<string, readonly string[]>> = { nodejs: ['node', 'npm', 'npx'] };
+/** The programs that each system package installs. Every package in the deploy file needs an entry. */
+const programsByPackage: Readonly<Record<string, readonly string[]>> = { nodejs: ['node', 'npm', 'npx'] };
 const shellBuiltins = ['[', 'test', 'cd', 'exit', 'true', 'false', 'echo', 'export', 'set'];
 
 const deploy = readFileSync('deploy/system.toml', 'utf8');
@@ -14,9 +14,9 @@
   ([, name]) => name ?? '',
 );
 const build = /^build = "(.*)"$/m.exec(deploy)?.[1] ?? '';
-const programs = packages.flatMap((name) => programsOf[name] ?? []);
+const programs = packages.flatMap((name) => programsByPackage[name] ?? []);
 
-/** The first word of each command of a shell line. */
+/** Returns the first word of each command of a shell line. */
 const commandsIn = (line: string): readonly string[] =>
   line
     .split(/;|&&|\|\||\|/)
@@ -24,10 +24,10 @@
     .filter((word) => word !== '');
 
 describe('a clean build', () => {
-  test('each listed package is known, and the build line calls nothing else', () => {
+  test('the build line runs only programs of the listed packages, all of which are known', () => {
     assert.ok(packages.length > 0 && build !== '');
     assert.deepEqual(
-      packages.filter((name) => programsOf[name] === undefined),
+      packages.filter((name) => programsByPackage[name] === undefined),
       [],
     );
     assert.deepEqual(
@@ -40,7 +40,7 @@
     );
   });
 
-  test('the bundles are built with nothing on the path but what the listed packages have', () => {
+  test('the bundles build with only the programs of the listed packages on the PATH', () => {
     const folder = mkdtempSync(path.join(process.cwd(), 'target-test-'));
     const bin = mkdtempSync(path.join(tmpdir(), 'postdrum-bin-'));
     try {
@@ -53,12 +53,12 @@
       for (const name of ['platform', 'source', 'build', 'node_modules', 'package.json', 'deploy'])
         symlinkSync(path.join(process.cwd(), name), path.join(folder, name));
       mkdirSync(path.join(folder, 'target'));
-      const ended = spawnSync(path.join(bin, 'node'), ['build/platform.mjs'], {
+      const result = spawnSync(path.join(bin, 'node'), ['build/platform.mjs'], {
         cwd: folder,
         env: { PATH: bin, HOME: folder },
         encoding: 'utf8',
       });
-      assert.equal(ended.status, 0, ended.stderr);
+      assert.equal(result.status, 0, result.stderr);
       assert.ok(
         ['core-keeper', 'edge-agent', 'edge-proxy'].every((name) =>
           existsSync(path.join(folder, 'target', `${name}.cjs`)),
--- a/tests/command-line-platform.test.ts
+++ b/tests/command-line-platform.test.ts
@@ -27,12 +27,12 @@
 import { until } from './support/realFleet';
 import { bundled } from './support/bundled';
 
-type Ran = Readonly<{ code: number | null; out: string; error: string }>;
+type CommandResult = Readonly<{ code: number | null; out: string; error: string }>;
 
 const folder = mkdtempSync(path.join(tmpdir(), 'postdrum-line-'));
 
-/** One keeper alone on a real disk and real conns. */
-const keeperOf = async (words: OperatorApiFormat, dialect: Dialect): Promise<RunningControlNode> => {
+/** Starts a single control node with a real disk and real connections. */
+const startNode = async (format: OperatorApiFormat, dialect: Dialect): Promise<RunningControlNode> => {
   const [fleetPort, operatorsPort] = [await freePort(), await freePort()];
   const member = { address: `127.0.0.1:${fleetPort}`, operatorsAddress: `127.0.0.1:${operatorsPort}`, zone: '' };
   return startControlNode({
@@ -47,13 +47,13 @@
       replaces: '',
     },
     dialect,
-    operatorApiFormat: words,
+    operatorApiFormat: format,
     operatorApi: { address: member.operatorsAddress, answerMicroseconds: 850_000, answerMicrosecondsPerByte: 1 },
     onDiskFailure: assert.fail,
   });
 };
 
-const listed = (name: string, service: string, number: number): ListedEngine => ({
+const listedEngine = (name: string, service: string, number: number): ListedEngine => ({
   name,
   service,
   address: `127.0.0.1:${number}`,
@@ -63,19 +63,19 @@
   weights: service === 'lm' ? { 'model-a': '1' } : {},
 });
 
-/** An engine that says nothing: what counts here is what agents tell of it. */
-const silentDoor: BackEndDoor = {
+/** Control endpoint of an engine that does not answer; the tests only read what agents report about it. */
+const unresponsiveEndpoint: BackEndDoor = {
   status: () => Promise.resolve(undefined),
   events: () => Promise.resolve(undefined),
   list: () => Promise.resolve(undefined),
   directive: () => Promise.resolve('unreachable'),
 } as unknown as BackEndDoor;
 
-const agentOf = async (seed: string): Promise<Readonly<{ agent: EdgeAgent; close: () => Promise<void> }>> => {
+const startAgent = async (seed: string): Promise<Readonly<{ agent: EdgeAgent; close: () => Promise<void> }>> => {
   const transport = new TcpTransport(realClock);
   const agent = new EdgeAgent(
     { clock: realClock, random: realRandom, transport },
-    silentDoor,
+    unresponsiveEndpoint,
     {
       ...AgentDefaults,
       name: 'edge-1',
@@ -87,7 +87,8 @@
       engineList: 'listed',
     },
     {
-      page: () => Promise.resolve({ engines: [listed('i-1', 'lm', 11), listed('i-2', 'desk', 12)], next: undefined }),
+      page: () =>
+        Promise.resolve({ engines: [listedEngine('i-1', 'lm', 11), listedEngine('i-2', 'desk', 12)], next: undefined }),
     },
     platformDialect,
   );
@@ -101,26 +102,26 @@
   };
 };
 
-describe('the command line at a fleet on the platform', () => {
-  let keeper: RunningControlNode;
-  let own: RunningControlNode;
-  const closing: (() => Promise<void>)[] = [];
+describe('the command line with a fleet on the platform', () => {
+  let controlNode: RunningControlNode;
+  let nativeNode: RunningControlNode;
+  const cleanups: (() => Promise<void>)[] = [];
   before(async () => {
     await bundled({ postdrum: path.join('platform', 'operators', 'commandLine.ts') }, folder);
-    [keeper, own] = await Promise.all([
-      keeperOf(platformOperatorsWords, platformDialect),
-      keeperOf(nativeOperatorApiFormat, ownDialect),
+    [controlNode, nativeNode] = await Promise.all([
+      startNode(platformOperatorsWords, platformDialect),
+      startNode(nativeOperatorApiFormat, ownDialect),
     ]);
   });
   after(async () => {
-    await Promise.all([keeper.stop(), own.stop(), ...closing.map((close) => close())]);
+    await Promise.all([controlNode.stop(), nativeNode.stop(), ...cleanups.map((close) => close())]);
     rmSync(folder, { recursive: true, force: true });
   });
 
-  /** Why not in one go: the keeper it asks runs in this very process. */
-  const run = (words: readonly string[], core = keeper.operatorApi.address): Promise<Ran> =>
+  /** Runs the command asynchronously, because the control node that it queries runs in the same process. */
+  const run = (args: readonly string[], core = controlNode.operatorApi.address): Promise<CommandResult> =>
     new Promise((resolve) => {
-      const child = spawn(process.execPath, [path.join(folder, 'postdrum.cjs'), ...words], {
+      const child = spawn(process.execPath, [path.join(folder, 'postdrum.cjs'), ...args], {
         stdio: ['ignore', 'pipe', 'pipe'],
         env: { PATH: process.env['PATH'], ...(core === '' ? {} : { POSTDRUM_CORE: core }) },
       });
@@ -134,8 +135,8 @@
     writeFileSync(file, text);
     return file;
   };
-  const take = (ifMatch: number, text: string): Promise<number> =>
-    request(`http://${keeper.operatorApi.address}/-/config`, {
+  const putConfiguration = (ifMatch: number, text: string): Promise<number> =>
+    request(`http://${controlNode.operatorApi.address}/-/config`, {
       method: 'PUT',
       headers: { 'if-match': String(ifMatch) },
       body: text,
@@ -144,24 +145,24 @@
       return statusCode;
     });
 
-  test('what is wrong with a call is one sentence and code 2', async () => {
+  test('an invalid or failed call prints one line and exits with code 2', async () => {
     const calls: readonly (readonly [readonly string[], string?])[] = [
       [['status'], ''],
       [['status'], '127.0.0.1:1'],
       [['blueprint', 'check'], undefined],
       [['blueprint', 'check', path.join(folder, 'none.json')], undefined],
       [['blueprint', 'check', written(platformDocument(1))], '127.0.0.1:1'],
-      // A fleet that speaks in the other manner says nothing about this document.
-      [['blueprint', 'check', written(platformDocument(1))], own.operatorApi.address],
+      // A fleet with the other configuration format can't check this document.
+      [['blueprint', 'check', written(platformDocument(1))], nativeNode.operatorApi.address],
       [['blueprint', 'take', written(platformDocument(1))], undefined],
       [['engines', 'show'], undefined],
       [['frobnicate'], undefined],
       [['--odd'], undefined],
     ];
-    for (const [words, core] of calls) {
-      const { code, out, error } = await run(words, core);
-      assert.deepEqual([code, out], [2, ''], `${words.join(' ')}: ${out}${error}`);
-      assert.match(error, /^postdrum: [^\n]+\n$/, words.join(' '));
+    for (const [args, core] of calls) {
+      const { code, out, error } = await run(args, core);
+      assert.deepEqual([code, out], [2, ''], `${args.join(' ')}: ${out}${error}`);
+      assert.match(error, /^postdrum: [^\n]+\n$/, args.join(' '));
     }
     const bare = await run([], '');
     assert.equal(bare.code, 2);
@@ -169,31 +170,31 @@
     assert.deepEqual([help.code, help.error], [0, '']);
   });
 
-  test('status shows keepers, agents without pages of their own, engines of the list; check uses them', async () => {
-    await until('the first configuration', async () => (await take(0, platformDocument(5))) === 200);
+  test('status shows control nodes, agents without an HTTP address and listed engines; check uses them', async () => {
+    await until('the first configuration', async () => (await putConfiguration(0, platformDocument(5))) === 200);
     const early = await run(['blueprint', 'check', written(platformDocument(6))]);
     assert.match(early.out, /^partial: some of the fleet did not answer\n/, early.error);
-    const { agent, close } = await agentOf(keeper.address);
-    closing.push(close);
+    const { agent, close } = await startAgent(controlNode.address);
+    cleanups.push(close);
     await until('the agent knows the fleet and the list', () =>
       Promise.resolve(
         agent.freshness.revision('blueprint') > 0 &&
           Object.keys(agent.freshness.engines?.engines ?? {}).length === 2 &&
-          keeper.controlNode.agents().length === 1 &&
-          // Why: the findings below are those of a fleet whose stewards have spoken, of engines that said nothing.
+          controlNode.controlNode.agents().length === 1 &&
+          // The findings below require that the stewards have reported the engines, which do not answer, as unreachable.
           agent.facts.value<EngineFact>(FactKeys.engine('i-1'))?.reachable === false,
       ),
     );
     const status = await run(['status', '--json']);
     assert.equal(status.code, 0, status.error);
-    const seen = JSON.parse(status.out) as {
+    const statusReport = JSON.parse(status.out) as {
       partial: boolean;
       keepers: { keeper: string }[];
       agents: { agent: string; listed: Record<string, unknown> }[];
     };
-    assert.deepEqual([seen.partial, seen.keepers.map(({ keeper: name }) => name)], [false, ['only']]);
+    assert.deepEqual([statusReport.partial, statusReport.keepers.map(({ keeper: name }) => name)], [false, ['only']]);
     assert.deepEqual(
-      seen.agents.map(({ agent: name, listed: engines }) => [name, Object.keys(engines)]),
+      statusReport.agents.map(({ agent: name, listed: engines }) => [name, Object.keys(engines)]),
       [['edge-1', ['i-1', 'i-2']]],
     );
     assert.ok(!status.out.includes('key-north'), 'no key is shown');
@@ -205,23 +206,29 @@
     const clean = await run(['blueprint', 'check', written(platformDocument(6))]);
     assert.doesNotMatch(clean.out, /partial/);
     assert.match(clean.out, /nothing would change/);
-    const said = clean.out.slice(clean.out.indexOf('findings:'));
-    assert.deepEqual(said.trim().split('\n'), [
+    const findingsText = clean.out.slice(clean.out.indexOf('findings:'));
+    assert.deepEqual(findingsText.trim().split('\n'), [
       'findings:',
       '  /services/lm: engine i-1 is listed as ready and no steward reaches it',
     ]);
     assert.equal(clean.code, 1);
-    const lonely = JSON.parse(platformDocument(6)) as { services: unknown[] };
-    lonely.services.push({ name: 'lonely', healthPath: '/health', maxConns: 10, protocol: 'h1', tlsMode: false });
-    const checked = await run(['blueprint', 'check', written(JSON.stringify(lonely)), '--json']);
+    const withUnusedService = JSON.parse(platformDocument(6)) as { services: unknown[] };
+    withUnusedService.services.push({
+      name: 'lonely',
+      healthPath: '/health',
+      maxConns: 10,
+      protocol: 'h1',
+      tlsMode: false,
+    });
+    const checked = await run(['blueprint', 'check', written(JSON.stringify(withUnusedService)), '--json']);
     assert.equal(checked.code, 1);
     assert.match(checked.out, /no engine is listed for it/);
-    await closing.pop()?.();
+    await cleanups.pop()?.();
     const gone = await run(['status']);
     assert.match(gone.out, /^partial: no answer from agent edge-1\n/);
   });
 
-  test('check finds what the operators would be refused for, and says where', async () => {
+  test('check reports each fault for which a change would be rejected, with its path', async () => {
     const old = await run(['blueprint', 'check', written(platformDocument(5, { limits: {} }))]);
     assert.deepEqual([old.code, old.out], [1, 'fault /version: is not above the present one, 5\n']);
     for (const text of ['', '{', '[]', '{"version":9,"routes":[{"name":"r"}],"services":[]}']) {
@@ -231,13 +238,13 @@
     }
   });
 
-  test('a keeper answers for an agent it does not know at once, and plainly', async () => {
-    const { statusCode, body } = await request(`http://${keeper.operatorApi.address}/agents/nobody`);
+  test('a control node answers 404 for an unknown agent', async () => {
+    const { statusCode, body } = await request(`http://${controlNode.operatorApi.address}/agents/nobody`);
     assert.deepEqual([statusCode, Object.keys((await body.json()) as object)], [404, ['error']]);
   });
 });
 
-test('a service that only parts lead to, and a class that only tenants have, are used', () => {
+test('a service used only in a traffic split and a class used only by tenants count as used', () => {
   const read = platformManner.read(platformDocument(5, { tenants: [{ name: 't', apiKeys: ['k'], priority: 4 }] }));
   assert.ok(read.kind === 'good');
   const { findings } = BlueprintChecks.run(read.value, read.value, { engines: {} }, [], false);
--- a/tests/dialect.test.ts
+++ b/tests/dialect.test.ts
@@ -13,7 +13,7 @@
 import { platformDocument } from './support/platformDocument';
 
 const settings = { numRuns: Number(process.env['POSTDRUM_TEST_RUNS'] ?? 100), seed: 4711 };
-const nothing = { revision: 0, text: '' };
+const emptyState = { revision: 0, text: '' };
 
 const apply = (present: string, form: OrderForm, text: string, ifMatch = 0): DialectApplied =>
   platformDialect.apply({ revision: 5, text: present }, { form, text, ifMatch });
@@ -39,8 +39,8 @@
   return JSON.stringify(document);
 };
 
-describe('what the platform means in the words of the product', () => {
-  test('routes, services, stores, tenants and limits', () => {
+describe('translation of the platform document', () => {
+  test('translates routes, services, stores, tenants and limits', () => {
     const blueprint = blueprintOf(first());
     assert.deepEqual(blueprint.mappings['r-long'], {
       path: '/long/',
@@ -99,7 +99,7 @@
     assert.deepEqual([blueprint.keyed, blueprint.limits?.headMicroseconds], [true, 3_000_000]);
   });
 
-  test('a repeatable order: safe, or a stream that may be taken up; nothing else', () => {
+  test('only safe requests and resumable streams are repeatable', () => {
     const kinds = [
       ['safe', false, true],
       ['unsafe', false, false],
@@ -112,7 +112,7 @@
     }
   });
 
-  test('retries: the most engines that one order may be sent to, and 0 is no word for as many as usual', () => {
+  test('retries limits the engines per request; 0 means one engine and not the default', () => {
     for (const [retries, most] of [
       [0, 1],
       [1, 1],
@@ -125,12 +125,12 @@
     }
   });
 
-  test('without tenants no order needs a key', () => {
+  test('requests need no key if the document has no tenants', () => {
     const text = changed((document) => delete document['tenants']);
     assert.equal(blueprintOf(written(apply('', 'whole', text))).keyed, false);
   });
 
-  test('any sound document is taken, read back byte for byte, and trusted to mean what it was checked to mean', () => {
+  test('a valid document is stored byte for byte, and reads the same with and without a check', () => {
     const word = fc.stringMatching(/^[a-z][a-z0-9-]{0,20}$/);
     const route = fc.record({
       name: word,
@@ -165,7 +165,7 @@
     );
   });
 
-  test('three thousand routes are read and translated', () => {
+  test('reads and translates 3000 routes', () => {
     const text = changed((document) => {
       const [route] = document.routes;
       document.routes = Array.from({ length: 3000 }, (_, index) => ({
@@ -178,14 +178,14 @@
   });
 });
 
-describe('what is invalid is refused at once', () => {
+describe('invalid documents are rejected', () => {
   const route = (fields: Readonly<Record<string, unknown>>) => (document: Document) =>
     void Object.assign(document.routes[0] ?? {}, fields);
   const kinds: readonly (readonly [string, string])[] = [
     ['cut short', platformDocument(9).slice(0, -40)],
     ['empty', ''],
-    ['no object', '[]'],
-    ['a name twice', platformDocument(9).replace('{"version":9', '{"version":9,"version":9')],
+    ['not an object', '[]'],
+    ['a duplicate key', platformDocument(9).replace('{"version":9', '{"version":9,"version":9')],
     ['__proto__', platformDocument(9).replace('{"version":9', '{"version":9,"__proto__":{}')],
     ['an escaped __proto__', platformDocument(9).replace('{"version":9', '{"version":9,"\\u005f_proto__":{}')],
     ['an unknown service', changed(route({ backend: 'nowhere' }))],
@@ -195,10 +195,10 @@
     ['no weight', changed(route({ trafficSplit: [{ backend: 'lm', share: 0 }] }))],
     ['no parts', changed(route({ trafficSplit: [] }))],
     ['a negative weight', changed(route({ trafficSplit: [{ backend: 'lm', share: -1 }] }))],
-    ['no time-out', changed(route({ timeoutMs: 0 }))],
-    ['a time-out that is no number', changed(route({ timeoutMs: '6000' }))],
-    ['the same place twice', changed(route({ pathPrefix: '/split/' }))],
-    ['the same place in other letters', changed(route({ hostname: 'ONE.example', pathPrefix: '/split/' }))],
+    ['a zero timeout', changed(route({ timeoutMs: 0 }))],
+    ['a timeout that is not a number', changed(route({ timeoutMs: '6000' }))],
+    ['a duplicate host and path', changed(route({ pathPrefix: '/split/' }))],
+    ['a duplicate host and path in another case', changed(route({ hostname: 'ONE.example', pathPrefix: '/split/' }))],
     ['a route without a name', changed(route({ name: undefined }))],
     ['two routes of one name', changed(route({ name: 'r-split' }))],
     [
@@ -211,11 +211,11 @@
           ]),
       ),
     ],
-    ['no list of routes', changed((document) => ((document as Record<string, unknown>)['routes'] = {}))],
-    ['the version that stands', changed(route({ timeoutMs: 4000 }), 5)],
+    ['routes that are not a list', changed((document) => ((document as Record<string, unknown>)['routes'] = {}))],
+    ['the current version', changed(route({ timeoutMs: 4000 }), 5)],
     ['an older version', platformDocument(4)],
     ['no version', changed((document) => delete document['version'])],
-    ['half a version', changed((document) => (document['version'] = 9.5))],
+    ['a fractional version', changed((document) => (document['version'] = 9.5))],
   ];
   for (const [what, text] of kinds)
     test(what, () => {
@@ -225,7 +225,7 @@
       assert.ok(!JSON.stringify(applied).includes('key-1'), 'no fault shows a key');
     });
 
-  test('an invalid change of named items too', () => {
+  test('rejects an invalid patch of named items', () => {
     const patches: readonly unknown[] = [
       { version: 9, upsert: { routes: [{ name: 'r-long', backend: 'nowhere' }] } },
       { version: 9, remove: { services: ['lm'] } },
@@ -237,8 +237,8 @@
   });
 });
 
-describe('terms', () => {
-  test('built on another version: the loser of a race hears which one stands', () => {
+describe('versions and patches', () => {
+  test('rejects a change on an outdated or unknown base version', () => {
     const applied = apply(first(5), 'whole', platformDocument(9), 4);
     assert.ok(applied.kind === 'refused' && applied.reason === 'revision');
     const pieces = apply(first(5), 'pieces', JSON.stringify({ version: 9, upsert: {} }), 6);
@@ -246,13 +246,13 @@
     assert.equal(apply('', 'whole', platformDocument(3), 1).kind, 'refused');
   });
 
-  test('the same document under the number that stands is no change, whatever it builds on', () => {
+  test('an identical document with the current version is no change, whatever its base', () => {
     assert.equal(apply(first(5), 'whole', platformDocument(5), 0).kind, 'same');
     assert.equal(apply(first(5), 'whole', platformDocument(5), 5).kind, 'same');
     assert.equal(apply(first(5), 'whole', `${platformDocument(5)} `, 0).kind, 'refused');
   });
 
-  test('named items: put in place, added, taken away; all others and unknown fields stay', () => {
+  test('a patch replaces, adds and removes named items; other items and unknown fields stay', () => {
     const odd = changed((document) => Object.assign(document.routes[1] ?? {}, { odd: [1, { deep: true }] }), 5);
     const stored = written(apply('', 'whole', odd));
     const before = JSON.parse(Envelopes.open(stored).document) as Document;
@@ -279,7 +279,7 @@
     assert.deepEqual(Object.keys(blueprintOf(next).mappings), ['r-split', 'r-new']);
   });
 
-  test('weights: raised, kept over documents, never lowered; an unknown model is refused', () => {
+  test('weight versions only rise and outlive new documents; an unknown model is rejected', () => {
     const named = (version: number, model = 'model-a'): string => JSON.stringify({ model, version });
     const raised = written(apply(first(), 'weights', named(2)));
     assert.equal((blueprintOf(raised).services['lm'] as Pool).weights, '2');
@@ -290,7 +290,7 @@
     assert.equal((blueprintOf(later).services['lm'] as Pool).weights, '2');
     assert.equal(Envelopes.open(later).document, platformDocument(9));
     assert.equal(apply(raised, 'weights', named(3, 'nobody')).kind, 'refused');
-    // Before the first document nobody can tell which models there are.
+    // Before the first document the models are unknown, so any name is accepted.
     const early = written(apply('', 'weights', named(4)));
     assert.equal(
       (blueprintOf(written(apply(early, 'whole', platformDocument(1), 0))).services['lm'] as Pool).weights,
@@ -310,14 +310,14 @@
     return planned.kind === 'write' ? planned.entry : entry;
   };
 
-  test('two on one version: one is written, the other refused; each repeated hears the same', () => {
+  test('of two changes on one version one is rejected; a repeated change gets the same outcome', () => {
     const base = taken(emptyEntry, order(5, 0));
     const one = taken(base, order(7, 5));
     const other = Changes.plan(one, order(8, 5), platformDialect);
     assert.ok(other.kind === 'answer' && other.outcome.kind === 'refused' && other.outcome.reason === 'revision');
     const again = Changes.plan(one, order(7, 5), platformDialect);
     assert.deepEqual(again, { kind: 'answer', outcome: { kind: 'taken', revision: 2 } });
-    // Also when others were taken since.
+    // The outcome stays the same after later changes.
     const later = taken(one, order(11, 7));
     assert.deepEqual(Changes.plan(later, order(7, 5), platformDialect), again);
     assert.deepEqual(Changes.plan(later, order(5, 0), platformDialect), {
@@ -326,12 +326,12 @@
     });
   });
 
-  test('the register counts by itself, whatever steps the operators take', () => {
+  test('register revisions are consecutive, whatever versions the operators use', () => {
     const entry = taken(taken(emptyEntry, order(50, 0)), order(900, 50));
     assert.equal(entry.revision, 2);
   });
 
-  test('lists of engines and members are written the same under every dialect', () => {
+  test('lists of engines are stored unchanged by the platform format', () => {
     const text = JSON.stringify({ engines: {} });
     const planned = Changes.plan(
       emptyEntry,
@@ -342,28 +342,28 @@
   });
 });
 
-describe('every dialect', () => {
+describe('every configuration format', () => {
   const own = JSON.stringify(SimBlueprints.first());
   const all: readonly (readonly [Dialect, string])[] = [
     [ownDialect, own],
     [platformDialect, platformDocument(1)],
   ];
   for (const [dialect, document] of all) {
-    test(`${dialect.name}: takes its document once, is pure, and reads what it wrote`, () => {
-      const once = dialect.apply(nothing, { form: 'whole', text: document, ifMatch: 0 });
-      assert.deepEqual(dialect.apply(nothing, { form: 'whole', text: document, ifMatch: 0 }), once);
+    test(`${dialect.name}: applies a document once, is pure, and reads back what it wrote`, () => {
+      const once = dialect.apply(emptyState, { form: 'whole', text: document, ifMatch: 0 });
+      assert.deepEqual(dialect.apply(emptyState, { form: 'whole', text: document, ifMatch: 0 }), once);
       assert.equal(once.kind, 'write');
       if (once.kind !== 'write') return;
       assert.equal(dialect.read(once.text).kind, 'good');
       assert.deepEqual(dialect.trusted(once.text), dialect.read(once.text));
       const late = dialect.apply({ revision: 1, text: once.text }, { form: 'whole', text: `${document} `, ifMatch: 0 });
       assert.equal(late.kind, 'refused');
-      assert.equal(dialect.apply(nothing, { form: 'whole', text: document.slice(1), ifMatch: 0 }).kind, 'refused');
+      assert.equal(dialect.apply(emptyState, { form: 'whole', text: document.slice(1), ifMatch: 0 }).kind, 'refused');
     });
 
-    test(`${dialect.name}: remembering changes nothing`, () => {
+    test(`${dialect.name}: caching changes no result`, () => {
       const remembering = rememberingDialect(dialect);
-      const once = dialect.apply(nothing, { form: 'whole', text: document, ifMatch: 0 });
+      const once = dialect.apply(emptyState, { form: 'whole', text: document, ifMatch: 0 });
       assert.ok(once.kind === 'write');
       if (once.kind !== 'write') return;
       for (const text of [once.text, once.text]) assert.deepEqual(remembering.trusted(text), dialect.trusted(text));
--- a/tests/platform-cut.test.ts
+++ b/tests/platform-cut.test.ts
@@ -18,7 +18,7 @@
 const platform = sourcesIn('platform');
 const textOf = (file: string): string => {
   const found = platform.find((source) => source.file === file);
-  assert.ok(found !== undefined, `${file} has moved; say here where its names stand now`);
+  assert.ok(found !== undefined, `${file} has moved; change its path in this test`);
   return found.text;
 };
 const namesIn = (text: string, form: RegExp): readonly string[] =>
@@ -26,10 +26,10 @@
 const between = (text: string, first: string, last: string): string =>
   text.slice(text.indexOf(first), text.indexOf(last, text.indexOf(first)));
 
-/** Names that say something: with a hump, a hyphen, an underscore or a slash. The rest are words that anybody may use. */
-const isTelling = (name: string): boolean => /[a-z][A-Z]|[a-z]-[a-z]|_|^\//.test(name);
+/** Whether a name is specific: in camel case, or with a hyphen, an underscore or a leading slash. Others are common words. */
+const isSpecific = (name: string): boolean => /[a-z][A-Z]|[a-z]-[a-z]|_|^\//.test(name);
 
-/** Read from where platform/ writes them down, so that a new name is guarded as soon as it stands there. */
+/** Names of the platform, read from the files under platform/ so that new names are checked without a change here. */
 const platformNames: readonly string[] = [
   ...new Set(
     [
@@ -42,43 +42,43 @@
       ...namesIn(textOf('platform/engines/controlNames.ts'), /'([^']+)'/g),
       ...namesIn(textOf('platform/engines/controlAnswers.ts'), /\['(\w+)'\]/g),
       ...namesIn(textOf('platform/operators/words.ts'), /Path = '([^']+)'/g),
-      // Why by hand: these stand inside longer texts.
+      // These are listed by hand because they occur within longer strings.
       ...['sinceTime', 'pageToken', 'holderName', 'fenceNumber', 'expectedCount', 'callCount', 'coldLeftMs'],
       ...['/-/ready', 'postdrum-server-seal', 'POSTDRUM_NODE_FILE', '/etc/postdrum'],
-    ].filter(isTelling),
+    ].filter(isSpecific),
   ),
 ];
 
-/** Words of the product that happen to be spelt like one of the platform's, each with the only places it may stand in. */
-const ownWords: Readonly<Record<string, readonly string[]>> = {
-  // The product's own back-end protocol has had headers of these names from the start.
+/** Names of the product that equal a name of the platform, each with the only places where it may occur. */
+const sharedNames: Readonly<Record<string, readonly string[]>> = {
+  // Headers of the product's native back-end protocol.
   'postdrum-cache-source': ['source/shared/back-end/protocol.ts'],
   'postdrum-cache-target': ['source/shared/back-end/protocol.ts'],
   'postdrum-tenant': ['source/shared/back-end/protocol.ts'],
   'postdrum-not-run': ['source/shared/back-end/protocol.ts', 'source/fleet-simulator/machines/simBackEnds.ts'],
-  // Its own protocol and messages name the life of a back end so.
+  // Identifies a run of a back end in the native protocol and in messages.
   bootEpoch: ['source/'],
-  // Fields of the blueprint: a path to ask, and what one token takes.
+  // Fields of the configuration: the path of health checks, and the bytes per token.
   healthPath: ['source/shared/blueprint/check.ts', 'source/shared/blueprint/types.ts'],
   tokenBytes: [
     'source/shared/blueprint/check.ts',
     'source/shared/blueprint/types.ts',
     'source/edge-proxy/fetch/partMoves.ts',
   ],
-  // How many orders are held.
+  // The number of waiting requests.
   heldCount: ['source/edge-proxy/edgeProxy.ts', 'source/edge-proxy/holding/takeDesk.ts'],
-  // What a fleet promises about second sends.
+  // Limits on retries.
   retryRatio: ['source/edge-proxy/fleetBounds.ts'],
   retrySlack: ['source/edge-proxy/fleetBounds.ts'],
 };
 
-const standsIn = (name: string, text: string): boolean =>
+const occursIn = (name: string, text: string): boolean =>
   new RegExp(`(?<![\\w-])${name.replaceAll('/', '\\/')}(?![\\w-])`, 'i').test(text);
 
 const namesOfPlatform = (sources: readonly Source[]): readonly Finding[] =>
   sources.flatMap(({ file, text }) =>
     platformNames
-      .filter((name) => !(ownWords[name] ?? []).some((place) => file.startsWith(place)) && standsIn(name, text))
+      .filter((name) => !(sharedNames[name] ?? []).some((place) => file.startsWith(place)) && occursIn(name, text))
       .map((what) => ({ file, what })),
   );
 
@@ -90,38 +90,38 @@
       .map(({ what }) => ({ file, what })),
   );
 
-/** What a thing that decides needs: a time to wait for, another round, chance, or something kept from call to call. */
-const deciding: readonly Readonly<{ what: string; form: RegExp }>[] = [
+/** Patterns of code that makes decisions: timers, loops, randomness, or state kept between calls. */
+const decisionPatterns: readonly Readonly<{ what: string; form: RegExp }>[] = [
   { what: 'a timer', form: /\bset(?:Timeout|Interval|Immediate)\s*\(|\.(?:sleep|wait)\s*\(/ },
   { what: 'a timer', form: /\bclock\.\w+\s*\(|timers\/promises|node:timers/ },
-  { what: 'another round', form: /\bwhile\s*\(|\bdo\s*\{|\bfor\s*\(\s*;|\bagain\s*\(|\bretry\s*\(/ },
-  { what: 'chance', form: /\brandom\.\w+\s*\(|Math\.random/ },
+  { what: 'a loop', form: /\bwhile\s*\(|\bdo\s*\{|\bfor\s*\(\s*;|\bagain\s*\(|\bretry\s*\(/ },
+  { what: 'randomness', form: /\brandom\.\w+\s*\(|Math\.random/ },
   { what: 'state', form: /^(?:export )?(?:let|var) |^(?:export )?const \w+ = new (?:Map|WeakMap)\b/m },
-  { what: 'news of its own', form: /from 'emittery'/ },
+  { what: 'an event emitter', form: /from 'emittery'/ },
 ];
-/** Alone these: the one timer ends a single call at the limit that the product hands over with it. */
-const allowed: readonly Readonly<Finding & { times: number }>[] = [
+/** The only exceptions. The one timer ends a single call at the time limit that the product passes with it. */
+const exceptions: readonly Readonly<Finding & { times: number }>[] = [
   { file: 'platform/engines/jsonCalls.ts', what: 'a timer', times: 1 },
 ];
 
 const decisions = (sources: readonly Source[]): readonly Finding[] =>
   sources.flatMap(({ file, text }) =>
-    deciding.flatMap(({ what, form }) => {
+    decisionPatterns.flatMap(({ what, form }) => {
       const times = [...text.matchAll(new RegExp(form.source, `g${form.flags}`))].length;
-      const most = allowed.find((one) => one.file === file && one.what === what)?.times ?? 0;
-      return times > most ? [{ file, what }] : [];
+      const maxTimes = exceptions.find((one) => one.file === file && one.what === what)?.times ?? 0;
+      return times > maxTimes ? [{ file, what }] : [];
     }),
   );
 
-const linesOf = (sources: readonly Source[]): number =>
+const lineCount = (sources: readonly Source[]): number =>
   sources.reduce((sum, { text }) => sum + text.split('\n').length - 1, 0);
 
-describe('the cut between the product and the platform', () => {
+describe('the separation of product and platform', () => {
   test('nothing under source/ imports from platform/', () => {
     assert.deepEqual(importsOfPlatform(product), []);
   });
 
-  test('the check of imports sees each form of them, and only those that reach platform/', () => {
+  test('the import check finds each form of import, and only those of platform/', () => {
     const file = 'source/edge-proxy/path/sample.ts';
     for (const text of [
       "import { PlatformHeaders } from '../../../platform/headers';",
@@ -137,11 +137,11 @@
     );
   });
 
-  test('no name of the platform stands anywhere under source/', () => {
+  test('no name of the platform occurs under source/', () => {
     assert.deepEqual(namesOfPlatform(product), []);
   });
 
-  test('the check of names knows them all, in any case, and lets nobody borrow an exception', () => {
+  test('the name check finds all names, in any case, and applies exceptions only to their files', () => {
     const file = 'source/edge-proxy/path/sample.ts';
     for (const name of [
       ...['Postdrum-Request-Id', 'Postdrum-Cache-Salt', 'Postdrum-Expect-Version', 'Postdrum-Weight-Versions'],
@@ -155,34 +155,34 @@
     assert.deepEqual(namesOfPlatform([{ file, text: 'const nodeNames = myMaxCallsLeft;' }]), []);
   });
 
-  test('each exception is still needed', () => {
-    for (const [name, places] of Object.entries(ownWords)) {
-      assert.ok(platformNames.includes(name), `${name} is no name of the platform any more`);
+  test('each exception is needed', () => {
+    for (const [name, places] of Object.entries(sharedNames)) {
+      assert.ok(platformNames.includes(name), `${name} is not a name of the platform`);
       for (const place of places)
         assert.ok(
-          product.some(({ file, text }) => file.startsWith(place) && standsIn(name, text)),
-          `${name} does not stand in ${place} any more`,
+          product.some(({ file, text }) => file.startsWith(place) && occursIn(name, text)),
+          `${name} does not occur in ${place}`,
         );
     }
   });
 
-  test('nothing under platform/ waits, goes round again, throws dice or keeps anything', () => {
+  test('nothing under platform/ has timers, loops, randomness or state', () => {
     assert.deepEqual(decisions(platform), []);
   });
 
-  test('the check of decisions sees each kind, also one timer more where one is allowed', () => {
+  test('the decision check finds each kind, and a second timer where one is allowed', () => {
     const seen = (text: string, file = 'platform/engines/sample.ts'): readonly string[] =>
       decisions([{ file, text }]).map(({ what }) => what);
     assert.deepEqual(seen('setTimeout(() => ask(), 10);'), ['a timer']);
     assert.deepEqual(seen('setInterval(ask, 10);'), ['a timer']);
     assert.deepEqual(seen('await clock.sleep(10);').slice(0, 1), ['a timer']);
     assert.deepEqual(seen('this.clock.after(10, ask);'), ['a timer']);
-    assert.deepEqual(seen('while (!(await ask())) count += 1;'), ['another round']);
-    assert.deepEqual(seen('for (;;) await ask();'), ['another round']);
-    assert.deepEqual(seen('const place = random.below(3);'), ['chance']);
+    assert.deepEqual(seen('while (!(await ask())) count += 1;'), ['a loop']);
+    assert.deepEqual(seen('for (;;) await ask();'), ['a loop']);
+    assert.deepEqual(seen('const place = random.below(3);'), ['randomness']);
     assert.deepEqual(seen('let last = 0;'), ['state']);
     assert.deepEqual(seen('const kept = new Map<string, string>();'), ['state']);
-    assert.deepEqual(seen("import Emittery from 'emittery';"), ['news of its own']);
+    assert.deepEqual(seen("import Emittery from 'emittery';"), ['an event emitter']);
     const one = 'const timer = setTimeout(end, limit);\n';
     assert.deepEqual(seen(one, 'platform/engines/jsonCalls.ts'), []);
     assert.deepEqual(seen(one + one, 'platform/engines/jsonCalls.ts'), ['a timer']);
@@ -190,6 +190,6 @@
 
   test('platform/ stays under a tenth of the lines of source/', () => {
     assert.ok(platform.length > 10 && product.length > 100, 'the folders were read');
-    assert.ok(linesOf(platform) * 10 < linesOf(product), `${linesOf(platform)} of ${linesOf(product)} lines`);
+    assert.ok(lineCount(platform) * 10 < lineCount(product), `${lineCount(platform)} of ${lineCount(product)} lines`);
   });
 });
--- a/tests/platform-settings.test.ts
+++ b/tests/platform-settings.test.ts
@@ -32,7 +32,7 @@
   PlatformSettings.parse(stringify({ ...file, ...change }));
 
 describe('the settings file of the platform', () => {
-  test('is read into the product words, times in whole microseconds, unknown fields let be', () => {
+  test('is translated to settings in whole microseconds; unknown fields are ignored', () => {
     const found = read();
     assert.ok(found.kind === 'read');
     if (found.kind !== 'read') return;
@@ -49,7 +49,7 @@
     assert.deepEqual(MachineAddresses.seeds(settings), ['10.1.0.39:7640', '10.2.0.23:7640', '10.3.0.24:7640']);
   });
 
-  test('says of a keeper how many members there should be, and who may be one', () => {
+  test('determines the number of members and whether a control node may join', () => {
     const of = (change: Readonly<Record<string, unknown>>): ReturnType<typeof PlatformKeeperSettings.of> => {
       const found = read(change);
       if (found.kind !== 'read') throw new Error(found.sentence);
@@ -63,7 +63,7 @@
     assert.equal(of({ seedPeers: file.seedPeers.slice(0, 1) }).founders, 1);
   });
 
-  test('wrong or half written: one sentence that names the field', () => {
+  test('a wrong or incomplete file gives one sentence that names the field', () => {
     const wrong: readonly (readonly [string, Readonly<Record<string, unknown>>])[] = [
       ['ip', { ip: '10.1' }],
       ['internalPorts', { internalPorts: [9, 8] }],
@@ -84,11 +84,11 @@
   });
 });
 
-test('settings that change are taken once; a wrong text is told once and kept out', async () => {
+test('changed settings are applied once; an invalid text is reported once and not applied', async () => {
   const world = new World(1);
   let text = 'good 1';
-  const told: string[] = [];
-  const taken: string[] = [];
+  const messages: string[] = [];
+  const applied: string[] = [];
   const watch = new SettingsWatch<string>(
     world.clock,
     {
@@ -96,19 +96,19 @@
       parse: (given) =>
         given.startsWith('good') ? { kind: 'read', settings: given } : { kind: 'wrong', sentence: 'not good' },
     },
-    (sentence) => told.push(sentence),
+    (sentence) => messages.push(sentence),
   ).start();
-  watch.news.on('changed', (value) => void taken.push(value));
+  watch.news.on('changed', (value) => void applied.push(value));
   await world.runFor(10_000_000);
   text = 'half';
   await world.runFor(10_000_000);
   text = 'good 2';
-  // As a signal does: at once, and the next look finds nothing new.
+  // A signal checks the file at once, and the next regular check finds no further change.
   await watch.look();
   await world.runFor(10_000_000);
   watch.stop();
   text = 'good 3';
   await world.runFor(10_000_000);
-  assert.deepEqual(taken, ['good 2']);
-  assert.equal(told.length, 1);
+  assert.deepEqual(applied, ['good 2']);
+  assert.equal(messages.length, 1);
 });
--- a/tests/support/bundled.ts
+++ b/tests/support/bundled.ts
@@ -1,7 +1,7 @@
 import { build } from 'esbuild';
 import path from 'node:path';
 
-/** Bundles programs into a folder as the build does, so that a test starts what is there now: by name, each one's source. */
+/** Bundles programs as the build does, so that a test runs the current sources; `sources` maps program names to files. */
 export const bundled = async (sources: Readonly<Record<string, string>>, folder: string): Promise<void> => {
   await build({
     entryPoints: { ...sources },
@@ -17,6 +17,6 @@
   });
 };
 
-/** The platform's programs of these names. */
+/** Returns the source files of platform programs, by program name. */
 export const platformSources = (names: readonly string[]): Readonly<Record<string, string>> =>
   Object.fromEntries(names.map((name) => [name, path.join('platform', name, 'main.ts')]));
--- a/tests/support/platformDocument.ts
+++ b/tests/support/platformDocument.ts
@@ -1,4 +1,4 @@
-/** A small document in the manner of the platform's operators. */
+/** Returns a small configuration document in the format of the platform. */
 export const platformDocument = (version: number, extra: Readonly<Record<string, unknown>> = {}): string =>
   JSON.stringify({
     version,
