--- a/source/fleet-simulator/judges/inForce.ts
+++ b/source/fleet-simulator/judges/inForce.ts
@@ -1,7 +1,7 @@
 import type { DocumentKey } from '../../shared/blueprint/types';
 import type { SimFleet } from '../machines/simFleet';
 
-/** One value that an operator was told is taken. Its time begins at the earliest when it was asked for. */
+/** A value whose acceptance was confirmed to an operator. It takes effect no earlier than the time of its request. */
 export type TakenValue<Value> = Readonly<{
   revision: number;
   value: Value;
@@ -10,10 +10,10 @@
   takenMicroseconds: number;
 }>;
 
-/** The values of one key as operators know them: those taken, in their order, and those of which nobody knows. */
+/** The values of one key as operators know them: the accepted ones by revision, and those whose outcome is unknown. */
 export class InForce<Value> {
   public readonly row: readonly TakenValue<Value>[];
-  private readonly maybes: readonly Readonly<{ value: Value; askedMicroseconds: number }>[];
+  private readonly unresolved: readonly Readonly<{ value: Value; askedMicroseconds: number }>[];
 
   public constructor(fleet: SimFleet, key: DocumentKey) {
     const byRevision = new Map<number, TakenValue<Value>>();
@@ -21,7 +21,7 @@
       if (change.key !== key || change.outcome?.kind !== 'taken') continue;
       const { revision } = change.outcome;
       const known = byRevision.get(revision);
-      // Why the first ask and the first answer: one change may be asked for again and again under one id.
+      // Uses the first request and the first answer because a change may be requested repeatedly under one id.
       byRevision.set(revision, {
         revision,
         value: known?.value ?? (JSON.parse(change.text) as Value),
@@ -31,18 +31,21 @@
       });
     }
     this.row = [...byRevision.values()].sort((left, right) => left.revision - right.revision);
-    const certain = new Set(fleet.changes.flatMap(({ id, outcome }) => (outcome?.kind === 'taken' ? [id] : [])));
-    this.maybes = fleet.changes.flatMap((change) =>
+    const acceptedIds = new Set(fleet.changes.flatMap(({ id, outcome }) => (outcome?.kind === 'taken' ? [id] : [])));
+    this.unresolved = fleet.changes.flatMap((change) =>
       change.key === key &&
       change.outcome?.kind !== 'taken' &&
       change.outcome?.kind !== 'refused' &&
-      !certain.has(change.id)
+      !acceptedIds.has(change.id)
         ? [{ value: JSON.parse(change.text) as Value, askedMicroseconds: change.askedMicroseconds }]
         : [],
     );
   }
 
-  /** All values that may have been in force at some moment between the two times; unknown ones are in force for ever. */
+  /**
+   * Returns all values that may have been in effect at some moment between the two times. A value whose outcome is unknown
+   * counts as in effect from its request on, without an end.
+   */
   public between(fromMicroseconds: number, untilMicroseconds: number): readonly Value[] {
     const taken = this.row.flatMap((item, index) => {
       const next = this.row[index + 1];
@@ -52,14 +55,17 @@
     return [...taken, ...this.unknown(untilMicroseconds)];
   }
 
-  /** Values of changes whose fate nobody knows, asked for before that time. */
+  /** Returns the values of changes whose outcome is unknown and that were requested by that time. */
   public unknown(untilMicroseconds: number): readonly Value[] {
-    return this.maybes
+    return this.unresolved
       .filter(({ askedMicroseconds }) => askedMicroseconds <= untilMicroseconds)
       .map(({ value }) => value);
   }
 
-  /** For what is not allowed by any value in force within the clock: since when at the latest, for the message. */
+  /**
+   * Returns the latest time at which something may have become disallowed, for the message of a violation. Used when no value
+   * in effect within the time limit allows it.
+   */
   public lastAllowedMicroseconds(atMicroseconds: number, allowed: (value: Value) => boolean): number {
     let since = 0;
     for (const [index, item] of this.row.entries())
--- a/source/fleet-simulator/judges/judges.ts
+++ b/source/fleet-simulator/judges/judges.ts
@@ -5,40 +5,44 @@
 import { Setups } from './setup';
 import { Tally } from './tally';
 
+/** One violation of an invariant: the invariant's name, and what was observed. */
 export type Broken = Readonly<{ point: string; text: string }>;
 
 const broken = (point: string, text: string): Broken => ({ point, text });
 const seconds = (microseconds: number): string => `${(microseconds / 1_000_000).toFixed(3)} s`;
 
+/** Time limits and retry allowances that the invariant checkers grant. */
 export const JudgeLimits = {
-  /** After so long it is known that an engine fails, or that it does not. */
+  /** The time within which the fleet must have detected whether an engine fails. */
   outlierMicroseconds: 3_000_000,
   removedMicroseconds: 2_000_000,
   slipMicroseconds: 250_000,
   drainMicroseconds: 3_000_000,
   weightsMicroseconds: 12_000_000,
   retryPerMille: 200,
-  /** The documented allowance of the whole fleet (docs/notes/classes.md): so much once, and so much in 10 s. */
+  /** The documented retry allowance of the whole fleet (docs/notes/classes.md): 18 retries at once, and 18 more per 10 s. */
   retryAllowance: 18,
   retryAllowancePerSecond: 1.8,
 } as const;
 
-/** What all judges read: the records, and the values in force as operators know them. */
+/** The input of all invariant checkers: the records of the run, and the values in effect as operators know them. */
 export type Evidence = Readonly<{
   fleet: SimFleet;
   blueprints: InForce<Blueprint>;
   engines: InForce<EngineList>;
   tally: Tally;
   /**
-   * Set where nothing but planned events happened; then nothing that was read may be refused or cut. Orders of the last
-   * seconds before the traffic ebbs are not judged: what they wait for is earned by traffic that no longer comes.
+   * Set if only planned events happened; then no request that was read may be refused or cut off. Requests sent after this
+   * time are not checked: the traffic is stopping, and the budget that they wait for is earned by traffic
+   * that no longer arrives.
    */
   plannedUntilMicroseconds: number | undefined;
 }>;
 
-type Judge = (evidence: Evidence) => readonly Broken[];
+/** Checks one invariant and returns its violations. */
+type InvariantChecker = (evidence: Evidence) => readonly Broken[];
 
-type Event = Readonly<{
+type ObservedAction = Readonly<{
   nonce: string;
   proxy: string;
   atMicroseconds: number;
@@ -46,24 +50,26 @@
   what: string;
 }>;
 
-/** What a daemon did, and which blueprints it may have done it under. */
-const shownBy = ({ fleet }: Evidence, calls: ReadonlyMap<string, SimCall>): readonly Event[] => {
-  const ran = fleet.backEnds.arrivals.flatMap(({ nonce, engine, leftMicroseconds, ran: did }): readonly Event[] => {
-    const call = calls.get(nonce);
-    if (!did || call === undefined) return [];
-    const service = fleet.serviceOf(engine);
-    // By when it left on the wire: what a slow link does to it later is not the daemon's behaviour.
-    return [
-      {
-        nonce,
-        proxy: call.proxy,
-        atMicroseconds: leftMicroseconds,
-        fits: (blueprint) => Setups.mayRunAt(blueprint, call, service),
-        what: `ran at ${service}`,
-      },
-    ];
-  });
-  const refused = fleet.callers.calls.flatMap((call): readonly Event[] => {
+/** Actions of the daemons, by time, each with a test for the blueprints that allow it. */
+const observedActions = ({ fleet }: Evidence, calls: ReadonlyMap<string, SimCall>): readonly ObservedAction[] => {
+  const ran = fleet.backEnds.arrivals.flatMap(
+    ({ nonce, engine, leftMicroseconds, ran: hasRun }): readonly ObservedAction[] => {
+      const call = calls.get(nonce);
+      if (!hasRun || call === undefined) return [];
+      const service = fleet.serviceOf(engine);
+      // Uses the time at which the request left the daemon, because a delay on a slow link is not the daemon's behaviour.
+      return [
+        {
+          nonce,
+          proxy: call.proxy,
+          atMicroseconds: leftMicroseconds,
+          fits: (blueprint) => Setups.mayRunAt(blueprint, call, service),
+          what: `ran at ${service}`,
+        },
+      ];
+    },
+  );
+  const refused = fleet.callers.calls.flatMap((call): readonly ObservedAction[] => {
     const base = { nonce: call.nonce, proxy: call.proxy, atMicroseconds: call.endedMicroseconds, what: call.code };
     if (call.code === 'unknownKey' || call.code === 'keyRemoved')
       return [{ ...base, fits: (blueprint) => Setups.tenantOf(blueprint, call.key) === undefined }];
@@ -74,8 +80,8 @@
   return [...ran, ...refused].sort((left, right) => left.atMicroseconds - right.atMicroseconds);
 };
 
-/** Each judge reads what engines, callers and operators wrote down themselves, never a daemon's word. */
-export const Judges: Readonly<Record<string, Judge>> = {
+/** The invariant checkers. Each reads only what engines, clients and operators recorded, never what a daemon reports. */
+export const Judges: Readonly<Record<string, InvariantChecker>> = {
   doubled: ({ fleet, tally }) => {
     const runs = new Map<string, number>();
     for (const { nonce } of fleet.backEnds.runs) runs.set(nonce, (runs.get(nonce) ?? 0) + 1);
@@ -86,7 +92,7 @@
   },
 
   saidNotRun: ({ fleet, tally }) => {
-    const ran = new Set(fleet.backEnds.arrivals.filter(({ ran: did }) => did).map(({ nonce }) => nonce));
+    const ran = new Set(fleet.backEnds.arrivals.filter(({ ran: hasRun }) => hasRun).map(({ nonce }) => nonce));
     for (const { nonce } of fleet.backEnds.runs) ran.add(nonce);
     return fleet.callers.calls.flatMap(({ nonce, verdict, code }) => {
       if (verdict !== 'notRun') return [];
@@ -108,19 +114,22 @@
         : [];
     }),
 
-  /** A failing engine must soon get less than the others; one that answers them must not lose them for other things. */
+  /**
+   * A failing engine must soon receive fewer requests than the others; an engine with another fault that still answers its
+   * requests must keep receiving them.
+   */
   outliers: ({ fleet, tally }) =>
     fleet.backEnds.ills.flatMap(({ engine, kind, fromMicroseconds, untilMicroseconds }) => {
       const from = fromMicroseconds + JudgeLimits.outlierMicroseconds;
       const until = Math.min(untilMicroseconds, fleet.world.nowMicroseconds);
-      const alsoIll = fleet.backEnds.ills.some(
+      const hasOtherFault = fleet.backEnds.ills.some(
         (other) =>
           other.engine === engine &&
           other.fromMicroseconds !== fromMicroseconds &&
           other.fromMicroseconds < until &&
           other.untilMicroseconds > fromMicroseconds,
       );
-      if (fleet.backEnds.isTroubled || alsoIll || until - from < JudgeLimits.outlierMicroseconds) {
+      if (fleet.backEnds.isTroubled || hasOtherFault || until - from < JudgeLimits.outlierMicroseconds) {
         tally.skipped('outliers', 'other trouble, or too short');
         return [];
       }
@@ -129,21 +138,21 @@
         fleet.backEnds.arrivals.filter(
           (arrival) => arrival.engine === name && arrival.atMicroseconds >= from && arrival.atMicroseconds < until,
         ).length;
-      const ill = new Set(fleet.backEnds.ills.map((other) => other.engine));
-      const others = fleet.engineNames.filter((name) => !ill.has(name));
-      const usual = others.reduce((sum, name) => sum + count(name), 0) / Math.max(1, others.length);
-      const got = count(engine);
-      const text = `${engine} (${kind}) was sent ${got} orders in ${seconds(until - from)}, the others ${Math.round(usual)} each`;
-      if (kind === 'fails' && got * 4 > usual) return [broken('failingServed', text)];
-      return kind !== 'fails' && got * 4 < usual ? [broken('answeringLeftOut', text)] : [];
+      const faultyEngines = new Set(fleet.backEnds.ills.map((other) => other.engine));
+      const others = fleet.engineNames.filter((name) => !faultyEngines.has(name));
+      const average = others.reduce((sum, name) => sum + count(name), 0) / Math.max(1, others.length);
+      const received = count(engine);
+      const text = `${engine} (${kind}) was sent ${received} orders in ${seconds(until - from)}, the others ${Math.round(average)} each`;
+      if (kind === 'fails' && received * 4 > average) return [broken('failingServed', text)];
+      return kind !== 'fails' && received * 4 < average ? [broken('answeringLeftOut', text)] : [];
     }),
 
   blocks: ({ fleet, blueprints, tally }) => {
     const callOf = new Map(fleet.callers.calls.map((call) => [call.nonce, call]));
-    /** Whose the key may have been while the order was taken; and who is walled whichever blueprint is in force. */
-    const ownersOf = (call: SimCall, untilMicroseconds: number): readonly string[] => {
-      const inForce = blueprints.between(call.sentMicroseconds - JudgeLimits.removedMicroseconds, untilMicroseconds);
-      return [...new Set(inForce.flatMap((blueprint) => Setups.tenantOf(blueprint, call.key) ?? []))];
+    /** The tenants that may have owned the key while the request was accepted. */
+    const possibleOwners = (call: SimCall, untilMicroseconds: number): readonly string[] => {
+      const inEffect = blueprints.between(call.sentMicroseconds - JudgeLimits.removedMicroseconds, untilMicroseconds);
+      return [...new Set(inEffect.flatMap((blueprint) => Setups.tenantOf(blueprint, call.key) ?? []))];
     };
     return fleet.backEnds.runs.flatMap(({ nonce, weightsAtStart, blocks, engine, startedMicroseconds }) =>
       blocks.flatMap((block) => {
@@ -158,15 +167,16 @@
         if (!block.right) return [broken('wrongBlock', `${nonce} used a ${block.from} block of another prompt`)];
         const [maker, user] = [callOf.get(block.makerNonce), callOf.get(nonce)];
         if (maker === undefined || user === undefined || maker === user) return [];
-        const inForce = blueprints.between(startedMicroseconds - JudgeLimits.removedMicroseconds, startedMicroseconds);
-        const walled = (tenant: string): boolean => inForce.every(({ tenants }) => tenants[tenant]?.walled === true);
-        const [makers, users] = [ownersOf(maker, Infinity), ownersOf(user, startedMicroseconds)];
+        const inEffect = blueprints.between(startedMicroseconds - JudgeLimits.removedMicroseconds, startedMicroseconds);
+        // A tenant counts as walled only if every blueprint that may be in effect says so.
+        const walled = (tenant: string): boolean => inEffect.every(({ tenants }) => tenants[tenant]?.walled === true);
+        const [makers, users] = [possibleOwners(maker, Infinity), possibleOwners(user, startedMicroseconds)];
         if (makers.length === 0 || users.length === 0) {
           tally.skipped('blocks', 'whose the key was is not known');
           return [];
         }
-        const fine = users.some((one) => makers.some((other) => one === other || !(walled(one) || walled(other))));
-        return fine
+        const isAllowed = users.some((one) => makers.some((other) => one === other || !(walled(one) || walled(other))));
+        return isAllowed
           ? []
           : [
               broken(
@@ -198,31 +208,31 @@
     const { fleet, blueprints, tally } = evidence;
     const calls = new Map(fleet.callers.calls.map((call) => [call.nonce, call]));
     const found: Broken[] = [];
-    // What each machine has shown to know at the least, and when it was shown.
-    const shown = new Map<string, readonly Readonly<{ revision: number; atMicroseconds: number }>[]>();
-    for (const event of shownBy(evidence, calls)) {
+    // The revisions that each machine provably knew at least, and when its actions proved it.
+    const provenRevisions = new Map<string, readonly Readonly<{ revision: number; atMicroseconds: number }>[]>();
+    for (const event of observedActions(evidence, calls)) {
       if (blueprints.unknown(event.atMicroseconds).some(event.fits)) {
         tally.skipped('slippedBack', 'a change of unknown fate may allow it');
         continue;
       }
-      const fitting = blueprints.row.filter(({ value }) => event.fits(value)).map(({ revision }) => revision);
-      const [lowest, highest] = [fitting[0], fitting.at(-1)];
+      const fittingRevisions = blueprints.row.filter(({ value }) => event.fits(value)).map(({ revision }) => revision);
+      const [lowest, highest] = [fittingRevisions[0], fittingRevisions.at(-1)];
       if (lowest === undefined || highest === undefined) continue;
       tally.judged('slippedBack');
-      const before = shown.get(event.proxy) ?? [];
-      const proof = before.find(
+      const before = provenRevisions.get(event.proxy) ?? [];
+      const newerProof = before.find(
         ({ revision, atMicroseconds }) =>
           revision > highest && atMicroseconds < event.atMicroseconds - JudgeLimits.slipMicroseconds,
       );
-      if (proof !== undefined)
+      if (newerProof !== undefined)
         found.push(
           broken(
             'slippedBack',
-            `${event.nonce} ${event.what} through ${event.proxy} ${seconds(event.atMicroseconds - proof.atMicroseconds)} after that daemon had shown revision ${proof.revision}; it fits ${highest} at most`,
+            `${event.nonce} ${event.what} through ${event.proxy} ${seconds(event.atMicroseconds - newerProof.atMicroseconds)} after that daemon had shown revision ${newerProof.revision}; it fits ${highest} at most`,
           ),
         );
       if (lowest > (before.at(-1)?.revision ?? 0))
-        shown.set(event.proxy, [...before, { revision: lowest, atMicroseconds: event.atMicroseconds }]);
+        provenRevisions.set(event.proxy, [...before, { revision: lowest, atMicroseconds: event.atMicroseconds }]);
     }
     return found;
   },
@@ -243,7 +253,7 @@
     return fleet.backEnds.runs.flatMap(({ nonce, weightsAtStart, engine }) => {
       const until = calls.get(nonce)?.lastPartMicroseconds ?? 0;
       const service = fleet.serviceOf(engine);
-      // Why not an app engine: it has no weights that anybody names.
+      // App engines are skipped because no blueprint names weights for them.
       if (until === 0 || engine === fleet.appName) return [];
       tally.judged('oldWeights');
       const intended = (blueprint: Blueprint): boolean => {
@@ -298,7 +308,7 @@
   },
 
   refusedButTaken: ({ fleet, tally }) =>
-    // A change that was plainly refused must never show up.
+    // A change that was definitely refused must never be read back.
     fleet.changes.flatMap((change) => {
       if (change.outcome?.kind !== 'refused') return [];
       if (fleet.changes.some((other) => other.text === change.text && other.outcome?.kind !== 'refused')) {
@@ -312,24 +322,24 @@
     }),
 
   retries: ({ fleet, tally }) => {
-    // Every window of time at once: the heaviest run of sends, each first one paying for a fifth of a second one.
+    // Covers all time windows in one pass by the maximum running sum: each first send earns a fifth of a retry.
     const found: Broken[] = [];
-    const pools = new Map<string, Readonly<{ sum: number; atMicroseconds: number }>>();
-    const worst = new Map<string, Readonly<{ sum: number; atMicroseconds: number }>>();
-    const seen = new Set<string>();
+    const runningSums = new Map<string, Readonly<{ sum: number; atMicroseconds: number }>>();
+    const maximumSums = new Map<string, Readonly<{ sum: number; atMicroseconds: number }>>();
+    const sentNonces = new Set<string>();
     for (const { nonce, engine, atMicroseconds } of fleet.backEnds.sends) {
       const pool = fleet.serviceOf(engine);
-      const again = seen.has(nonce);
-      seen.add(nonce);
+      const isRetry = sentNonces.has(nonce);
+      sentNonces.add(nonce);
       tally.judged('retries');
-      const weight = again ? 1 : -JudgeLimits.retryPerMille / 1000;
-      const before = pools.get(pool) ?? { sum: 0, atMicroseconds };
-      const came = (JudgeLimits.retryAllowancePerSecond * (atMicroseconds - before.atMicroseconds)) / 1_000_000;
-      const sum = Math.max(0, Math.max(0, before.sum - came) + weight);
-      pools.set(pool, { sum, atMicroseconds });
-      if (sum > (worst.get(pool)?.sum ?? 0)) worst.set(pool, { sum, atMicroseconds });
+      const weight = isRetry ? 1 : -JudgeLimits.retryPerMille / 1000;
+      const before = runningSums.get(pool) ?? { sum: 0, atMicroseconds };
+      const replenished = (JudgeLimits.retryAllowancePerSecond * (atMicroseconds - before.atMicroseconds)) / 1_000_000;
+      const sum = Math.max(0, Math.max(0, before.sum - replenished) + weight);
+      runningSums.set(pool, { sum, atMicroseconds });
+      if (sum > (maximumSums.get(pool)?.sum ?? 0)) maximumSums.set(pool, { sum, atMicroseconds });
     }
-    for (const [pool, { sum, atMicroseconds }] of worst)
+    for (const [pool, { sum, atMicroseconds }] of maximumSums)
       if (sum > JudgeLimits.retryAllowance)
         found.push(
           broken(
@@ -355,7 +365,8 @@
           found.push(broken('stewards', `${name} took directives of ${holder} and ${steward} under term ${term}`));
         holders.set(term, steward);
         if (highest !== undefined && term < highest.term) {
-          // Why by the moment of sending: what was late on its way, to an engine that does not check, no daemon gave late.
+          // Compares the times of sending: a directive delayed in transit to an engine that does not check terms is not a fault
+          // of the daemon that sent it.
           if (sentMicroseconds <= highest.sentMicroseconds)
             tally.skipped('stewards', 'a directive was late on its way');
           else
@@ -395,8 +406,10 @@
   },
 };
 
+/** The violations found in one run, and how much was checked or skipped. */
 export type Judgement = Readonly<{ broken: readonly Broken[]; tally: Tally }>;
 
+/** Runs all invariant checkers over the records of a fleet. */
 export const judgeAll = (fleet: SimFleet, plannedUntilMicroseconds?: number): Judgement => {
   const evidence: Evidence = {
     fleet,
@@ -405,5 +418,5 @@
     tally: new Tally(),
     plannedUntilMicroseconds,
   };
-  return { broken: Object.values(Judges).flatMap((judge) => judge(evidence)), tally: evidence.tally };
+  return { broken: Object.values(Judges).flatMap((check) => check(evidence)), tally: evidence.tally };
 };
--- a/source/fleet-simulator/judges/setup.ts
+++ b/source/fleet-simulator/judges/setup.ts
@@ -1,14 +1,17 @@
 import type { Blueprint, Mapping } from '../../shared/blueprint/types';
 
-/** A blueprint as an operator would read it. Why not the daemons' own index: a judge must not share their mistakes. */
-type Read = Readonly<{ tenantOfKey: ReadonlyMap<string, string>; mappingAt: ReadonlyMap<string, Mapping> }>;
+/**
+ * A blueprint indexed by key and by path and model. It is separate from the index of the daemons so that an invariant checker
+ * doesn't share their faults.
+ */
+type BlueprintIndex = Readonly<{ tenantOfKey: ReadonlyMap<string, string>; mappingAt: ReadonlyMap<string, Mapping> }>;
 
-const known = new WeakMap<Blueprint, Read>();
+const indexes = new WeakMap<Blueprint, BlueprintIndex>();
 
-const read = (blueprint: Blueprint): Read => {
-  const found = known.get(blueprint);
-  if (found !== undefined) return found;
-  const made: Read = {
+const indexOf = (blueprint: Blueprint): BlueprintIndex => {
+  const cached = indexes.get(blueprint);
+  if (cached !== undefined) return cached;
+  const index: BlueprintIndex = {
     tenantOfKey: new Map(
       Object.entries(blueprint.tenants).flatMap(([tenant, { keys }]) => keys.map((key) => [key, tenant] as const)),
     ),
@@ -16,19 +19,21 @@
       Object.values(blueprint.mappings).map((mapping) => [`${mapping.path} ${mapping.model}`, mapping]),
     ),
   };
-  known.set(blueprint, made);
-  return made;
+  indexes.set(blueprint, index);
+  return index;
 };
 
+/** The API key, path and model that a client's request names. */
 export type Called = Readonly<{ key: string; path: string; model: string }>;
 
+/** Lookups in a blueprint for the invariant checkers. */
 export const Setups = {
-  tenantOf: (blueprint: Blueprint, key: string): string | undefined => read(blueprint).tenantOfKey.get(key),
+  tenantOf: (blueprint: Blueprint, key: string): string | undefined => indexOf(blueprint).tenantOfKey.get(key),
 
   mappingOf: (blueprint: Blueprint, { path, model }: Called): Mapping | undefined =>
-    read(blueprint).mappingAt.get(`${path} ${model}`) ?? read(blueprint).mappingAt.get(`${path} `),
+    indexOf(blueprint).mappingAt.get(`${path} ${model}`) ?? indexOf(blueprint).mappingAt.get(`${path} `),
 
-  /** Whether under this blueprint an order of this caller may run at a back end of that service. */
+  /** Returns whether this blueprint lets a request of this client run at a back end of that service. */
   mayRunAt: (blueprint: Blueprint, called: Called, service: string): boolean =>
     Setups.tenantOf(blueprint, called.key) !== undefined &&
     Setups.mappingOf(blueprint, called)?.service === service &&
--- a/source/fleet-simulator/judges/tally.ts
+++ b/source/fleet-simulator/judges/tally.ts
@@ -1,22 +1,22 @@
-/** What the judges looked at, and what they could not judge and why: neither may go unsaid. */
+/** Counts what the invariant checkers checked, and what they skipped and for which reason, so that both are reported. */
 export class Tally {
-  private readonly looked = new Map<string, number>();
-  private readonly passedOver = new Map<string, number>();
+  private readonly checkedCounts = new Map<string, number>();
+  private readonly skippedCounts = new Map<string, number>();
 
   public judged(point: string, count = 1): void {
-    this.looked.set(point, (this.looked.get(point) ?? 0) + count);
+    this.checkedCounts.set(point, (this.checkedCounts.get(point) ?? 0) + count);
   }
 
-  public skipped(point: string, why: string, count = 1): void {
-    const line = `${point}: ${why}`;
-    this.passedOver.set(line, (this.passedOver.get(line) ?? 0) + count);
+  public skipped(point: string, reason: string, count = 1): void {
+    const key = `${point}: ${reason}`;
+    this.skippedCounts.set(key, (this.skippedCounts.get(key) ?? 0) + count);
   }
 
   public get judgedByPoint(): Readonly<Record<string, number>> {
-    return Object.fromEntries(this.looked);
+    return Object.fromEntries(this.checkedCounts);
   }
 
   public get skippedByReason(): Readonly<Record<string, number>> {
-    return Object.fromEntries(this.passedOver);
+    return Object.fromEntries(this.skippedCounts);
   }
 }
--- a/source/fleet-simulator/main.ts
+++ b/source/fleet-simulator/main.ts
@@ -29,14 +29,14 @@
   },
 };
 
-type Sums = Map<string, number>;
+type Counts = Map<string, number>;
 
-const add = (sums: Sums, counts: Readonly<Record<string, number>>): void => {
-  for (const [name, count] of Object.entries(counts)) sums.set(name, (sums.get(name) ?? 0) + count);
+const addCounts = (totals: Counts, counts: Readonly<Record<string, number>>): void => {
+  for (const [name, count] of Object.entries(counts)) totals.set(name, (totals.get(name) ?? 0) + count);
 };
 
-const page = (sums: ReadonlyMap<string, number>): string =>
-  [...sums].map(([name, count]) => `${name} ${count}`).join('; ') || 'nothing';
+const formatCounts = (counts: ReadonlyMap<string, number>): string =>
+  [...counts].map(([name, count]) => `${name} ${count}`).join('; ') || 'nothing';
 
 Programs.run(
   'fleet-simulator',
@@ -47,36 +47,36 @@
       schema,
       process.argv.slice(2),
     );
-    const text = String(settings['faults']);
-    const pools: Readonly<Record<string, readonly FaultName[]>> = {
+    const faultSetting = String(settings['faults']);
+    const faultSets: Readonly<Record<string, readonly FaultName[]>> = {
       random: faultNames,
       planned: plannedFaultNames,
       worst: worstCoreFaultNames,
       any: [...faultNames, ...worstCoreFaultNames],
     };
-    const drawn = pools[text];
-    const named = drawn === undefined && text !== 'none' ? text.split(',') : [];
+    const candidates = faultSets[faultSetting];
+    const named = candidates === undefined && faultSetting !== 'none' ? faultSetting.split(',') : [];
     const unknown = named.filter((name) => !isFaultName(name));
     if (unknown.length > 0) throw new Error(`no such fault: ${unknown.join(', ')}; known are ${faultNames.join(', ')}`);
     const first = Number(settings['seed']);
     const shape = settings['shape'] === 'crowded' ? crowdedShape : usualShape;
-    const [judged, skipped, refusals] = [1, 2, 3].map(() => new Map<string, number>()) as [Sums, Sums, Sums];
+    const [judged, skipped, refusals] = [1, 2, 3].map(() => new Map<string, number>()) as [Counts, Counts, Counts];
     let failed = 0;
     let calls = 0;
     let answered = 0;
-    let slowest = 0;
+    let slowestMicroseconds = 0;
     for (let seed = first; seed < first + Number(settings['seeds']); seed += 1) {
       const faults =
-        drawn === undefined
+        candidates === undefined
           ? (named as readonly FaultName[])
-          : Randoms.shuffled(seededRandom(seed), drawn).slice(0, Number(settings['together']));
+          : Randoms.shuffled(seededRandom(seed), candidates).slice(0, Number(settings['together']));
       const outcome = await runScenario({ seed, faults, ending: settings['ending'] as Ending, shape });
       calls += outcome.calls;
       answered += outcome.answered;
-      slowest = Math.max(slowest, outcome.backAfterMicroseconds);
-      add(judged, outcome.judged);
-      add(skipped, outcome.skipped);
-      add(refusals, outcome.refusals);
+      slowestMicroseconds = Math.max(slowestMicroseconds, outcome.backAfterMicroseconds);
+      addCounts(judged, outcome.judged);
+      addCounts(skipped, outcome.skipped);
+      addCounts(refusals, outcome.refusals);
       if (outcome.broken.length === 0) continue;
       failed += 1;
       process.stdout.write(`seed ${seed}, faults ${faults.join(',')}: ${outcome.broken.length} broken\n`);
@@ -84,9 +84,11 @@
         process.stdout.write(`  ${point}: ${sentence}\n`);
       for (const line of outcome.history) process.stdout.write(`    ${line}\n`);
     }
-    process.stdout.write(`judged: ${page(judged)}\nnot judged: ${page(skipped)}\nrefused: ${page(refusals)}\n`);
     process.stdout.write(
-      `${Number(settings['seeds'])} seeds, ${failed} failed; ${calls} orders, ${answered} answered; slowest return ${(slowest / 1_000_000).toFixed(2)} s\n`,
+      `judged: ${formatCounts(judged)}\nnot judged: ${formatCounts(skipped)}\nrefused: ${formatCounts(refusals)}\n`,
+    );
+    process.stdout.write(
+      `${Number(settings['seeds'])} seeds, ${failed} failed; ${calls} orders, ${answered} answered; slowest return ${(slowestMicroseconds / 1_000_000).toFixed(2)} s\n`,
     );
     process.exit(failed === 0 ? 0 : 1);
   },
--- a/source/fleet-simulator/world/simDisk.ts
+++ b/source/fleet-simulator/world/simDisk.ts
@@ -2,16 +2,17 @@
 import type { SimProcess } from './simProcess';
 import type { World } from './world';
 
-type Kept = { synced: Buffer; written: Buffer };
+/** The contents of a file: what survives a loss of power, and what a read returns. */
+type FileContents = { synced: Buffer; written: Buffer };
 
-/** What a machine's disk may do wrong. */
+/** The faults of a machine's disk that are switched on. */
 export type DiskFaultState = { full: boolean; stalled: boolean; syncFails: boolean; slowMicroseconds: number };
 
-/** A disk that outlives its processes. Only what was synced survives a loss of power, and a tail may be torn. */
+/** A simulated disk that outlives its processes. A loss of power keeps what was synced, and possibly a part of the rest. */
 export class SimDisk {
   public readonly faults: DiskFaultState = { full: false, stalled: false, syncFails: false, slowMicroseconds: 0 };
-  private files = new Map<string, Kept>();
-  private held: (() => void)[] = [];
+  private files = new Map<string, FileContents>();
+  private stalledOperations: (() => void)[] = [];
 
   public constructor(private readonly world: World) {}
 
@@ -19,26 +20,29 @@
     this.files = new Map();
   }
 
-  /** Unsynced bytes are lost, all of them or from some byte on. */
+  /** Drops the unsynced bytes, all of them or those from a random offset on. */
   public losePower(): void {
     for (const file of this.files.values()) {
-      const extra = file.written.length - file.synced.length;
-      const kept =
-        extra > 0 && file.written.subarray(0, file.synced.length).equals(file.synced)
-          ? Math.floor(this.world.random.fraction() * (extra + 1))
+      const unsyncedLength = file.written.length - file.synced.length;
+      const keptLength =
+        unsyncedLength > 0 && file.written.subarray(0, file.synced.length).equals(file.synced)
+          ? Math.floor(this.world.random.fraction() * (unsyncedLength + 1))
           : 0;
       file.written =
-        kept > 0 ? Buffer.from(file.written.subarray(0, file.synced.length + kept)) : Buffer.from(file.synced);
+        keptLength > 0
+          ? Buffer.from(file.written.subarray(0, file.synced.length + keptLength))
+          : Buffer.from(file.synced);
       file.synced = Buffer.from(file.written);
     }
-    this.held = [];
+    this.stalledOperations = [];
   }
 
-  public corrupt(name: string, at: number): void {
+  /** Inverts one stored byte. */
+  public corrupt(name: string, offset: number): void {
     const file = this.files.get(name);
-    if (file === undefined || at >= file.written.length) return;
+    if (file === undefined || offset >= file.written.length) return;
     file.written = Buffer.from(file.written);
-    file.written[at] = (file.written[at] ?? 0) ^ 0xff;
+    file.written[offset] = (file.written[offset] ?? 0) ^ 0xff;
     file.synced = Buffer.from(file.written);
   }
 
@@ -46,71 +50,72 @@
     return this.files.get(name)?.written.length ?? 0;
   }
 
+  /** Ends a stall and starts the operations that it delayed. */
   public release(): void {
     this.faults.stalled = false;
-    for (const act of this.held.splice(0)) act();
+    for (const operation of this.stalledOperations.splice(0)) operation();
   }
 
-  /** Two processes of one machine share the files; each has its own way to them. */
+  /** Returns the disk as one process sees it. Processes of one machine share the files; results are delivered inside the process. */
   public of(process: SimProcess): Disk {
-    const work = <Result>(act: () => Result): Promise<Result> =>
+    const submit = <Result>(operation: () => Result): Promise<Result> =>
       new Promise((resolve, reject) => {
-        const go = (): void => {
+        const start = (): void => {
           this.world.plan(60 + this.faults.slowMicroseconds, () => {
-            // Why before the process: a write already given to the disk happens though the process died.
+            // Runs outside the process because a write already submitted to the disk happens even if the process has died.
             let outcome: Readonly<{ value: Result }> | Readonly<{ error: unknown }>;
             try {
-              outcome = { value: act() };
+              outcome = { value: operation() };
             } catch (error) {
               outcome = { error };
             }
             process.enter(() => ('value' in outcome ? resolve(outcome.value) : reject(outcome.error as Error)));
           });
         };
-        if (this.faults.stalled) this.held.push(go);
-        else go();
+        if (this.faults.stalled) this.stalledOperations.push(start);
+        else start();
       });
-    const fileAt = (name: string): Kept => {
+    const fileOrNew = (name: string): FileContents => {
       const found = this.files.get(name) ?? { synced: Buffer.alloc(0), written: Buffer.alloc(0) };
       this.files.set(name, found);
       return found;
     };
-    const room = (): void => {
+    const requireSpace = (): void => {
       if (this.faults.full) throw Object.assign(new Error('no space left on device'), { code: 'ENOSPC' });
     };
     return {
-      read: (name) => work(() => this.files.get(name)?.written),
+      read: (name) => submit(() => this.files.get(name)?.written),
       open: (name) =>
-        work((): DiskFile => {
-          fileAt(name);
+        submit((): DiskFile => {
+          fileOrNew(name);
           return {
             append: (bytes) =>
-              work(() => {
-                const file = fileAt(name);
+              submit(() => {
+                const file = fileOrNew(name);
                 if (this.faults.full) {
-                  // Why a part: a full disk takes what still fits.
+                  // Appends only a part because a full disk stores what still fits.
                   file.written = Buffer.concat([file.written, bytes.subarray(0, Math.floor(bytes.length / 2))]);
-                  room();
+                  requireSpace();
                 }
                 file.written = Buffer.concat([file.written, bytes]);
               }),
             sync: () =>
-              work(() => {
+              submit(() => {
                 if (this.faults.syncFails) throw Object.assign(new Error('input/output error'), { code: 'EIO' });
-                const file = fileAt(name);
+                const file = fileOrNew(name);
                 file.synced = Buffer.from(file.written);
               }),
             truncate: (length) =>
-              work(() => {
-                const file = fileAt(name);
+              submit(() => {
+                const file = fileOrNew(name);
                 file.written = Buffer.from(file.written.subarray(0, length));
               }),
             close: () => Promise.resolve(),
           };
         }),
       replace: (name, bytes) =>
-        work(() => {
-          room();
+        submit(() => {
+          requireSpace();
           if (this.faults.syncFails) throw Object.assign(new Error('input/output error'), { code: 'EIO' });
           this.files.set(name, { synced: Buffer.from(bytes), written: Buffer.from(bytes) });
         }),
--- a/source/fleet-simulator/world/simNetwork.ts
+++ b/source/fleet-simulator/world/simNetwork.ts
@@ -3,47 +3,50 @@
 import { SimProcess } from './simProcess';
 import type { World } from './world';
 
-type Listening = Readonly<{ process: SimProcess; handler: Handler }>;
+type ListeningProcess = Readonly<{ process: SimProcess; handler: Handler }>;
 
-/** Links between machines: latency, one-way cuts, slow pairs. Messages are packed and unpacked as on a real conn. */
+/**
+ * The simulated network: latency, one-way cuts and slow links between machines. Messages are encoded and decoded as on a real
+ * connection.
+ */
 export class SimNetwork {
-  private readonly listening = new Map<string, Listening>();
+  private readonly listening = new Map<string, ListeningProcess>();
   private readonly cuts = new Map<string, number>();
   private readonly refused = new Set<string>();
   private readonly slow = new Map<string, number>();
-  /** When the link out of a machine has sent all that was given to it. */
-  private readonly busyUntil = new Map<string, number>();
+  /** The time at which the outgoing link of a machine has sent everything queued on it. */
+  private readonly linkBusyUntilMicroseconds = new Map<string, number>();
   public messages = 0;
   public bytes = 0;
-  /** Bytes that have left each machine for another one. */
+  /** Bytes that each machine has sent to other machines. */
   private readonly bytesOut = new Map<string, number>();
-  /** What the link out of each machine carries; Infinity: messages of any length arrive alike. */
+  /** The bandwidth of each machine's outgoing link. With Infinity the length of a message adds no delay. */
   public linkBytesPerSecond = Infinity;
 
   public constructor(private readonly world: World) {}
 
-  /** Cuts one way; what is returned mends it, unless another trouble cut it too. */
+  /** Cuts the link in one direction. The returned function restores it, unless another fault cuts it, too. */
   public cut(from: string, to: string): () => void {
-    const way = `${from}>${to}`;
-    this.cuts.set(way, (this.cuts.get(way) ?? 0) + 1);
-    let mended = false;
+    const link = `${from}>${to}`;
+    this.cuts.set(link, (this.cuts.get(link) ?? 0) + 1);
+    let restored = false;
     return () => {
-      if (mended) return;
-      mended = true;
-      const left = (this.cuts.get(way) ?? 0) - 1;
-      if (left > 0) this.cuts.set(way, left);
-      else this.cuts.delete(way);
+      if (restored) return;
+      restored = true;
+      const left = (this.cuts.get(link) ?? 0) - 1;
+      if (left > 0) this.cuts.set(link, left);
+      else this.cuts.delete(link);
     };
   }
 
   /**
-   * From now on one machine opens no connection to another, as behind a filter: its questions are lost, while those that come
-   * the other way are heard and answered. What is returned mends it.
+   * Keeps one machine from opening connections to another, as a packet filter does: its requests are lost, while requests in
+   * the other direction arrive and are answered. The returned function ends this.
    */
   public refuseConnections(from: string, to: string): () => void {
-    const way = `${from}>${to}`;
-    this.refused.add(way);
-    return () => void this.refused.delete(way);
+    const link = `${from}>${to}`;
+    this.refused.add(link);
+    return () => void this.refused.delete(link);
   }
 
   public heal(): void {
@@ -68,7 +71,7 @@
     );
   }
 
-  /** Carries one thing from machine to machine; a cut loses it. */
+  /** Delivers one message from machine to machine. It is lost if the link is cut when it is sent or when it arrives. */
   public carry(from: string, to: string, arrive: () => void, lost: () => void = () => undefined, bytes = 0): void {
     if (!this.open(from, to)) return lost();
     if (from !== to) this.bytesOut.set(from, this.bytesFrom(from) + bytes);
@@ -76,33 +79,33 @@
     this.world.plan(delay, () => (this.open(from, to) ? arrive() : lost()));
   }
 
-  /** Bytes that have left a machine for other ones, since the start. */
+  /** Returns the bytes that a machine has sent to other machines since the start. */
   public bytesFrom(machine: string): number {
     return this.bytesOut.get(machine) ?? 0;
   }
 
-  /** How long the link takes until the last byte has left, what was given to it before included. */
+  /** Returns the time until the last byte has left the link, including the wait for what was queued before. */
   private transmissionMicroseconds(from: string, to: string, bytes: number): number {
     if (from === to || this.linkBytesPerSecond === Infinity) return 0;
     const now = this.world.nowMicroseconds;
-    const start = Math.max(now, this.busyUntil.get(from) ?? 0);
+    const start = Math.max(now, this.linkBusyUntilMicroseconds.get(from) ?? 0);
     const end = start + (bytes / this.linkBytesPerSecond) * 1_000_000;
-    this.busyUntil.set(from, end);
+    this.linkBusyUntilMicroseconds.set(from, end);
     return end - now;
   }
 
-  /** From now on an address belongs to whoever listens at another one, as when a machine is handed to somebody else. */
+  /** Reassigns an address to the process that listens at another one, as when a machine gets a new owner. */
   public handOver(address: string, to: string): void {
     const found = this.listenerAt(to);
     if (found !== undefined) this.listening.set(address, found);
   }
 
-  /** Something that is none of ours listens there. */
+  /** Lets a process that isn't part of the fleet listen at an address. */
   public squat(address: string, handler: Handler): void {
     this.listening.set(address, { process: new SimProcess(this.world, address, address), handler });
   }
 
-  public listenerAt(address: string): Listening | undefined {
+  public listenerAt(address: string): ListeningProcess | undefined {
     const found = this.listening.get(address);
     return found?.process.alive === true ? found : undefined;
   }
@@ -118,7 +121,7 @@
   private listen(process: SimProcess, address: string, handler: Handler): Promise<Listener> {
     if (this.listenerAt(address) !== undefined)
       return Promise.reject(Object.assign(new Error(`listen EADDRINUSE ${address}`), { code: 'EADDRINUSE' }));
-    const own: Listening = { process, handler };
+    const own: ListeningProcess = { process, handler };
     this.listening.set(address, own);
     const close = (): void => {
       if (this.listening.get(address) === own) this.listening.delete(address);
@@ -127,49 +130,49 @@
     return Promise.resolve({ address, close: () => Promise.resolve(close()) });
   }
 
-  private ask(asker: SimProcess, address: string, message: Message, limitMicroseconds: number): Promise<Answer> {
+  private ask(sender: SimProcess, address: string, message: Message, limitMicroseconds: number): Promise<Answer> {
     return new Promise((resolve) => {
-      let over = false;
+      let settled = false;
       const settle = (answer: Answer): void => {
-        if (over) return;
-        over = true;
+        if (settled) return;
+        settled = true;
         cancel();
         resolve(answer);
       };
-      const cancel = asker.clock.after(limitMicroseconds, () => settle({ kind: 'silent', reason: 'limit passed' }));
+      const cancel = sender.clock.after(limitMicroseconds, () => settle({ kind: 'silent', reason: 'limit passed' }));
       const packed = Payloads.ofAsk(message);
       this.messages += 1;
       this.bytes += packed.length;
       const machine = this.machineOf(address);
-      if (this.refused.has(`${asker.machine}>${machine}`)) return;
+      if (this.refused.has(`${sender.machine}>${machine}`)) return;
       const silent = (reason: string): void =>
-        this.carry(machine, asker.machine, () => asker.enter(() => settle({ kind: 'silent', reason })));
+        this.carry(machine, sender.machine, () => sender.enter(() => settle({ kind: 'silent', reason })));
       const arrive = (): void => {
         const found = this.listenerAt(address);
         if (found === undefined) return silent('conn refused');
         found.process.whenDead(() => silent('conn closed'));
         found.process.enter(() => {
-          const heard = Payloads.read(packed);
-          found.handler(heard).then(
+          const request = Payloads.read(packed);
+          found.handler(request).then(
             (answer) => {
               if (!found.process.alive) return;
-              const packedAnswer = Payloads.ofAnswer(answer, heard);
+              const packedAnswer = Payloads.ofAnswer(answer, request);
               this.bytes += packedAnswer.length;
               const arrive = (): void =>
-                asker.enter(() => {
+                sender.enter(() => {
                   settle({ kind: 'answered', message: Payloads.read(packedAnswer) });
                 });
-              this.carry(found.process.machine, asker.machine, arrive, undefined, packedAnswer.length);
+              this.carry(found.process.machine, sender.machine, arrive, undefined, packedAnswer.length);
             },
             () => silent('conn closed'),
           );
         });
       };
-      this.carry(asker.machine, machine, arrive, undefined, packed.length);
+      this.carry(sender.machine, machine, arrive, undefined, packed.length);
     });
   }
 
-  /** Addresses name their machine, so that a cut knows them even where nothing listens. */
+  /** Returns the machine that an address names. It is part of the address, so that cuts apply even if nothing listens there. */
   private machineOf(address: string): string {
     return address.split(':', 1)[0] ?? address;
   }
--- a/source/fleet-simulator/world/simProcess.ts
+++ b/source/fleet-simulator/world/simProcess.ts
@@ -3,62 +3,66 @@
 import type { SimProcessor } from './simProcessor';
 import type { World } from './world';
 
-/** The boot clock of Linux is shown in steps of so much. */
-const bootStepMicroseconds = 10_000;
+/** The resolution at which Linux reports the boot clock. */
+const bootClockStepMicroseconds = 10_000;
 
-/** What a machine's clocks may do wrong besides running fast or slow. */
+/** Faults of a machine's clocks, apart from drift. */
 export type ClockFaultState = { bootLeapMicroseconds: number; bootUnreadable: boolean };
 
-/** One simulated process: what reaches it while it is frozen or suspended waits, what reaches it dead is lost. */
+/** A simulated process. Events are queued while it is frozen or suspended, and dropped once it is dead. */
 export class SimProcess {
   public alive = true;
-  /** What its acts take time on, shared by the processes of a machine; undefined: they take none. */
+  /** The processor that its events take time on, shared by the processes of a machine. If undefined, they take none. */
   public processor: SimProcessor | undefined;
   public readonly clockFaults: ClockFaultState = { bootLeapMicroseconds: 0, bootUnreadable: false };
   private frozen = false;
-  private suspendedAt: number | undefined;
-  private slept = 0;
-  private waiting: (() => void)[] = [];
-  private readonly onDeath: (() => void)[] = [];
+  private suspendedAtMicroseconds: number | undefined;
+  private suspendedMicroseconds = 0;
+  private queued: (() => void)[] = [];
+  private readonly deathCallbacks: (() => void)[] = [];
 
-  /** `drift` is how much faster or slower its clock runs than the world's, in parts per million. */
+  /** `driftPartsPerMillion` is how much faster, or if negative slower, its clock runs than that of the world. */
   public constructor(
     private readonly world: World,
     public readonly name: string,
     public readonly machine: string,
-    private readonly drift = 0,
+    private readonly driftPartsPerMillion = 0,
   ) {}
 
   private readonly elapsed = new ElapsedTime({
     monotonicMicroseconds: () => this.monotonic(),
     bootMicroseconds: () => {
       if (this.clockFaults.bootUnreadable) return undefined;
-      const shown = this.world.nowMicroseconds * (1 + this.drift / 1_000_000) + this.clockFaults.bootLeapMicroseconds;
-      return Math.floor(shown / bootStepMicroseconds) * bootStepMicroseconds;
+      const reportedMicroseconds =
+        this.world.nowMicroseconds * (1 + this.driftPartsPerMillion / 1_000_000) +
+        this.clockFaults.bootLeapMicroseconds;
+      return Math.floor(reportedMicroseconds / bootClockStepMicroseconds) * bootClockStepMicroseconds;
     },
   });
 
   public readonly clock: Clock = {
     nowMicroseconds: this.elapsed.nowMicroseconds,
     steadyMicroseconds: () => this.monotonic(),
-    after: (delayMicroseconds, act) => this.timer(this.monotonic() + delayMicroseconds, act),
+    after: (delayMicroseconds, callback) => this.timer(this.monotonic() + delayMicroseconds, callback),
   };
 
-  public enter(act: () => void): void {
-    if (this.processor === undefined) this.perform(act);
-    else if (this.alive) this.processor.run(() => this.perform(act));
+  /** Runs a callback in this process, on its processor if it has one. */
+  public enter(callback: () => void): void {
+    if (this.processor === undefined) this.perform(callback);
+    else if (this.alive) this.processor.run(() => this.perform(callback));
   }
 
-  public whenDead(act: () => void): void {
-    if (this.alive) this.onDeath.push(act);
-    else act();
+  /** Calls back when the process dies, at once if it is dead already. */
+  public whenDead(callback: () => void): void {
+    if (this.alive) this.deathCallbacks.push(callback);
+    else callback();
   }
 
   public kill(): void {
     if (!this.alive) return;
     this.alive = false;
-    this.waiting = [];
-    for (const act of this.onDeath.splice(0)) act();
+    this.queued = [];
+    for (const callback of this.deathCallbacks.splice(0)) callback();
   }
 
   public freeze(): void {
@@ -67,57 +71,61 @@
 
   public thaw(): void {
     this.frozen = false;
-    this.goOn();
+    this.runQueued();
   }
 
-  /** The whole machine sleeps: unlike in a frozen process, its monotonic clock and its timers stand still too. */
+  /** Suspends the machine: unlike in a frozen process, the monotonic clock and the timers stop, too. */
   public suspend(): void {
-    this.suspendedAt ??= this.world.nowMicroseconds;
+    this.suspendedAtMicroseconds ??= this.world.nowMicroseconds;
   }
 
   public wake(): void {
-    if (this.suspendedAt === undefined) return;
-    this.slept += this.world.nowMicroseconds - this.suspendedAt;
-    this.suspendedAt = undefined;
-    this.goOn();
+    if (this.suspendedAtMicroseconds === undefined) return;
+    this.suspendedMicroseconds += this.world.nowMicroseconds - this.suspendedAtMicroseconds;
+    this.suspendedAtMicroseconds = undefined;
+    this.runQueued();
   }
 
-  private perform(act: () => void): void {
+  private perform(callback: () => void): void {
     if (!this.alive) return;
-    if (this.frozen || this.suspendedAt !== undefined) this.waiting.push(act);
-    else act();
+    if (this.frozen || this.suspendedAtMicroseconds !== undefined) this.queued.push(callback);
+    else callback();
   }
 
   private monotonic(): number {
-    const asleep = this.suspendedAt === undefined ? 0 : this.world.nowMicroseconds - this.suspendedAt;
-    return Math.floor((this.world.nowMicroseconds - this.slept - asleep) * (1 + this.drift / 1_000_000));
+    const currentSuspensionMicroseconds =
+      this.suspendedAtMicroseconds === undefined ? 0 : this.world.nowMicroseconds - this.suspendedAtMicroseconds;
+    return Math.floor(
+      (this.world.nowMicroseconds - this.suspendedMicroseconds - currentSuspensionMicroseconds) *
+        (1 + this.driftPartsPerMillion / 1_000_000),
+    );
   }
 
-  /** Timers run on the monotonic clock: what a sleep has put off is waited for again. */
-  private timer(dueMicroseconds: number, act: () => void): Cancel {
+  /** Starts a timer on the monotonic clock, so that time spent suspended does not count towards the delay. */
+  private timer(dueMicroseconds: number, callback: () => void): Cancel {
     let cancelled = false;
     let cancel: Cancel = () => undefined;
-    const plan = (): void => {
-      cancel = this.world.plan((dueMicroseconds - this.monotonic()) / (1 + this.drift / 1_000_000), () =>
+    const schedule = (): void => {
+      cancel = this.world.plan((dueMicroseconds - this.monotonic()) / (1 + this.driftPartsPerMillion / 1_000_000), () =>
         this.enter(() => {
           if (cancelled) return;
-          if (this.monotonic() + 1 < dueMicroseconds) plan();
-          else act();
+          if (this.monotonic() + 1 < dueMicroseconds) schedule();
+          else callback();
         }),
       );
     };
-    plan();
+    schedule();
     return () => {
       cancelled = true;
       cancel();
     };
   }
 
-  private goOn(): void {
-    if (this.frozen || this.suspendedAt !== undefined) return;
-    const waiting = this.waiting;
-    this.waiting = [];
-    // Why one act each: what piled up is worked off in its order, as a woken process does.
-    for (const act of waiting) this.world.plan(0, () => this.enter(act));
+  private runQueued(): void {
+    if (this.frozen || this.suspendedAtMicroseconds !== undefined) return;
+    const queued = this.queued;
+    this.queued = [];
+    // Schedules one event for each callback, so that the queued ones run one by one in order, as in a resumed process.
+    for (const callback of queued) this.world.plan(0, () => this.enter(callback));
   }
 }
--- a/source/fleet-simulator/world/simProcessor.ts
+++ b/source/fleet-simulator/world/simProcessor.ts
@@ -1,29 +1,29 @@
 import type { World } from './world';
 
-/** A machine's processor: what the processes on it do takes time, one act after the other in the order in which they are due. */
+/** A machine's processor. It runs the tasks of all processes one after the other, in order, and each takes time. */
 export class SimProcessor {
   private busyUntilMicroseconds = 0;
-  private waiting = 0;
+  private queuedTasks = 0;
 
   public constructor(
     private readonly world: World,
-    /** How long one act takes: a message or a timer that is worked off. */
+    /** The time that one task takes. A task handles one message or one timer. */
     public actMicroseconds: number,
   ) {}
 
-  /** Acts that are not yet done. */
+  /** The number of tasks that have not run yet. */
   public get backlog(): number {
-    return this.waiting;
+    return this.queuedTasks;
   }
 
-  /** The act is done when the processor has done all that was given to it before, and has spent its time on this one. */
-  public run(act: () => void): void {
+  /** Runs the task after all tasks queued before it, and after the time that it takes itself. */
+  public run(task: () => void): void {
     const start = Math.max(this.world.nowMicroseconds, this.busyUntilMicroseconds);
     this.busyUntilMicroseconds = start + this.actMicroseconds;
-    this.waiting += 1;
+    this.queuedTasks += 1;
     this.world.plan(this.busyUntilMicroseconds - this.world.nowMicroseconds, () => {
-      this.waiting -= 1;
-      act();
+      this.queuedTasks -= 1;
+      task();
     });
   }
 }
--- a/source/fleet-simulator/world/world.ts
+++ b/source/fleet-simulator/world/world.ts
@@ -1,13 +1,13 @@
 import type { Cancel, Clock } from '../../shared/effects/clock/clock';
 import { seededRandom, type Random } from '../../shared/effects/random/random';
 
-type Planned = { readonly atMicroseconds: number; readonly order: number; act: (() => void) | undefined };
+type ScheduledEvent = { readonly atMicroseconds: number; readonly order: number; callback: (() => void) | undefined };
 
-/** A heap by time, then by the order of planning, so that the same seed gives the same history. */
-class Agenda {
-  private readonly heap: Planned[] = [];
+/** A binary heap of events by time, then by the order of scheduling, so that the same seed gives the same history. */
+class EventQueue {
+  private readonly heap: ScheduledEvent[] = [];
 
-  public push(item: Planned): void {
+  public push(item: ScheduledEvent): void {
     this.heap.push(item);
     let index = this.heap.length - 1;
     while (index > 0) {
@@ -18,11 +18,11 @@
     }
   }
 
-  public peek(): Planned | undefined {
+  public peek(): ScheduledEvent | undefined {
     return this.heap[0];
   }
 
-  public pop(): Planned | undefined {
+  public pop(): ScheduledEvent | undefined {
     const top = this.heap[0];
     const last = this.heap.pop();
     if (top === undefined || last === undefined || this.heap.length === 0) return top;
@@ -41,27 +41,28 @@
   }
 
   private before(left: number, right: number): boolean {
-    const one = this.heap[left] as Planned;
-    const two = this.heap[right] as Planned;
+    const leftEvent = this.heap[left] as ScheduledEvent;
+    const rightEvent = this.heap[right] as ScheduledEvent;
     return (
-      one.atMicroseconds < two.atMicroseconds || (one.atMicroseconds === two.atMicroseconds && one.order < two.order)
+      leftEvent.atMicroseconds < rightEvent.atMicroseconds ||
+      (leftEvent.atMicroseconds === rightEvent.atMicroseconds && leftEvent.order < rightEvent.order)
     );
   }
 
   private swap(left: number, right: number): void {
-    const one = this.heap[left] as Planned;
-    this.heap[left] = this.heap[right] as Planned;
-    this.heap[right] = one;
+    const leftEvent = this.heap[left] as ScheduledEvent;
+    this.heap[left] = this.heap[right] as ScheduledEvent;
+    this.heap[right] = leftEvent;
   }
 }
 
-/** Virtual time for a whole fleet in one process. Nothing here waits for a real clock. */
+/** The event loop of the simulator: virtual time for a whole fleet in one process. Nothing waits for a real clock. */
 export class World {
   public readonly random: Random;
   public readonly history: string[] = [];
-  private readonly agenda = new Agenda();
+  private readonly events = new EventQueue();
   private now = 0;
-  private planned = 0;
+  private scheduledCount = 0;
 
   public constructor(public readonly seed: number) {
     this.random = seededRandom(seed);
@@ -71,19 +72,21 @@
     return this.now;
   }
 
-  public plan(delayMicroseconds: number, act: () => void): Cancel {
-    this.planned += 1;
-    const item: Planned = {
+  /** Schedules a callback after a virtual delay. The returned function cancels it. */
+  public plan(delayMicroseconds: number, callback: () => void): Cancel {
+    this.scheduledCount += 1;
+    const item: ScheduledEvent = {
       atMicroseconds: this.now + Math.max(0, Math.round(delayMicroseconds)),
-      order: this.planned,
-      act,
+      order: this.scheduledCount,
+      callback,
     };
-    this.agenda.push(item);
+    this.events.push(item);
     return () => {
-      item.act = undefined;
+      item.callback = undefined;
     };
   }
 
+  /** Adds a line with the virtual time to the history of the run. */
   public note(sentence: string): void {
     this.history.push(`${(this.now / 1_000_000).toFixed(3)} s: ${sentence}`);
   }
@@ -91,29 +94,33 @@
   public readonly clock: Clock = {
     nowMicroseconds: () => this.now,
     steadyMicroseconds: () => this.now,
-    after: (delay, act) => this.plan(delay, act),
+    after: (delay, callback) => this.plan(delay, callback),
   };
 
-  /** Runs everything planned up to then; promises are let settle between two acts. */
+  /** Runs all events that are due within this time. Promises settle between two events. */
   public async runFor(microseconds: number): Promise<void> {
     const until = this.now + microseconds;
-    // Why first: what the caller began may need no act at all, only that promises settle.
+    // Promises settle before the first event because what the caller started may need no event at all.
     await new Promise<void>((resolve) => setImmediate(resolve));
     for (;;) {
-      const next = this.agenda.peek();
+      const next = this.events.peek();
       if (next === undefined || next.atMicroseconds > until) break;
-      this.agenda.pop();
-      if (next.act === undefined) continue;
+      this.events.pop();
+      if (next.callback === undefined) continue;
       this.now = next.atMicroseconds;
-      next.act();
+      next.callback();
       await new Promise<void>((resolve) => setImmediate(resolve));
     }
     this.now = until;
   }
 
-  public async runUntil(met: () => boolean, limitMicroseconds: number, stepMicroseconds = 20_000): Promise<boolean> {
+  public async runUntil(
+    condition: () => boolean,
+    limitMicroseconds: number,
+    stepMicroseconds = 20_000,
+  ): Promise<boolean> {
     const until = this.now + limitMicroseconds;
-    while (!met()) {
+    while (!condition()) {
       if (this.now >= until) return false;
       await this.runFor(stepMicroseconds);
     }
--- a/tests/fleet-behaviour.test.ts
+++ b/tests/fleet-behaviour.test.ts
@@ -15,7 +15,7 @@
   const world = new World(seed);
   const fleet = new SimFleet(world, shape);
   await fleet.startAll();
-  // Why: the proxies have the shards of all stewards by then.
+  // By then the proxies have the shards of all engine controllers.
   await world.runFor(1_500_000);
   return { world, fleet };
 };
@@ -25,18 +25,18 @@
   return call;
 };
 
-const long = (fleet: SimFleet, edge: SimEdge, tenant = 'open1', key = 'key-open1-a'): SimCall =>
+const callLong = (fleet: SimFleet, edge: SimEdge, tenant = 'open1', key = 'key-open1-a'): SimCall =>
   fleet.callers.call(fleet.handle(edge), SimKinds.long(), tenant, key);
 const usesOf = (fleet: SimFleet, call: SimCall): readonly string[] =>
   fleet.backEnds.runs.find(({ nonce }) => nonce === call.nonce)?.blocks.map(({ from }) => from) ?? [];
 
-test('a prefix read once is kept for callers of every other daemon', async () => {
+test('a prefix computed once is reused by clients of every other daemon', async () => {
   const { world, fleet } = await started(11);
-  const first = await answered(world, long(fleet, fleet.edge(0)));
+  const first = await answered(world, callLong(fleet, fleet.edge(0)));
   assert.ok(usesOf(fleet, first).every((from) => from === 'made'));
   await world.runFor(1_500_000);
   for (const edge of fleet.edges) {
-    const call = await answered(world, long(fleet, edge, 'open2', 'key-open2-a'));
+    const call = await answered(world, callLong(fleet, edge, 'open2', 'key-open2-a'));
     assert.ok(
       usesOf(fleet, call).every((from) => from === 'kept'),
       usesOf(fleet, call).join(),
@@ -45,16 +45,16 @@
   assert.deepEqual(judgeAll(fleet).broken, []);
 });
 
-test('a crowd on one prefix spreads by import from the engine that has it', async () => {
+test('many requests for one prefix spread to other engines, which import it from the engine that has it', async () => {
   const { world, fleet } = await started(12);
-  await answered(world, long(fleet, fleet.edge(0)));
+  await answered(world, callLong(fleet, fleet.edge(0)));
   await world.runFor(1_500_000);
-  // Why empty the store: what is imported now can only come from a neighbour.
+  // With the store empty, an import can only come from another engine.
   fleet.backEnds.empty(fleet.storeName);
   await world.runFor(1_000_000);
-  const crowd = Array.from({ length: 16 }, (_, number) => long(fleet, fleet.edge(number % 4)));
-  for (const call of crowd) await answered(world, call);
-  const uses = crowd.flatMap((call) => usesOf(fleet, call));
+  const concurrentCalls = Array.from({ length: 16 }, (_, number) => callLong(fleet, fleet.edge(number % 4)));
+  for (const call of concurrentCalls) await answered(world, call);
+  const uses = concurrentCalls.flatMap((call) => usesOf(fleet, call));
   assert.ok(
     uses.filter((from) => from === 'imported').length >= 7,
     `imported ${uses.filter((from) => from === 'imported').length}`,
@@ -62,14 +62,14 @@
   assert.deepEqual(judgeAll(fleet).broken, []);
 });
 
-test('when the engine that had a prefix is gone, the store gives it', async () => {
+test('a prefix is imported from the store after the engine that had it has died', async () => {
   const { world, fleet } = await started(13);
-  const first = await answered(world, long(fleet, fleet.edge(0)));
+  const first = await answered(world, callLong(fleet, fleet.edge(0)));
   await world.runFor(1_500_000);
   const holder = fleet.backEnds.runs.find(({ nonce }) => nonce === first.nonce)?.engine ?? '';
   fleet.backEnds.kill(holder);
   await world.runFor(3_000_000);
-  const second = await answered(world, long(fleet, fleet.edge(1)));
+  const second = await answered(world, callLong(fleet, fleet.edge(1)));
   assert.ok(
     usesOf(fleet, second).every((from) => from === 'imported'),
     usesOf(fleet, second).join(),
@@ -77,34 +77,34 @@
   assert.deepEqual(judgeAll(fleet).broken, []);
 });
 
-test('with the store empty and the engine gone it is a fresh prefill and nothing worse', async () => {
+test('a prefix is computed again if the store is empty and the engine that had it has died', async () => {
   const { world, fleet } = await started(14);
-  const first = await answered(world, long(fleet, fleet.edge(0)));
+  const first = await answered(world, callLong(fleet, fleet.edge(0)));
   await world.runFor(1_500_000);
   fleet.backEnds.kill(fleet.backEnds.runs.find(({ nonce }) => nonce === first.nonce)?.engine ?? '');
   fleet.backEnds.empty(fleet.storeName);
-  const second = await answered(world, long(fleet, fleet.edge(1)));
+  const second = await answered(world, callLong(fleet, fleet.edge(1)));
   assert.ok(second.right || second.verdict !== '');
   await world.runFor(3_000_000);
-  const third = await answered(world, long(fleet, fleet.edge(2)));
+  const third = await answered(world, callLong(fleet, fleet.edge(2)));
   assert.ok(third.right);
   assert.deepEqual(judgeAll(fleet).broken, []);
 });
 
-test('a walled tenant shares nothing with anybody, and keeps its own', async () => {
+test('a walled tenant shares no blocks with other tenants and reuses its own', async () => {
   const { world, fleet } = await started(15);
-  await answered(world, long(fleet, fleet.edge(0)));
+  await answered(world, callLong(fleet, fleet.edge(0)));
   await world.runFor(1_500_000);
-  const walled = await answered(world, long(fleet, fleet.edge(1), 'wall1', 'key-wall1-a'));
+  const walled = await answered(world, callLong(fleet, fleet.edge(1), 'wall1', 'key-wall1-a'));
   assert.ok(usesOf(fleet, walled).every((from) => from === 'made'));
   await world.runFor(1_500_000);
-  const again = await answered(world, long(fleet, fleet.edge(2), 'wall1', 'key-wall1-a'));
+  const again = await answered(world, callLong(fleet, fleet.edge(2), 'wall1', 'key-wall1-a'));
   assert.ok(usesOf(fleet, again).every((from) => from === 'kept'));
-  const other = await answered(world, long(fleet, fleet.edge(2), 'wall2', 'key-wall2-a'));
+  const other = await answered(world, callLong(fleet, fleet.edge(2), 'wall2', 'key-wall2-a'));
   assert.ok(usesOf(fleet, other).every((from) => from === 'made'));
 });
 
-test('a daemon whose first seeds are dead finds the fleet, and a new one is known to all', async () => {
+test('a new daemon joins the fleet and becomes known to all members although its first seed node is dead', async () => {
   const world = new World(16);
   const fleet = new SimFleet(world, { ...usualShape, edges: 5 });
   const late = fleet.edges.pop();
@@ -120,26 +120,26 @@
     await world.runUntil(() => all.every(({ agent }) => agent.membership.present().length === 5), 5_000_000),
     'all know all',
   );
-  const call = await answered(world, long(fleet, late));
+  const call = await answered(world, callLong(fleet, late));
   assert.ok(call.right);
 });
 
-test('a daemon that leaves is known to have left, one that vanishes is found out, and both may come back', async () => {
+test('members detect a daemon that leaves and one that dies, and both can rejoin', async () => {
   const { world, fleet } = await started(17);
-  const [leaver, vanisher] = [fleet.edge(0), fleet.edge(1)];
-  void leaver.agent.leave();
+  const [leaving, dying] = [fleet.edge(0), fleet.edge(1)];
+  void leaving.agent.leave();
   await world.runFor(600_000);
-  assert.equal(fleet.edge(2).agent.membership.member(leaver.name)?.state, 'left');
-  vanisher.agentProcess.kill();
+  assert.equal(fleet.edge(2).agent.membership.member(leaving.name)?.state, 'left');
+  dying.agentProcess.kill();
   assert.ok(
     await world.runUntil(
-      () => [2, 3].every((index) => fleet.edge(index).agent.membership.member(vanisher.name)?.state === 'gone'),
+      () => [2, 3].every((index) => fleet.edge(index).agent.membership.member(dying.name)?.state === 'gone'),
       8_000_000,
     ),
   );
-  leaver.agentProcess.kill();
-  fleet.startAgent(leaver);
-  fleet.startAgent(vanisher);
+  leaving.agentProcess.kill();
+  fleet.startAgent(leaving);
+  fleet.startAgent(dying);
   assert.ok(
     await world.runUntil(
       () => [2, 3].every((index) => fleet.edge(index).agent.membership.present().length === 4),
@@ -148,7 +148,7 @@
   );
 });
 
-test('every engine gets a steward, again after its steward dies, and the duties spread', async () => {
+test('every engine gets a controller, and a new one after its controller dies', async () => {
   const { world, fleet } = await started(18);
   const holders = (): readonly string[] =>
     fleet.edges
@@ -167,7 +167,7 @@
   assert.ok(holders().every((holder) => !holder.endsWith(busiest.name)));
 });
 
-test('with the whole core gone orders are refused at once as not fresh, never held', async () => {
+test('without any control node requests are refused at once as not fresh and never queued', async () => {
   const { world, fleet } = await started(19);
   for (const keeper of fleet.keepers) fleet.killKeeper(keeper, false);
   await world.runFor(1_900_000);
@@ -179,12 +179,12 @@
   );
 });
 
-test('new weights: every engine changes, capacity never goes to nothing, nobody is refused', async () => {
+test('a change of weights reaches every engine without a refused request', async () => {
   const { world, fleet } = await started(20);
-  const pool = SimBlueprints.first('w2');
+  const newBlueprint = SimBlueprints.first('w2');
   const calls: SimCall[] = [];
   let stopped = false;
-  const one = (): void => {
+  const sendNext = (): void => {
     if (stopped) return;
     calls.push(
       fleet.callers.call(
@@ -194,13 +194,13 @@
         'key-open1-a',
       ),
     );
-    world.plan(25_000, one);
+    world.plan(25_000, sendNext);
   };
-  one();
+  sendNext();
   const change = fleet.change(fleet.keeper(0), {
     key: 'blueprint',
     form: 'whole',
-    text: JSON.stringify(pool),
+    text: JSON.stringify(newBlueprint),
     ifMatch: 1,
   });
   assert.ok(
@@ -223,7 +223,7 @@
   assert.deepEqual(judgeAll(fleet).broken, []);
 });
 
-test('an engine deaf to its directives is not used past the clock; the others go on', async () => {
+test('an engine that ignores its directives gets no requests after the time limit, and the others keep serving', async () => {
   const { world, fleet } = await started(21);
   const deaf = fleet.engineNames[1] ?? '';
   const engine = fleet.backEnds.get(deaf).engine;
@@ -257,7 +257,7 @@
     fleet.startEdge(second);
     assert.ok(await world.runUntil(() => second.proxy?.ready() === true, 3_000_000), 'the second is not ready');
     for (const edge of [first, second]) {
-      const call = await answered(world, long(fleet, edge));
+      const call = await answered(world, callLong(fleet, edge));
       assert.equal(call.status, 200);
     }
     assert.deepEqual(judgeAll(fleet).broken, []);
--- a/tests/simulated-fleet.test.ts
+++ b/tests/simulated-fleet.test.ts
@@ -4,7 +4,7 @@
 import { SimFleet, SimKinds } from '../source/fleet-simulator/machines/simFleet';
 import { World } from '../source/fleet-simulator/world/world';
 
-test('a simulated fleet without faults answers everything right', async () => {
+test('a simulated fleet without faults answers every request correctly', async () => {
   const world = new World(1);
   const fleet = new SimFleet(world);
   await fleet.startAll();
--- a/tests/simulated-processor.test.ts
+++ b/tests/simulated-processor.test.ts
@@ -11,7 +11,7 @@
 };
 
 describe('a simulated processor', () => {
-  test('acts of all processes on it are done one after the other, in the order in which they came', async () => {
+  test('runs the tasks of all its processes one after the other, in order of arrival', async () => {
     const world = new World(1);
     const processor = new SimProcessor(world, 1000);
     const [left, right] = [processOn(world, 'left', processor), processOn(world, 'right', processor)];
@@ -32,7 +32,7 @@
     assert.equal(processor.backlog, 0);
   });
 
-  test('a timer is late by what the processor has to do before it', async () => {
+  test('delays a timer by the tasks queued before it', async () => {
     const world = new World(1);
     const process = processOn(world, 'late', new SimProcessor(world, 1000));
     let ranAt = -1;
@@ -42,7 +42,7 @@
     assert.equal(ranAt, 4000);
   });
 
-  test('what waits for the processor is lost with its process', async () => {
+  test('drops the queued tasks of a killed process', async () => {
     const world = new World(1);
     const process = processOn(world, 'killed', new SimProcessor(world, 1000));
     let isRun = false;
@@ -52,7 +52,7 @@
     assert.equal(isRun, false);
   });
 
-  test('without a processor an act takes no time', () => {
+  test('runs a task at once in a process without a processor', () => {
     const world = new World(1);
     let isRun = false;
     processOn(world, 'prompt').enter(() => (isRun = true));
