--- a/source/fleet-simulator/world/world.ts
+++ b/source/fleet-simulator/world/world.ts
@@ -60,7 +60,7 @@
 export class World {
   public readonly random: Random;
   public readonly history: string[] = [];
-  private readonly events = new EventQueue();
+  private readonly eventQueue = new EventQueue();
   private now = 0;
   private scheduledCount = 0;
 
@@ -80,7 +80,7 @@
       order: this.scheduledCount,
       callback,
     };
-    this.events.push(item);
+    this.eventQueue.push(item);
     return () => {
       item.callback = undefined;
     };
@@ -103,9 +103,9 @@
     // Promises settle before the first event because what the caller started may need no event at all.
     await new Promise<void>((resolve) => setImmediate(resolve));
     for (;;) {
-      const next = this.events.peek();
+      const next = this.eventQueue.peek();
       if (next === undefined || next.atMicroseconds > until) break;
-      this.events.pop();
+      this.eventQueue.pop();
       if (next.callback === undefined) continue;
       this.now = next.atMicroseconds;
       next.callback();
