--- a/source/fleet-simulator/machines/simBackEnds.ts
+++ b/source/fleet-simulator/machines/simBackEnds.ts
@@ -19,10 +19,10 @@
 import { SimProcess } from '../world/simProcess';
 import type { World } from '../world/world';
 
-/** One send as it left on the wire: written, or refused by a machine where nobody listened. */
+/** A request that a proxy wrote to a connection, or whose connection was refused because no process listened. */
 export type Sent = Readonly<{ proxy: string; engine: string; nonce: string; atMicroseconds: number }>;
 
-/** A directive as the engine received it, and when its steward let it go. */
+/** A directive that an engine received, with the time at which its engine controller sent it. */
 export type Received = Readonly<{
   engine: string;
   directive: Directive;
@@ -31,6 +31,7 @@
   atMicroseconds: number;
 }>;
 
+/** A request that reached an engine; `ran` is false if the engine answered that it did not run the request. */
 export type Arrival = Readonly<{
   engine: string;
   order: string;
@@ -40,18 +41,19 @@
   ran: boolean;
 }>;
 
-type Standing = {
+/** The state of one simulated back end: an engine, or a store (no engine). */
+type BackEndState = {
   process: SimProcess;
   readonly machine: string;
   readonly engine: StandInEngine | undefined;
   readonly kv: KvHolder;
-  /** Its control side answers nobody, though it takes orders. */
+  /** The control interface doesn't answer, although the engine accepts requests. */
   isControlSilent: boolean;
-  /** Of a thousand orders so many are reset unread, as on a kept conn that it has forgotten. */
+  /** Requests per thousand that are reset unread, as on a keep-alive connection that the engine has dropped. */
   forgetsPerMille: number;
 };
 
-/** A time in which an engine failed orders, was silent to its steward alone, or forgot conns. */
+/** A period in which an engine fails requests, doesn't answer its engine controller, or drops keep-alive connections. */
 export type Ill = {
   readonly engine: string;
   readonly kind: 'fails' | 'controlSilent' | 'forgetsConns';
@@ -59,18 +61,18 @@
   untilMicroseconds: number;
 };
 
-const nonceIn = (body: string): string => /nonce:([A-Za-z0-9-]+)/.exec(body)?.[1] ?? '';
+const nonceOf = (body: string): string => /nonce:([A-Za-z0-9-]+)/.exec(body)?.[1] ?? '';
 
-/** The back ends of a simulated fleet and the ways to them. Their records are what the judges read. */
+/** The back ends of a simulated fleet and the connections to them. The judges check the records kept here. */
 export class SimBackEnds {
   public readonly runs: RunRecord[] = [];
   public readonly arrivals: Arrival[] = [];
   public readonly sends: Sent[] = [];
   public readonly directives: Received[] = [];
   public readonly ills: Ill[] = [];
-  /** Other troubles were caused besides, so that what ill engines get cannot be judged. */
+  /** Other faults were injected as well, so the requests that faulty engines receive cannot be judged. */
   public isTroubled = false;
-  private readonly standing = new Map<string, Standing>();
+  private readonly backEnds = new Map<string, BackEndState>();
 
   public constructor(
     private readonly world: World,
@@ -79,10 +81,10 @@
 
   public addEngine(name: string, settings: EngineSettings): string {
     const process = new SimProcess(this.world, name, name);
-    const engine = new StandInEngine(settings, this.clockOf(name), this.world.random, this.neighboursOf(name), (line) =>
+    const engine = new StandInEngine(settings, this.clockOf(name), this.world.random, this.kvPeersOf(name), (line) =>
       this.runs.push(line),
     );
-    this.standing.set(name, {
+    this.backEnds.set(name, {
       process,
       machine: name,
       engine,
@@ -94,7 +96,7 @@
   }
 
   public addStore(name: string): string {
-    this.standing.set(name, {
+    this.backEnds.set(name, {
       process: new SimProcess(this.world, name, name),
       machine: name,
       engine: undefined,
@@ -105,14 +107,14 @@
     return `${name}:1`;
   }
 
-  public get(name: string): Standing {
-    const found = this.standing.get(name);
+  public get(name: string): BackEndState {
+    const found = this.backEnds.get(name);
     if (found === undefined) throw new Error(`no back end ${name}`);
     return found;
   }
 
   public engines(): readonly StandInEngine[] {
-    return [...this.standing.values()].flatMap(({ engine }) => engine ?? []);
+    return [...this.backEnds.values()].flatMap(({ engine }) => engine ?? []);
   }
 
   public kill(name: string): void {
@@ -122,53 +124,60 @@
     this.get(name).forgetsPerMille = 0;
   }
 
-  /** Makes an engine ill; what is returned makes it well. */
+  /** Injects a fault into an engine and returns a function that ends it. */
   public sicken(name: string, kind: Ill['kind'], perMille = 0): () => void {
-    const standing = this.get(name);
-    const ill: Ill = { engine: name, kind, fromMicroseconds: this.world.nowMicroseconds, untilMicroseconds: Infinity };
-    this.ills.push(ill);
-    // Why only its own kind: another illness of the same engine goes on.
+    const backEnd = this.get(name);
+    const fault: Ill = {
+      engine: name,
+      kind,
+      fromMicroseconds: this.world.nowMicroseconds,
+      untilMicroseconds: Infinity,
+    };
+    this.ills.push(fault);
+    // Only this kind of fault is switched, because another fault of the same engine may still be active.
     const set = (isOn: boolean): void => {
-      if (kind === 'controlSilent') standing.isControlSilent = isOn;
-      else if (kind === 'forgetsConns') standing.forgetsPerMille = isOn ? perMille : 0;
-      else if (standing.engine !== undefined) standing.engine.failsPerMille = isOn ? perMille : 0;
+      if (kind === 'controlSilent') backEnd.isControlSilent = isOn;
+      else if (kind === 'forgetsConns') backEnd.forgetsPerMille = isOn ? perMille : 0;
+      else if (backEnd.engine !== undefined) backEnd.engine.failsPerMille = isOn ? perMille : 0;
     };
     set(true);
     return () => {
-      ill.untilMicroseconds = this.world.nowMicroseconds;
+      fault.untilMicroseconds = this.world.nowMicroseconds;
       set(false);
     };
   }
 
-  /** Comes back empty, on the weights it was installed with. */
+  /** Restarts a back end with an empty cache, on the weights it was installed with. */
   public start(name: string): void {
-    const standing = this.get(name);
-    if (standing.process.alive) return;
-    standing.process = new SimProcess(this.world, name, name);
-    if (standing.engine === undefined) standing.kv.reboot(this.world.random.name());
+    const backEnd = this.get(name);
+    if (backEnd.process.alive) return;
+    backEnd.process = new SimProcess(this.world, name, name);
+    if (backEnd.engine === undefined) backEnd.kv.reboot(this.world.random.name());
   }
 
+  /** Empties the KV cache of a back end, as a reboot does. */
   public empty(name: string): void {
     this.get(name).kv.reboot(this.world.random.name());
   }
 
+  /** The control interface of the back ends, as an agent calls it over the simulated network. */
   public doorOf(agent: SimProcess): BackEndDoor {
     const call = <Result>(
       address: string,
       limitMicroseconds: number,
-      act: (standing: Standing) => Result,
+      act: (backEnd: BackEndState) => Result,
     ): Promise<Result | undefined> =>
       Clocks.within(
         agent.clock,
         limitMicroseconds,
         new Promise<Result | undefined>((resolve) => {
           const name = address.split(':', 1)[0] ?? '';
-          const back = (result: Result | undefined): void =>
+          const deliver = (result: Result | undefined): void =>
             this.network.carry(name, agent.machine, () => agent.enter(() => resolve(result)));
           this.network.carry(agent.machine, name, () => {
-            const standing = this.standing.get(name);
-            if (standing === undefined || !standing.process.alive || standing.isControlSilent) back(undefined);
-            else standing.process.enter(() => back(act(standing)));
+            const backEnd = this.backEnds.get(name);
+            if (backEnd === undefined || !backEnd.process.alive || backEnd.isControlSilent) deliver(undefined);
+            else backEnd.process.enter(() => deliver(act(backEnd)));
           });
         }),
       );
@@ -195,29 +204,30 @@
     };
   }
 
+  /** Sends requests from a proxy to the back ends over the simulated network. */
   public senderOf(proxy: SimProcess): BackEndSender {
     return {
-      send: (order, sink) => {
-        const name = order.address.split(':', 1)[0] ?? '';
-        const body = typeof order.body === 'string' ? order.body : Buffer.from(order.body).toString('utf8');
-        let over = false;
-        let engineGone: () => void = () => undefined;
-        let goneEarly = false;
-        const sent = (): void => {
+      send: (request, sink) => {
+        const name = request.address.split(':', 1)[0] ?? '';
+        const body = typeof request.body === 'string' ? request.body : Buffer.from(request.body).toString('utf8');
+        let finished = false;
+        let cancelOnEngine: () => void = () => undefined;
+        let cancelled = false;
+        const recordSend = (): void => {
           const proxyName = proxy.name.replace(/-proxy$/, '');
-          const nonce = nonceIn(body);
+          const nonce = nonceOf(body);
           this.sends.push({ proxy: proxyName, engine: name, nonce, atMicroseconds: this.world.nowMicroseconds });
         };
-        const failed = (kind: 'notRun' | 'mayHaveRun', text: string, forgotten = false): void =>
+        const fail = (kind: 'notRun' | 'mayHaveRun', text: string, forgotten = false): void =>
           proxy.enter(() => {
-            if (over) return;
-            over = true;
+            if (finished) return;
+            finished = true;
             sink.failed({ kind, text, ...(forgotten ? { forgotten } : {}) });
           });
-        // Why a row: a conn keeps its order, and a link cut under it breaks it for good.
-        let row: Promise<void> = Promise.resolve();
-        const back = (act: () => void | Promise<void>): void => {
-          row = row.then(
+        // Deliveries are chained because a connection delivers bytes in order. A link cut breaks the connection for good.
+        let deliveries: Promise<void> = Promise.resolve();
+        const deliver = (act: () => void | Promise<void>): void => {
+          deliveries = deliveries.then(
             () =>
               new Promise<void>((resolve) => {
                 this.network.carry(
@@ -225,92 +235,92 @@
                   proxy.machine,
                   () =>
                     proxy.enter(() => {
-                      if (over) return resolve();
+                      if (finished) return resolve();
                       void Promise.resolve(act()).then(resolve);
                     }),
                   () => {
-                    this.world.plan(2_000_000, () => failed('mayHaveRun', 'the link broke'));
-                    engineGone();
+                    this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke'));
+                    cancelOnEngine();
                     resolve();
                   },
                 );
               }),
           );
         };
-        const whenProxyDies = (): void => engineGone();
-        const write = (): void =>
+        const onProxyDeath = (): void => cancelOnEngine();
+        const writeRequest = (): void =>
           proxy.enter(() => {
-            if (over) return;
-            if (!sink.mayGo()) return failed('notRun', 'not sent');
+            if (finished) return;
+            if (!sink.mayGo()) return fail('notRun', 'not sent');
             const leftMicroseconds = this.world.nowMicroseconds;
-            sent();
-            // Why not lost but stalled: a cut link holds bytes back, and the conn breaks at last.
+            recordSend();
+            // The request is stalled, not lost: a cut link holds bytes back until the connection breaks.
             this.network.carry(
               proxy.machine,
               name,
-              () => arrive(leftMicroseconds),
-              () => this.world.plan(2_000_000, () => failed('mayHaveRun', 'the link broke')),
+              () => receiveRequest(leftMicroseconds),
+              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             );
           });
-        // The conn is made first, there and back; then the order is written.
+        // The request is written after the connection is established, which takes one round trip.
         this.network.carry(
           proxy.machine,
           name,
           () => {
-            if (this.standing.get(name)?.process.alive !== true) {
-              sent();
+            if (this.backEnds.get(name)?.process.alive !== true) {
+              recordSend();
               this.network.carry(
                 name,
                 proxy.machine,
-                () => failed('notRun', 'conn refused'),
-                () => this.world.plan(1_000_000, () => failed('notRun', 'conn not made')),
+                () => fail('notRun', 'conn refused'),
+                () => this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
               );
             } else
-              this.network.carry(name, proxy.machine, write, () =>
-                this.world.plan(1_000_000, () => failed('notRun', 'conn not made')),
+              this.network.carry(name, proxy.machine, writeRequest, () =>
+                this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
               );
           },
-          () => this.world.plan(1_000_000, () => failed('notRun', 'conn not made')),
+          () => this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
         );
-        const arrive = (leftMicroseconds: number): void => {
-          const standing = this.standing.get(name);
-          if (standing === undefined || !standing.process.alive) {
+        const receiveRequest = (leftMicroseconds: number): void => {
+          const backEnd = this.backEnds.get(name);
+          if (backEnd === undefined || !backEnd.process.alive) {
             this.network.carry(
               name,
               proxy.machine,
-              () => failed('mayHaveRun', 'conn reset'),
-              () => this.world.plan(2_000_000, () => failed('mayHaveRun', 'the link broke')),
+              () => fail('mayHaveRun', 'conn reset'),
+              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             );
             return;
           }
-          // Why no draw at rest: runs without this fault keep their histories.
-          if (standing.forgetsPerMille > 0 && this.world.random.fraction() * 1000 < standing.forgetsPerMille) {
+          // No random number is drawn while this fault is off, so that runs without it keep their histories.
+          if (backEnd.forgetsPerMille > 0 && this.world.random.fraction() * 1000 < backEnd.forgetsPerMille) {
             this.network.carry(
               name,
               proxy.machine,
-              () => failed('mayHaveRun', 'conn reset', true),
-              () => this.world.plan(2_000_000, () => failed('mayHaveRun', 'the link broke')),
+              () => fail('mayHaveRun', 'conn reset', true),
+              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             );
             return;
           }
-          proxy.whenDead(whenProxyDies);
-          standing.process.whenDead(() =>
+          proxy.whenDead(onProxyDeath);
+          backEnd.process.whenDead(() =>
             this.network.carry(
               name,
               proxy.machine,
-              () => failed('mayHaveRun', 'conn reset'),
-              () => this.world.plan(2_000_000, () => failed('mayHaveRun', 'the link broke')),
+              () => fail('mayHaveRun', 'conn reset'),
+              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             ),
           );
-          const bodyPause = Math.floor(this.world.random.fraction() * 400);
-          this.world.plan(bodyPause, () =>
-            standing.process.enter(() => {
-              const { engine } = standing;
-              if (goneEarly || engine === undefined) return;
+          const bodyDelayMicroseconds = Math.floor(this.world.random.fraction() * 400);
+          this.world.plan(bodyDelayMicroseconds, () =>
+            backEnd.process.enter(() => {
+              const { engine } = backEnd;
+              if (cancelled || engine === undefined) return;
               const arrival = {
                 engine: name,
-                order: order.headers['postdrum-order'] ?? '',
-                nonce: nonceIn(body),
+                order: request.headers['postdrum-order'] ?? '',
+                nonce: nonceOf(body),
                 leftMicroseconds,
                 atMicroseconds: this.world.nowMicroseconds,
               };
@@ -318,28 +328,28 @@
               const head = (status: number, headers: SendHead['headers']): void => {
                 if (headers['postdrum-not-run'] !== undefined) ran = false;
                 this.arrivals.push({ ...arrival, ran });
-                back(() => sink.head({ status, headers, framed: true }));
+                deliver(() => sink.head({ status, headers, framed: true }));
               };
               void engine.run(
-                { headers: order.headers, body },
+                { headers: request.headers, body },
                 {
                   head,
-                  part: (text) => back(() => sink.part(Buffer.from(text))),
+                  part: (text) => deliver(() => sink.part(Buffer.from(text))),
                   end: () =>
-                    back(() => {
-                      over = true;
+                    deliver(() => {
+                      finished = true;
                       sink.end();
                     }),
                   cut: () =>
                     this.network.carry(
                       name,
                       proxy.machine,
-                      () => failed('mayHaveRun', 'the answer broke off'),
-                      () => this.world.plan(2_000_000, () => failed('mayHaveRun', 'the link broke')),
+                      () => fail('mayHaveRun', 'the answer broke off'),
+                      () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
                     ),
                 },
                 (act) => {
-                  engineGone = act;
+                  cancelOnEngine = act;
                 },
               );
             }),
@@ -347,11 +357,11 @@
         };
         return {
           cut: () => {
-            if (over) return;
-            over = true;
+            if (finished) return;
+            finished = true;
             this.network.carry(proxy.machine, name, () => {
-              goneEarly = true;
-              engineGone();
+              cancelled = true;
+              cancelOnEngine();
             });
           },
         };
@@ -364,37 +374,41 @@
       nowMicroseconds: () => this.world.nowMicroseconds,
       steadyMicroseconds: () => this.world.nowMicroseconds,
       after: (delay, act) => {
-        const process = this.standing.get(name)?.process;
+        const process = this.backEnds.get(name)?.process;
         return this.world.plan(delay, () => (process === undefined ? act() : process.enter(act)));
       },
     };
   }
 
-  private neighboursOf(name: string): KvNeighbours {
-    const reach = <Result>(address: string, act: (standing: Standing) => Result, without: Result): Promise<Result> =>
+  private kvPeersOf(name: string): KvNeighbours {
+    const callPeer = <Result>(
+      address: string,
+      act: (backEnd: BackEndState) => Result,
+      fallback: Result,
+    ): Promise<Result> =>
       new Promise((resolve) => {
-        const other = address.split(':', 1)[0] ?? '';
-        const give = (result: Result): void => resolve(result);
+        const peer = address.split(':', 1)[0] ?? '';
+        const finish = (result: Result): void => resolve(result);
         this.network.carry(
           name,
-          other,
+          peer,
           () => {
-            const standing = this.standing.get(other);
-            const result = standing?.process.alive === true ? act(standing) : without;
+            const backEnd = this.backEnds.get(peer);
+            const result = backEnd?.process.alive === true ? act(backEnd) : fallback;
             this.network.carry(
-              other,
+              peer,
               name,
-              () => give(result),
-              () => this.world.plan(2_000_000, () => give(without)),
+              () => finish(result),
+              () => this.world.plan(2_000_000, () => finish(fallback)),
             );
           },
-          () => this.world.plan(2_000_000, () => give(without)),
+          () => this.world.plan(2_000_000, () => finish(fallback)),
         );
       });
     return {
       fetch: (address, keys) =>
-        reach<readonly KvBlock[]>(address, ({ kv }) => keys.flatMap((key) => kv.use(key) ?? []), []),
-      put: (address, blocks) => reach(address, ({ kv }) => blocks.forEach((block) => kv.keep(block)), undefined),
+        callPeer<readonly KvBlock[]>(address, ({ kv }) => keys.flatMap((key) => kv.use(key) ?? []), []),
+      put: (address, blocks) => callPeer(address, ({ kv }) => blocks.forEach((block) => kv.keep(block)), undefined),
     };
   }
 }
--- a/source/fleet-simulator/machines/simCallers.ts
+++ b/source/fleet-simulator/machines/simCallers.ts
@@ -6,6 +6,7 @@
 import type { SimProcess } from '../world/simProcess';
 import type { World } from '../world/world';
 
+/** A kind of request that simulated clients send; `parts` is the number of parts in the expected response. */
 export type SimKind = Readonly<{
   name: string;
   path: string;
@@ -15,11 +16,15 @@
   resumable: boolean;
 }>;
 
-/** How a caller behaves. `leaves`: goes away at some moment. Slow ones take their time over the body or each part. */
+/**
+ * How a client behaves. `leaves` disconnects at a random time; `slowSender` delays the request body and `slowReader` delays
+ * each part of the response.
+ */
 export type SimHabit = Readonly<{ kind: 'plain' | 'leaves' | 'slowReader' | 'slowSender'; stream: boolean }>;
 
 export const plainHabit: SimHabit = { kind: 'plain', stream: true };
 
+/** A request of a simulated client and what the client saw of its response. */
 export type SimCall = {
   readonly nonce: string;
   readonly proxy: string;
@@ -30,7 +35,7 @@
   readonly path: string;
   readonly model: string;
   readonly sentMicroseconds: number;
-  /** When the whole body had been read by the daemon. */
+  /** The time at which the proxy had read the whole body. */
   readMicroseconds: number;
   status: number;
   verdict: string;
@@ -40,19 +45,20 @@
   whole: boolean;
   right: boolean;
   over: boolean;
-  /** The caller went away, or its daemon died: nobody answers for the rest. */
+  /** The client disconnected or, with `proxyDied`, its proxy died: the rest of the response is not judged. */
   left: boolean;
   daemonDied: boolean;
   lastPartMicroseconds: number;
   endedMicroseconds: number;
 };
 
+/** A running proxy with its process, to which clients send requests. */
 export type ProxyHandle = Readonly<{ name: string; process: SimProcess; proxy: EdgeProxy }>;
 
 type StreamedEvent = Readonly<{ choices: readonly Readonly<{ delta: Readonly<{ content: string }> }>[] }>;
-type WholeAnswer = Readonly<{ choices: readonly Readonly<{ message: Readonly<{ content: string }> }>[] }>;
+type UnstreamedResponse = Readonly<{ choices: readonly Readonly<{ message: Readonly<{ content: string }> }>[] }>;
 
-const streamedWords = (text: string): string =>
+const streamedText = (text: string): string =>
   text
     .split('\n\n')
     .flatMap((event) =>
@@ -62,30 +68,37 @@
     )
     .join('');
 
-const wholeWords = (text: string): string => {
+const unstreamedText = (text: string): string => {
   try {
-    return (JSON.parse(text) as WholeAnswer).choices[0]?.message.content ?? '';
+    return (JSON.parse(text) as UnstreamedResponse).choices[0]?.message.content ?? '';
   } catch {
     return '';
   }
 };
 
-/** Callers of a simulated fleet. What they saw is theirs alone. */
+/** The clients of a simulated fleet. They record only what a client can observe. */
 export class SimCallers {
   public readonly calls: SimCall[] = [];
-  private made = 0;
+  private requestCount = 0;
 
   public constructor(private readonly world: World) {}
 
-  public call(handle: ProxyHandle, kind: SimKind, tenant: string, key: string, habit: SimHabit = plainHabit): SimCall {
-    this.made += 1;
+  /** Sends a request to a proxy; the returned record is filled in as the response arrives. */
+  public call(
+    handle: ProxyHandle,
+    kind: SimKind,
+    tenant: string,
+    key: string,
+    behaviour: SimHabit = plainHabit,
+  ): SimCall {
+    this.requestCount += 1;
     const { world } = this;
-    const nonce = `n${world.seed}-${this.made}`;
+    const nonce = `n${world.seed}-${this.requestCount}`;
     const messages = [
       ...(kind.prefix === '' ? [] : [{ role: 'system', content: kind.prefix }]),
       { role: 'user', content: `nonce:${nonce} please` },
     ];
-    const call: SimCall = {
+    const request: SimCall = {
       nonce,
       proxy: handle.name,
       kind: kind.name,
@@ -109,41 +122,41 @@
       lastPartMicroseconds: 0,
       endedMicroseconds: 0,
     };
-    this.calls.push(call);
-    const gone: (() => void)[] = [];
-    const words = habit.stream ? streamedWords : wholeWords;
+    this.calls.push(request);
+    const disconnectCallbacks: (() => void)[] = [];
+    const textOf = behaviour.stream ? streamedText : unstreamedText;
     const finish = (whole: boolean): void => {
-      if (call.over) return;
-      call.over = true;
-      call.whole = whole;
-      call.right = words(call.text) === Answers.text(HashChains.canonicalPrompt(messages), kind.parts).join('');
-      call.endedMicroseconds = world.nowMicroseconds;
+      if (request.over) return;
+      request.over = true;
+      request.whole = whole;
+      request.right = textOf(request.text) === Answers.text(HashChains.canonicalPrompt(messages), kind.parts).join('');
+      request.endedMicroseconds = world.nowMicroseconds;
     };
     handle.process.whenDead(() => {
-      if (!call.over) call.daemonDied = true;
+      if (!request.over) request.daemonDied = true;
       finish(false);
     });
     const refuse = (refusal: Refusal): void => {
-      if (call.over) return;
-      call.status = refusal.status;
-      call.verdict = refusal.verdict;
-      call.code = refusal.code;
-      call.retryAfterSeconds = refusal.retryAfterSeconds;
+      if (request.over) return;
+      request.status = refusal.status;
+      request.verdict = refusal.verdict;
+      request.code = refusal.code;
+      request.retryAfterSeconds = refusal.retryAfterSeconds;
       finish(true);
     };
-    const answer: ResponseSink = {
-      begun: () => call.status !== 0,
-      gone: () => call.left,
-      onClientGone: (act) => void (call.left ? act() : gone.push(act)),
+    const response: ResponseSink = {
+      begun: () => request.status !== 0,
+      gone: () => request.left,
+      onClientGone: (act) => void (request.left ? act() : disconnectCallbacks.push(act)),
       head: ({ status, headers }) => {
-        call.status = status;
-        call.verdict = headers['postdrum-verdict'] ?? '';
+        request.status = status;
+        request.verdict = headers['postdrum-verdict'] ?? '';
       },
       part: (bytes) => {
-        if (call.over) return undefined;
-        call.text += Buffer.from(bytes).toString('utf8');
-        call.lastPartMicroseconds = world.nowMicroseconds;
-        if (habit.kind !== 'slowReader') return undefined;
+        if (request.over) return undefined;
+        request.text += Buffer.from(bytes).toString('utf8');
+        request.lastPartMicroseconds = world.nowMicroseconds;
+        if (behaviour.kind !== 'slowReader') return undefined;
         return new Promise((resolve) =>
           world.plan(Math.floor(world.random.fraction() * 150_000), () => handle.process.enter(resolve)),
         );
@@ -152,25 +165,25 @@
       cut: () => finish(false),
       refuse,
     };
-    if (habit.kind === 'leaves')
+    if (behaviour.kind === 'leaves')
       world.plan(Math.floor(world.random.fraction() * 400_000), () => {
-        if (call.over) return;
-        call.left = true;
+        if (request.over) return;
+        request.left = true;
         finish(false);
-        handle.process.enter(() => gone.splice(0).forEach((act) => act()));
+        handle.process.enter(() => disconnectCallbacks.splice(0).forEach((act) => act()));
       });
-    const body = JSON.stringify({ model: kind.model, messages, stream: habit.stream, max_tokens: kind.parts });
-    const bodyTakes = habit.kind === 'slowSender' ? Math.floor(world.random.fraction() * 1_500_000) : 0;
+    const body = JSON.stringify({ model: kind.model, messages, stream: behaviour.stream, max_tokens: kind.parts });
+    const bodyMicroseconds = behaviour.kind === 'slowSender' ? Math.floor(world.random.fraction() * 1_500_000) : 0;
     world.plan(100, () =>
       handle.process.enter(() => {
-        if (call.left) return;
+        if (request.left) return;
         const { proxy } = handle;
-        const found = proxy.identifier.tenantOf(key);
-        if (found.kind === 'refuse') return refuse(found.refusal);
-        world.plan(bodyTakes, () =>
+        const identified = proxy.identifier.tenantOf(key);
+        if (identified.kind === 'refuse') return refuse(identified.refusal);
+        world.plan(bodyMicroseconds, () =>
           handle.process.enter(() => {
-            if (call.left) return;
-            call.readMicroseconds = world.nowMicroseconds;
+            if (request.left) return;
+            request.readMicroseconds = world.nowMicroseconds;
             void proxy.handle(
               {
                 id: `${nonce}-${world.random.name().slice(0, 8)}`,
@@ -181,12 +194,12 @@
                 body,
                 arrivedMicroseconds: handle.process.clock.nowMicroseconds(),
               },
-              answer,
+              response,
             );
           }),
         );
       }),
     );
-    return call;
+    return request;
   }
 }
--- a/source/fleet-simulator/machines/simFleet.ts
+++ b/source/fleet-simulator/machines/simFleet.ts
@@ -11,25 +11,28 @@
 import { SimBackEnds } from './simBackEnds';
 import { SimCallers, type ProxyHandle, type SimKind } from './simCallers';
 
+/** The size, speed and load of a simulated fleet. */
 export type SimShape = Readonly<{
   edges: number;
-  /** Edge machines with an agent, the first ones; missing: all. Proxies elsewhere are fed over the network. */
+  /** The number of edge machines that run an agent, counted from the first; default: all. Other proxies receive their state over the network. */
   agents?: number;
   engines: number;
-  /** Engines of a second pool, where a mapping may be moved to. */
+  /** Engines of a second pool, to which a mapping may be moved. */
   spares: number;
   capacity: number;
   mostBlocks: number;
-  /** How long orders may be held, times the usual. */
+  /** Factor on the default limits of the time that requests may wait in the queue. */
   patience: number;
-  /** How long one part of an answer takes, and between two callers on average. */
+  /** The time that an engine takes for one part of a response. */
   partMicroseconds: number;
+  /** The mean time between two client requests. */
   pauseMicroseconds: number;
-  /** Traffic before the first fault; what second sends are paid with must have been earned. */
+  /** Duration of the traffic before the first fault, in which the retry budget for second sends is earned. */
   warmMicroseconds: number;
   proxy: Partial<ProxySettings>;
 }>;
 
+/** The fleet of most scenarios. */
 export const usualShape: SimShape = {
   edges: 4,
   engines: 4,
@@ -43,17 +46,18 @@
   proxy: {},
 };
 
-/** So little room that orders wait, though all can be served, by callers that have patience. */
+/** So little capacity that requests queue, though all can be served because they may wait longer. */
 export const crowdedShape: SimShape = {
   ...usualShape,
   capacity: 3,
   patience: 4,
-  // Why longer answers: counts of other proxies are worth something only where answers outlast their way.
+  // Responses take longer because the load that other proxies report is useful only if responses outlast its propagation.
   partMicroseconds: 200_000,
   pauseMicroseconds: 130_000,
   warmMicroseconds: 12_000_000,
 };
 
+/** A simulated control node with its machine, disk and process. */
 export type SimKeeper = {
   readonly name: string;
   readonly member: CoreMember;
@@ -65,6 +69,8 @@
   keeper: ControlNode | undefined;
   exits: number;
 };
+
+/** A simulated edge machine with its agent and proxy. */
 export type SimEdge = {
   readonly name: string;
   readonly machine: string;
@@ -72,10 +78,11 @@
   proxyProcess: SimProcess;
   agent: EdgeAgent;
   proxy: EdgeProxy;
-  /** Whether the platform hands callers to this machine. */
+  /** Whether the platform routes clients to this machine. */
   open: boolean;
 };
 
+/** A change that an operator requested, with the outcome that the operator received. */
 export type OperatorChange = {
   readonly id: string;
   readonly key: DocumentKey;
@@ -84,6 +91,8 @@
   outcome: ChangeOutcome | undefined;
   answeredMicroseconds: number;
 };
+
+/** A read by an operator and the document that it returned. */
 export type OperatorRead = Readonly<{
   key: DocumentKey;
   askedMicroseconds: number;
@@ -112,8 +121,9 @@
   answerLimitMicroseconds: 20_000_000,
 });
 
-type Place = Readonly<{ machine: string; kind: Engine['kind']; service: string }>;
+type Placement = Readonly<{ machine: string; kind: Engine['kind']; service: string }>;
 
+/** The blueprints that simulated fleets start with. */
 export const SimBlueprints = {
   first: (weights = 'w1', patience = 1): Blueprint => ({
     classes: {
@@ -155,6 +165,7 @@
 
 const prefixText = (name: string): string => `Long shared rulebook ${name}. `.repeat(100).slice(0, blockCharacters * 8);
 
+/** The kinds of requests that simulated clients send, one for each mapping of the first blueprint. */
 export const SimKinds = {
   long: (name = 'A'): SimKind => ({
     name: 'long',
@@ -193,7 +204,7 @@
 
 const zones = ['harbour', 'hill', 'river'] as const;
 
-/** Keepers, agents, proxies and stand-ins of a whole fleet in one process, on virtual time. */
+/** The control nodes, agents, proxies and stand-in engines of a whole fleet in one process, on virtual time. */
 export class SimFleet {
   public readonly network: SimNetwork;
   public readonly backEnds: SimBackEnds;
@@ -207,25 +218,26 @@
   public readonly spareNames: readonly string[];
   public readonly appName: string;
   public readonly storeName: string;
+  /** The control node whose disk was wiped last, if any. */
   public wiped: SimKeeper | undefined;
-  /** What operators wrote into the settings of the agents. */
+  /** The `fleet` setting of the agents. */
   public statedFleet = '';
   private changeCount = 0;
 
   public constructor(
     public readonly world: World,
     public readonly shape: SimShape = usualShape,
-    /** Two fleets of one world share a network and have addresses of their own. */
-    private readonly net = '10',
+    /** The first octet of the fleet's addresses. Two fleets of one world share a network and need distinct addresses. */
+    private readonly addressPrefix = '10',
     network?: SimNetwork,
   ) {
     this.network = network ?? new SimNetwork(world);
-    this.storeName = `${net}.4.0.1`;
-    this.appName = `${net}.3.2.1`;
+    this.storeName = `${addressPrefix}.4.0.1`;
+    this.appName = `${addressPrefix}.3.2.1`;
     this.backEnds = new SimBackEnds(world, this.network);
     this.callers = new SimCallers(world);
-    this.engineNames = Array.from({ length: shape.engines }, (_, index) => `${this.net}.3.0.${index + 1}`);
-    this.spareNames = Array.from({ length: shape.spares }, (_, index) => `${this.net}.3.1.${index + 1}`);
+    this.engineNames = Array.from({ length: shape.engines }, (_, index) => `${this.addressPrefix}.3.0.${index + 1}`);
+    this.spareNames = Array.from({ length: shape.spares }, (_, index) => `${this.addressPrefix}.3.1.${index + 1}`);
     for (const name of [...this.engineNames, ...this.spareNames, this.appName])
       this.backEnds.addEngine(name, {
         name,
@@ -237,7 +249,7 @@
         importMicrosecondsPerBlock: 500,
         partMicroseconds: shape.partMicroseconds,
         loadMicroseconds: 400_000,
-        // Why every other one: the design must stay safe where an engine does not look at terms.
+        // Only every other engine checks terms, because the design must stay safe with engines that don't.
         checksTerms: Number(name.split('.')[3]) % 2 === 1,
       });
     this.backEnds.addStore(this.storeName);
@@ -246,12 +258,13 @@
   }
 
   public get seeds(): readonly string[] {
-    return [1, 2, 3].map((number) => `${this.net}.1.0.${number}:1`);
+    return [1, 2, 3].map((number) => `${this.addressPrefix}.1.0.${number}:1`);
   }
 
+  /** Adds a control node, which is not started yet. */
   public addKeeper(number: number, replaces = ''): SimKeeper {
-    const machine = `${this.net}.1.0.${number}`;
-    const made: SimKeeper = {
+    const machine = `${this.addressPrefix}.1.0.${number}`;
+    const created: SimKeeper = {
       name: `keeper-${number}`,
       member: { address: `${machine}:1`, operatorsAddress: `${machine}:2`, zone: '' },
       machine,
@@ -262,34 +275,34 @@
       keeper: undefined,
       exits: 0,
     };
-    made.process.alive = false;
-    this.keepers.push(made);
-    return made;
+    created.process.alive = false;
+    this.keepers.push(created);
+    return created;
   }
 
-  /** The keepers whose machines are not lost for good. */
+  /** The control nodes that were not replaced after the permanent loss of their machines. */
   public present(): readonly SimKeeper[] {
     return this.keepers.filter(({ replaced }) => !replaced);
   }
 
-  public startKeeper(keeper: SimKeeper): void {
-    if (keeper.process.alive) return;
-    const process = new SimProcess(this.world, keeper.name, keeper.machine, this.drift());
-    keeper.process = process;
+  public startKeeper(controlNode: SimKeeper): void {
+    if (controlNode.process.alive) return;
+    const process = new SimProcess(this.world, controlNode.name, controlNode.machine, this.randomDrift());
+    controlNode.process = process;
     const effects = { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) };
-    const made = new ControlNode(effects, keeper.disk.of(process), {
+    const created = new ControlNode(effects, controlNode.disk.of(process), {
       ...ControlNodeDefaults,
-      name: keeper.name,
-      member: keeper.member,
+      name: controlNode.name,
+      member: controlNode.member,
       seeds: this.seeds,
-      replaces: keeper.replaces,
+      replaces: controlNode.replaces,
     });
-    keeper.keeper = made;
-    made.events.on('broken', () => {
-      keeper.exits += 1;
+    controlNode.keeper = created;
+    created.events.on('broken', () => {
+      controlNode.exits += 1;
       process.kill();
     });
-    void made.start().then(
+    void created.start().then(
       (started) => {
         if (started.kind === 'corrupt') process.kill();
       },
@@ -297,16 +310,17 @@
     );
   }
 
-  public killKeeper(keeper: SimKeeper, power: boolean): void {
-    keeper.process.kill();
-    if (power) keeper.disk.losePower();
+  /** Kills the process of a control node; with `losesPower`, its disk loses power as well. */
+  public killKeeper(controlNode: SimKeeper, losesPower: boolean): void {
+    controlNode.process.kill();
+    if (losesPower) controlNode.disk.losePower();
   }
 
-  /** One more edge machine, not started yet; it runs no agent. */
+  /** Adds an edge machine that runs no agent; it is not started yet. */
   public addEdge(): SimEdge {
-    const made = this.makeEdge(this.edges.length + 1);
-    this.edges.push(made);
-    return made;
+    const created = this.makeEdge(this.edges.length + 1);
+    this.edges.push(created);
+    return created;
   }
 
   public killEdge(edge: SimEdge): void {
@@ -326,18 +340,18 @@
 
   public startAgent(edge: SimEdge): void {
     if (edge.agentProcess.alive || !this.hasAgent(edge)) return;
-    const made = this.makeAgent(edge.name, edge.machine);
-    edge.agentProcess = made.process;
-    edge.agent = made.agent;
-    void made.agent.start();
+    const created = this.makeAgent(edge.name, edge.machine);
+    edge.agentProcess = created.process;
+    edge.agent = created.agent;
+    void created.agent.start();
   }
 
   public startProxy(edge: SimEdge): void {
     if (edge.proxyProcess.alive) return;
-    const made = this.makeProxy(edge.name, edge.machine);
-    edge.proxyProcess = made.process;
-    edge.proxy = made.proxy;
-    made.proxy.start();
+    const created = this.makeProxy(edge.name, edge.machine);
+    edge.proxyProcess = created.process;
+    edge.proxy = created.proxy;
+    created.proxy.start();
   }
 
   public handle(edge: SimEdge): ProxyHandle {
@@ -356,9 +370,13 @@
     return found;
   }
 
-  /** All back ends, and the service that each belongs to. */
-  public places(): Readonly<Record<string, Place>> {
-    const engines = (names: readonly string[], label: string, service: string): readonly (readonly [string, Place])[] =>
+  /** The machine, kind and service of every back end, by label. */
+  public places(): Readonly<Record<string, Placement>> {
+    const engines = (
+      names: readonly string[],
+      label: string,
+      service: string,
+    ): readonly (readonly [string, Placement])[] =>
       names.map((machine, index) => [`${label}-${index + 1}`, { machine, kind: 'engine', service }]);
     return {
       ...Object.fromEntries([
@@ -372,10 +390,10 @@
 
   /** The service of the back end on a machine. */
   public serviceOf(machine: string): string {
-    return Object.values(this.places()).find((place) => place.machine === machine)?.service ?? '';
+    return Object.values(this.places()).find((placement) => placement.machine === machine)?.service ?? '';
   }
 
-  /** Everything on machines of one zone, of which there are three. */
+  /** The zone of a machine; there are three zones. */
   public zoneOf(machine: string): string {
     return zones[Number(machine.split('.')[3]) % zones.length] ?? '';
   }
@@ -392,11 +410,11 @@
     ];
   }
 
-  public engineList(draining: readonly string[] = [], without: readonly string[] = []): EngineList {
+  public engineList(draining: readonly string[] = [], excluded: readonly string[] = []): EngineList {
     return {
       engines: Object.fromEntries(
         Object.entries(this.places())
-          .filter(([, { machine }]) => !without.includes(machine))
+          .filter(([, { machine }]) => !excluded.includes(machine))
           .map(([label, { machine, kind, service }]) => [
             label,
             {
@@ -411,39 +429,40 @@
     };
   }
 
-  /** An operator's change through one keeper; what became of it is written down as the operator saw it. */
-  public change(keeper: SimKeeper, order: Omit<ChangeOrder, 'id'> & Readonly<{ id?: string }>): OperatorChange {
+  /** Requests a change from one control node as an operator and records the outcome that the operator receives. */
+  public change(controlNode: SimKeeper, request: Omit<ChangeOrder, 'id'> & Readonly<{ id?: string }>): OperatorChange {
     this.changeCount += 1;
-    const id = order.id ?? `change-${this.changeCount}`;
-    const made: OperatorChange = {
+    const id = request.id ?? `change-${this.changeCount}`;
+    const created: OperatorChange = {
       id,
-      key: order.key,
-      text: order.text,
+      key: request.key,
+      text: request.text,
       askedMicroseconds: this.world.nowMicroseconds,
       outcome: undefined,
       answeredMicroseconds: Infinity,
     };
-    this.changes.push(made);
-    const running = keeper.keeper;
+    this.changes.push(created);
+    const running = controlNode.keeper;
     this.world.plan(200, () =>
-      keeper.process.enter(() => {
+      controlNode.process.enter(() => {
         if (running === undefined) return;
-        void running.change({ ...order, id }).then((outcome) => {
-          if (!keeper.process.alive) return;
-          made.outcome = outcome;
-          made.answeredMicroseconds = this.world.nowMicroseconds;
+        void running.change({ ...request, id }).then((outcome) => {
+          if (!controlNode.process.alive) return;
+          created.outcome = outcome;
+          created.answeredMicroseconds = this.world.nowMicroseconds;
         });
       }),
     );
-    return made;
+    return created;
   }
 
-  public read(keeper: SimKeeper, key: DocumentKey): void {
+  /** Reads a document from one control node as an operator and records the result. */
+  public read(controlNode: SimKeeper, key: DocumentKey): void {
     const askedMicroseconds = this.world.nowMicroseconds;
-    keeper.process.enter(
+    controlNode.process.enter(
       () =>
-        void keeper.keeper?.read(key).then((outcome) => {
-          if (outcome.kind === 'read' && keeper.process.alive)
+        void controlNode.keeper?.read(key).then((outcome) => {
+          if (outcome.kind === 'read' && controlNode.process.alive)
             this.reads.push({
               key,
               askedMicroseconds,
@@ -455,22 +474,25 @@
     );
   }
 
-  /** Asks until taken or refused, through any keeper, with one id; false when the limit passes first. */
+  /**
+   * Retries a change through the control nodes in attempt until one accepts it; each attempt has an id of its own. Returns
+   * undefined if the change is refused for good or the time limit passes.
+   */
   public async take(
     key: DocumentKey,
     value: unknown,
     limitMicroseconds = 15_000_000,
   ): Promise<OperatorChange | undefined> {
-    const until = this.world.nowMicroseconds + limitMicroseconds;
+    const deadlineMicroseconds = this.world.nowMicroseconds + limitMicroseconds;
     let revision = 0;
-    for (let turn = 0; this.world.nowMicroseconds < until; turn += 1) {
-      const keeper = this.keeper(turn % this.keepers.length);
-      if (!keeper.process.alive) {
+    for (let attempt = 0; this.world.nowMicroseconds < deadlineMicroseconds; attempt += 1) {
+      const controlNode = this.keeper(attempt % this.keepers.length);
+      if (!controlNode.process.alive) {
         await this.world.runFor(20_000);
         continue;
       }
-      const change = this.change(keeper, { key, form: 'whole', text: JSON.stringify(value), ifMatch: revision });
-      await this.world.runUntil(() => change.outcome !== undefined || !keeper.process.alive, 6_000_000);
+      const change = this.change(controlNode, { key, form: 'whole', text: JSON.stringify(value), ifMatch: revision });
+      await this.world.runUntil(() => change.outcome !== undefined || !controlNode.process.alive, 6_000_000);
       const outcome = change.outcome;
       if (outcome?.kind === 'taken') return change;
       if (outcome?.kind === 'refused' && outcome.reason === 'revision') revision = outcome.revision;
@@ -480,8 +502,9 @@
     return undefined;
   }
 
+  /** Starts all machines, writes the first blueprint and engine list, and waits until every proxy and agent has them. */
   public async startAll(blueprint: Blueprint = SimBlueprints.first('w1', this.shape.patience)): Promise<void> {
-    for (const keeper of this.keepers) this.startKeeper(keeper);
+    for (const controlNode of this.keepers) this.startKeeper(controlNode);
     for (const edge of this.edges) this.startEdge(edge);
     if ((await this.take('blueprint', blueprint)) === undefined) throw new Error('the first blueprint was not taken');
     if ((await this.take('engines', this.engineList())) === undefined)
@@ -499,14 +522,14 @@
     if (!serving) throw new Error('the fleet did not come up');
   }
 
-  /** Why up to five per mille: the bound that docs/notes/freshness.md states for clocks that run apart. */
-  private drift(): number {
+  /** Clock drift of up to 5 per mille either way, in parts per million: the bound that docs/notes/freshness.md states. */
+  private randomDrift(): number {
     return Math.floor((this.world.random.fraction() - 0.5) * 10_000);
   }
 
   private makeEdge(number: number): SimEdge {
     const name = `edge-${number}`;
-    const machine = `${this.net}.2.0.${number}`;
+    const machine = `${this.addressPrefix}.2.0.${number}`;
     const { process: agentProcess, agent } = this.makeAgent(name, machine);
     const { process: proxyProcess, proxy } = this.makeProxy(name, machine);
     agentProcess.alive = false;
@@ -515,7 +538,7 @@
   }
 
   private makeAgent(name: string, machine: string): Readonly<{ process: SimProcess; agent: EdgeAgent }> {
-    const process = new SimProcess(this.world, `${name}-agent`, machine, this.drift());
+    const process = new SimProcess(this.world, `${name}-agent`, machine, this.randomDrift());
     const effects = { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) };
     const agent = new EdgeAgent(effects, this.backEnds.doorOf(process), {
       ...AgentDefaults,
@@ -531,7 +554,7 @@
   }
 
   private makeProxy(name: string, machine: string): Readonly<{ process: SimProcess; proxy: EdgeProxy }> {
-    const process = new SimProcess(this.world, `${name}-proxy`, machine, this.drift());
+    const process = new SimProcess(this.world, `${name}-proxy`, machine, this.randomDrift());
     const effects = { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) };
     const proxy = new EdgeProxy(effects, this.backEnds.senderOf(process), {
       ...ProxyDefaults,
