--- a/source/fleet-simulator/machines/simFleet.ts
+++ b/source/fleet-simulator/machines/simFleet.ts
@@ -475,7 +475,7 @@
   }
 
   /**
-   * Retries a change through the control nodes in attempt until one accepts it; each attempt has an id of its own. Returns
+   * Retries a change through the control nodes in turn until one accepts it; each attempt has an id of its own. Returns
    * undefined if the change is refused for good or the time limit passes.
    */
   public async take(
