--- a/source/fleet-simulator/machines/simBackEnds.ts
+++ b/source/fleet-simulator/machines/simBackEnds.ts
@@ -72,7 +72,7 @@
   public readonly ills: Ill[] = [];
   /** Other faults were injected as well, so the requests that faulty engines receive cannot be judged. */
   public isTroubled = false;
-  private readonly backEnds = new Map<string, BackEndState>();
+  private readonly standing = new Map<string, BackEndState>();
 
   public constructor(
     private readonly world: World,
@@ -84,7 +84,7 @@
     const engine = new StandInEngine(settings, this.clockOf(name), this.world.random, this.kvPeersOf(name), (line) =>
       this.runs.push(line),
     );
-    this.backEnds.set(name, {
+    this.standing.set(name, {
       process,
       machine: name,
       engine,
@@ -96,7 +96,7 @@
   }
 
   public addStore(name: string): string {
-    this.backEnds.set(name, {
+    this.standing.set(name, {
       process: new SimProcess(this.world, name, name),
       machine: name,
       engine: undefined,
@@ -108,13 +108,13 @@
   }
 
   public get(name: string): BackEndState {
-    const found = this.backEnds.get(name);
+    const found = this.standing.get(name);
     if (found === undefined) throw new Error(`no back end ${name}`);
     return found;
   }
 
   public engines(): readonly StandInEngine[] {
-    return [...this.backEnds.values()].flatMap(({ engine }) => engine ?? []);
+    return [...this.standing.values()].flatMap(({ engine }) => engine ?? []);
   }
 
   public kill(name: string): void {
@@ -175,7 +175,7 @@
           const deliver = (result: Result | undefined): void =>
             this.network.carry(name, agent.machine, () => agent.enter(() => resolve(result)));
           this.network.carry(agent.machine, name, () => {
-            const backEnd = this.backEnds.get(name);
+            const backEnd = this.standing.get(name);
             if (backEnd === undefined || !backEnd.process.alive || backEnd.isControlSilent) deliver(undefined);
             else backEnd.process.enter(() => deliver(act(backEnd)));
           });
@@ -267,7 +267,7 @@
           proxy.machine,
           name,
           () => {
-            if (this.backEnds.get(name)?.process.alive !== true) {
+            if (this.standing.get(name)?.process.alive !== true) {
               recordSend();
               this.network.carry(
                 name,
@@ -283,7 +283,7 @@
           () => this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
         );
         const receiveRequest = (leftMicroseconds: number): void => {
-          const backEnd = this.backEnds.get(name);
+          const backEnd = this.standing.get(name);
           if (backEnd === undefined || !backEnd.process.alive) {
             this.network.carry(
               name,
@@ -374,7 +374,7 @@
       nowMicroseconds: () => this.world.nowMicroseconds,
       steadyMicroseconds: () => this.world.nowMicroseconds,
       after: (delay, act) => {
-        const process = this.backEnds.get(name)?.process;
+        const process = this.standing.get(name)?.process;
         return this.world.plan(delay, () => (process === undefined ? act() : process.enter(act)));
       },
     };
@@ -393,7 +393,7 @@
           name,
           peer,
           () => {
-            const backEnd = this.backEnds.get(peer);
+            const backEnd = this.standing.get(peer);
             const result = backEnd?.process.alive === true ? act(backEnd) : fallback;
             this.network.carry(
               peer,
--- a/source/fleet-simulator/machines/simCallers.ts
+++ b/source/fleet-simulator/machines/simCallers.ts
@@ -79,7 +79,7 @@
 /** The clients of a simulated fleet. They record only what a client can observe. */
 export class SimCallers {
   public readonly calls: SimCall[] = [];
-  private requestCount = 0;
+  private made = 0;
 
   public constructor(private readonly world: World) {}
 
@@ -91,9 +91,9 @@
     key: string,
     behaviour: SimHabit = plainHabit,
   ): SimCall {
-    this.requestCount += 1;
+    this.made += 1;
     const { world } = this;
-    const nonce = `n${world.seed}-${this.requestCount}`;
+    const nonce = `n${world.seed}-${this.made}`;
     const messages = [
       ...(kind.prefix === '' ? [] : [{ role: 'system', content: kind.prefix }]),
       { role: 'user', content: `nonce:${nonce} please` },
--- a/source/fleet-simulator/machines/simFleet.ts
+++ b/source/fleet-simulator/machines/simFleet.ts
@@ -14,7 +14,10 @@
 /** The size, speed and load of a simulated fleet. */
 export type SimShape = Readonly<{
   edges: number;
-  /** The number of edge machines that run an agent, counted from the first; default: all. Other proxies receive their state over the network. */
+  /**
+   * The number of edge machines that run an agent, counted from the first; default: all. Proxies on the other machines receive
+   * their state over the network.
+   */
   agents?: number;
   engines: number;
   /** Engines of a second pool, to which a mapping may be moved. */
@@ -67,6 +70,7 @@
   replaced: boolean;
   process: SimProcess;
   keeper: ControlNode | undefined;
+  /** The number of times that the process exited after a disk failure. */
   exits: number;
 };
 
@@ -125,21 +129,21 @@
 
 /** The blueprints that simulated fleets start with. */
 export const SimBlueprints = {
-  first: (weights = 'w1', patience = 1): Blueprint => ({
+  first: (weights = 'w1', queueLimitFactor = 1): Blueprint => ({
     classes: {
       long: {
         rank: 1,
         sharePerMille: 500,
         lends: true,
         holdingMost: 64,
-        holdingLimitMicroseconds: 2_000_000 * patience,
+        holdingLimitMicroseconds: 2_000_000 * queueLimitFactor,
       },
       short: {
         rank: 0,
         sharePerMille: 500,
         lends: true,
         holdingMost: 64,
-        holdingLimitMicroseconds: 1_500_000 * patience,
+        holdingLimitMicroseconds: 1_500_000 * queueLimitFactor,
       },
     },
     tenants: {
