--- a/source/postdrum/checking/blueprintCheck.ts
+++ b/source/postdrum/checking/blueprintCheck.ts
@@ -2,7 +2,9 @@
 import type { AgentStatus } from '../reaching/fleetReach';
 import type { EngineFact } from '../../shared/news/factTypes';
 
+/** A problem that an intended configuration would have on the fleet. */
 export type Finding = Readonly<{ path: string; finding: string }>;
+/** The result of a check; `partial` if some of the fleet did not answer. */
 export type CheckReport = Readonly<{
   changes: readonly string[];
   concerned: readonly string[];
@@ -10,22 +12,22 @@
   partial: boolean;
 }>;
 
-const emptyBlueprint: Blueprint = { classes: {}, tenants: {}, services: {}, mappings: {} };
+const emptyConfiguration: Blueprint = { classes: {}, tenants: {}, services: {}, mappings: {} };
 
 const compare = <Piece>(
   what: string,
   before: Readonly<Record<string, Piece>>,
   after: Readonly<Record<string, Piece>>,
-  say: (name: string, before: Piece, after: Piece) => string,
+  describe: (name: string, before: Piece, after: Piece) => string,
 ): readonly string[] =>
   [...new Set([...Object.keys(before), ...Object.keys(after)])].sort().flatMap((name) => {
     const [old, now] = [before[name], after[name]];
     if (old === undefined) return [`${what} ${name} is added`];
     if (now === undefined) return [`${what} ${name} is removed`];
-    return JSON.stringify(old) === JSON.stringify(now) ? [] : [`${what} ${name}: ${say(name, old, now)}`];
+    return JSON.stringify(old) === JSON.stringify(now) ? [] : [`${what} ${name}: ${describe(name, old, now)}`];
   });
 
-const fieldsSay = (before: object, after: object): string =>
+const describeFields = (before: object, after: object): string =>
   Object.entries(after)
     .filter(([field, value]) => JSON.stringify((before as Record<string, unknown>)[field]) !== JSON.stringify(value))
     .map(
@@ -34,28 +36,32 @@
     )
     .join(', ');
 
-const leadsTo = ({ service, shares }: Mapping, name: string): boolean =>
+const routesTo = ({ service, shares }: Mapping, name: string): boolean =>
   service === name || (shares ?? []).some((share) => share.service === name && share.weight > 0);
 
 const demandOf = (demand: ReadonlyMap<string, number>, service: string): number =>
   [...demand].reduce((sum, [place, count]) => sum + (place.startsWith(`${service}/`) ? count : 0), 0);
 
-/** Services and classes that would go while orders run or wait in them. */
-const goingUnder = (before: Blueprint, intended: Blueprint, demand: ReadonlyMap<string, number>): readonly Finding[] =>
+/** Reports services and classes that would be removed while requests run or wait in them. */
+const removedUnderLoad = (
+  before: Blueprint,
+  intended: Blueprint,
+  demand: ReadonlyMap<string, number>,
+): readonly Finding[] =>
   [...demand].flatMap(([place, count]) => {
     if (count === 0) return [];
     const [service = '', className = ''] = place.split('/', 2);
-    const says = (path: string): readonly Finding[] => [
+    const removal = (path: string): readonly Finding[] => [
       { path, finding: `is removed with ${count} orders running or waiting in ${place}` },
     ];
     if (before.services[service] !== undefined && intended.services[service] === undefined)
-      return says(`/services/${service}`);
+      return removal(`/services/${service}`);
     if (before.classes[className] !== undefined && intended.classes[className] === undefined)
-      return says(`/classes/${className}`);
+      return removal(`/classes/${className}`);
     return [];
   });
 
-/** Checks an intended blueprint against the fleet as it is. Pure; it changes nothing. */
+/** Checks an intended configuration against the current state of the fleet, without side effects. */
 export const BlueprintChecks = {
   run: (
     intended: Blueprint,
@@ -64,13 +70,13 @@
     agents: readonly AgentStatus[],
     partial: boolean,
   ): CheckReport => {
-    const before = present ?? emptyBlueprint;
+    const before = present ?? emptyConfiguration;
     const findings: Finding[] = [];
     const concerned: string[] = [];
     const facts = new Map<string, EngineFact>();
     for (const fact of agents.flatMap((agent) => agent.engines)) facts.set(fact.engine, fact);
     const inFlight = new Map<string, number>();
-    /** Orders that run or wait, by service and class. */
+    /** Running and waiting requests by service and class. */
     const demand = new Map<string, number>();
     const seenLoads = new Set<string>();
     for (const load of agents.flatMap(({ loads }) => loads)) {
@@ -81,10 +87,10 @@
       for (const counts of [load.classes, load.waiting])
         for (const [place, count] of Object.entries(counts)) demand.set(place, (demand.get(place) ?? 0) + count);
     }
-    findings.push(...goingUnder(before, intended, demand));
+    findings.push(...removedUnderLoad(before, intended, demand));
     const changes = [
-      ...compare('class', before.classes, intended.classes, (_name, old, now) => fieldsSay(old, now)),
-      // Why counts: keys are never shown.
+      ...compare('class', before.classes, intended.classes, (_name, old, now) => describeFields(old, now)),
+      // Only numbers of keys are printed because keys are secret.
       ...compare('tenant', before.tenants, intended.tenants, (_name, old, now) =>
         [
           old.walled === now.walled ? '' : `walled ${old.walled} → ${now.walled}`,
@@ -93,8 +99,8 @@
           .filter((part) => part !== '')
           .join(', '),
       ),
-      ...compare('service', before.services, intended.services, (_name, old, now) => fieldsSay(old, now)),
-      ...compare('mapping', before.mappings, intended.mappings, (_name, old, now) => fieldsSay(old, now)),
+      ...compare('service', before.services, intended.services, (_name, old, now) => describeFields(old, now)),
+      ...compare('mapping', before.mappings, intended.mappings, (_name, old, now) => describeFields(old, now)),
     ];
     for (const [tenant, old] of Object.entries(before.tenants)) {
       const now = intended.tenants[tenant];
@@ -143,16 +149,16 @@
           finding: `engine ${engine} is listed for it, and the blueprint has no such service`,
         });
     }
-    for (const [name, mapping] of Object.entries(intended.mappings))
-      if (mapping.path === '/-/health' || mapping.path === '/-/metrics')
+    for (const [name, route] of Object.entries(intended.mappings))
+      if (route.path === '/-/health' || route.path === '/-/metrics')
         findings.push({ path: `/mappings/${name}`, finding: "is shadowed by the proxy's own page" });
     for (const [name, service] of Object.entries(intended.services)) {
-      if (!Object.values(intended.mappings).some((mapping) => leadsTo(mapping, name)))
+      if (!Object.values(intended.mappings).some((route) => routesTo(route, name)))
         findings.push({ path: `/services/${name}`, finding: `no mapping leads to this ${service.kind}` });
     }
     for (const name of Object.keys(intended.classes))
       if (
-        !Object.values(intended.mappings).some((mapping) => mapping.class === name) &&
+        !Object.values(intended.mappings).some((route) => route.class === name) &&
         !Object.values(intended.tenants).some((tenant) => tenant.class === name)
       )
         findings.push({ path: `/classes/${name}`, finding: 'no mapping uses it' });
@@ -165,32 +171,32 @@
   pool: Pool,
   before: Blueprint,
   ready: readonly string[],
-  /** Undefined: there was nobody to tell of engines. */
-  told: ReadonlyMap<string, EngineFact> | undefined,
+  /** Undefined if no agent reported engines. */
+  reported: ReadonlyMap<string, EngineFact> | undefined,
   intended: Blueprint,
   concerned: string[],
   findings: Finding[],
-  wanted: number,
+  demandCount: number,
 ): void => {
-  // Why not one for each engine: whether their stewards reach them was not seen at all.
-  if (told === undefined && ready.length > 0)
+  // One finding covers all engines because no agent reported whether the engine controllers reach them.
+  if (reported === undefined && ready.length > 0)
     findings.push({ path: `/services/${name}`, finding: 'no daemon answered, so nothing is known of its engines' });
-  const facts = told ?? new Map<string, EngineFact>();
-  // Why only those with places: a steward that never reached its engine does not know how many it has.
+  const facts = reported ?? new Map<string, EngineFact>();
+  // Engines with capacity 0 are left out: a controller that never reached its engine doesn't know its capacity.
   const known = ready.flatMap((engine) => facts.get(engine) ?? []).filter(({ capacity }) => capacity > 0);
   for (const engine of ready)
-    if (told !== undefined && told.get(engine)?.reachable !== true)
+    if (reported !== undefined && reported.get(engine)?.reachable !== true)
       findings.push({
         path: `/services/${name}`,
         finding: `engine ${engine} is listed as ready and no steward reaches it`,
       });
   const capacity = known.reduce((sum, fact) => sum + fact.capacity, 0);
   const old = before.services[name];
-  // Why half: engines change in two rounds, and the first of them takes half of the pool away for some seconds.
-  if (old?.kind === 'pool' && old.weights !== pool.weights && known.length > 1 && wanted > capacity / 2)
+  // Half of the capacity counts because engines load in two rounds, and the first takes half of the pool offline for some seconds.
+  if (old?.kind === 'pool' && old.weights !== pool.weights && known.length > 1 && demandCount > capacity / 2)
     findings.push({
       path: `/services/${name}/weights`,
-      finding: `${wanted} orders run or wait, and half of its ${capacity} places are away while engines load; some may be refused`,
+      finding: `${demandCount} orders run or wait, and half of its ${capacity} places are away while engines load; some may be refused`,
     });
   if (old?.kind === 'pool' && old.weights !== pool.weights) {
     const loading = known.filter(({ weights }) => weights !== pool.weights);
@@ -201,9 +207,7 @@
       findings.push({ path: `/services/${name}/weights`, finding: 'its only engine serves nobody while it loads' });
   }
   for (const [className, settings] of Object.entries(intended.classes)) {
-    const used = Object.values(intended.mappings).some(
-      (mapping) => mapping.class === className && leadsTo(mapping, name),
-    );
+    const used = Object.values(intended.mappings).some((route) => route.class === className && routesTo(route, name));
     if (used && known.length > 0 && (capacity * settings.sharePerMille) / 1000 < 1)
       findings.push({
         path: `/classes/${className}/sharePerMille`,
--- a/source/postdrum/commands/commandLine.ts
+++ b/source/postdrum/commands/commandLine.ts
@@ -8,6 +8,7 @@
 import type { Manner } from '../reaching/manner';
 import { Texts } from './texts';
 
+/** The parsed flags. */
 export type Flags = Readonly<{
   core: readonly string[];
   revision: string | undefined;
@@ -17,14 +18,16 @@
   className: string;
 }>;
 
+/** A parsed command line. */
 export type Command = Readonly<{ topic: string; verb: string | undefined; file: string | undefined; flags: Flags }>;
 
-/** What one command line can do besides what all can; undefined: it is none of its commands. */
+/** Commands of one program besides the shared ones; each returns the exit code, or undefined for an unknown command. */
 export type MoreCommands = Readonly<{
   alone: (command: Command) => Promise<number | undefined>;
-  withFleet: (command: Command, reach: FleetReach) => Promise<number | undefined>;
+  withFleet: (command: Command, client: FleetReach) => Promise<number | undefined>;
 }>;
 
+/** Output and input of the command line. */
 export const Says = {
   out: (text: string): void => void process.stdout.write(text.endsWith('\n') ? text : `${text}\n`),
   fail: (sentence: string, code: number): number => {
@@ -43,41 +46,46 @@
 
 const { out, fail } = Says;
 
-const findings = (faults: readonly Fault[], json: boolean): number => {
+const printFaults = (faults: readonly Fault[], json: boolean): number => {
   if (json) out(JSON.stringify({ findings: faults.map(({ path, fault }) => ({ path, finding: fault })) }));
   else for (const { path, fault } of faults) out(`fault ${path}: ${fault}`);
   return 1;
 };
 
-/** The list that the core keeps, or else the newest that an agent has. */
-const listOf = async (reach: FleetReach, manner: Manner, view: FleetView): Promise<EngineList> => {
-  if (manner.paths.engines === undefined) {
+/** The engine list that the control nodes store, or else the newest that an agent has. */
+const engineListOf = async (client: FleetReach, operatorInterface: Manner, view: FleetView): Promise<EngineList> => {
+  if (operatorInterface.paths.engines === undefined) {
     const newest = [...view.agents].sort(
       (left, right) => (right.revisions['engines'] ?? 0) - (left.revisions['engines'] ?? 0),
     )[0];
     return { engines: newest?.listed ?? {} };
   }
-  const listed = await reach.document('engines');
+  const listed = await client.document('engines');
   if (listed.kind === 'nothing') return { engines: {} };
   const checked = Blueprints.checkText('engines', listed.text);
   if (checked.kind === 'faulty') throw new OddAnswer('the core holds a setup this version does not know');
   return checked.value as EngineList;
 };
 
-const check = async (reach: FleetReach, manner: Manner, file: string | undefined, json: boolean): Promise<number> => {
+const check = async (
+  client: FleetReach,
+  operatorInterface: Manner,
+  file: string | undefined,
+  json: boolean,
+): Promise<number> => {
   const text = Says.fileText(file);
-  const checked = manner.read(text);
-  if (checked.kind === 'faulty') return findings(checked.faults, json);
-  const present = await reach.document('blueprint');
-  const before = present.kind === 'read' ? manner.read(present.text) : undefined;
+  const checked = operatorInterface.read(text);
+  if (checked.kind === 'faulty') return printFaults(checked.faults, json);
+  const present = await client.document('blueprint');
+  const before = present.kind === 'read' ? operatorInterface.read(present.text) : undefined;
   if (before?.kind === 'faulty') throw new OddAnswer('the core holds a setup this version does not know');
-  const faults = manner.follows(present.kind === 'read' ? present.text : undefined, text);
-  if (faults.length > 0) return findings(faults, json);
-  const view = await reach.view();
+  const faults = operatorInterface.follows(present.kind === 'read' ? present.text : undefined, text);
+  if (faults.length > 0) return printFaults(faults, json);
+  const view = await client.view();
   const report = BlueprintChecks.run(
     checked.value,
     before?.value,
-    await listOf(reach, manner, view),
+    await engineListOf(client, operatorInterface, view),
     view.agents,
     view.silent.length > 0 || view.agents.length === 0,
   );
@@ -85,14 +93,14 @@
   return report.findings.length === 0 ? 0 : 1;
 };
 
-const status = async (reach: FleetReach, json: boolean): Promise<number> => {
-  const view = await reach.view();
+const status = async (client: FleetReach, json: boolean): Promise<number> => {
+  const view = await client.view();
   if (view.keepers.length === 0) throw new Unreachable('no keeper answers');
   out(json ? JSON.stringify({ ...view, partial: view.silent.length > 0 }) : Texts.status(view));
   return 0;
 };
 
-const run = async (manner: Manner, help: string, more: MoreCommands): Promise<number> => {
+const run = async (operatorInterface: Manner, help: string, more: MoreCommands): Promise<number> => {
   const { values, positionals } = parseArgs({
     options: {
       core: { type: 'string' },
@@ -123,24 +131,24 @@
   const alone = await more.alone(command);
   if (alone !== undefined) return alone;
   if (flags.core.length === 0) return fail('--core or POSTDRUM_CORE must name a keeper', 2);
-  const reach = new FleetReach(flags.core, manner);
-  if (topic === 'status' && verb === undefined) return status(reach, flags.json);
-  if (!isDocumentKey(topic) || manner.paths[topic] === undefined)
+  const client = new FleetReach(flags.core, operatorInterface);
+  if (topic === 'status' && verb === undefined) return status(client, flags.json);
+  if (!isDocumentKey(topic) || operatorInterface.paths[topic] === undefined)
     return fail(`there is no command ${topic}; see --help`, 2);
   if (verb === 'show') {
-    const document = await reach.document(topic);
+    const document = await client.document(topic);
     if (document.kind === 'nothing') return fail('nothing was taken yet', 1);
     process.stdout.write(document.text);
     return 0;
   }
-  if (topic === 'blueprint' && verb === 'check') return check(reach, manner, file, flags.json);
-  return (await more.withFleet(command, reach)) ?? fail(`there is no command ${topic} ${verb ?? ''}; see --help`, 2);
+  if (topic === 'blueprint' && verb === 'check') return check(client, operatorInterface, file, flags.json);
+  return (await more.withFleet(command, client)) ?? fail(`there is no command ${topic} ${verb ?? ''}; see --help`, 2);
 };
 
-/** The operators' command line; what it says wrong is one sentence on stderr, and a code that is not 0. */
+/** The operators' command line; an error is one line on stderr and an exit code other than 0. */
 export const CommandLine = {
-  run: (manner: Manner, help: string, more: MoreCommands): void => {
-    run(manner, help, more).then(
+  run: (operatorInterface: Manner, help: string, more: MoreCommands): void => {
+    run(operatorInterface, help, more).then(
       (code) => {
         process.exitCode = code;
       },
@@ -150,7 +158,7 @@
     );
   },
 
-  /** A command line that only looks. */
+  /** No further commands: a read-only command line. */
   looksOnly: {
     alone: () => Promise.resolve(undefined),
     withFleet: () => Promise.resolve(undefined),
--- a/source/postdrum/commands/texts.ts
+++ b/source/postdrum/commands/texts.ts
@@ -31,7 +31,7 @@
   return newest;
 };
 
-/** What a person reads. */
+/** Human-readable output of the check and status commands. */
 export const Texts = {
   check: ({ changes, concerned, findings, partial }: CheckReport): string =>
     [
@@ -47,8 +47,8 @@
     const newest = newestRevisions(keepers);
     const first = keepers.find(({ standing }) => standing === 'voting');
     const engines = new Map(agents.flatMap((agent) => agent.engines.map((engine) => [engine.engine, engine] as const)));
-    const stewards = new Map(
-      agents.flatMap((agent) => agent.stewards.map((steward) => [steward.engine, steward] as const)),
+    const controllers = new Map(
+      agents.flatMap((agent) => agent.stewards.map((controller) => [controller.engine, controller] as const)),
     );
     const shards = new Map(agents.flatMap((agent) => agent.shards.map((shard) => [shard.holder, shard] as const)));
     return [
@@ -73,9 +73,9 @@
       ...[...engines.values()]
         .sort((left, right) => (left.engine < right.engine ? -1 : 1))
         .map(({ engine, kind, weights, bootEpoch, capacity, inFlight, reachable, accepting, changing }) => {
-          const steward = stewards.get(engine);
+          const controller = controllers.get(engine);
           const shard = shards.get(engine);
-          return `  ${engine}: ${kind}, ${reachable ? (changing ? 'changing' : accepting ? 'ready' : 'not accepting') : 'not reached'}, weights ${weights === '' ? '-' : weights}, boot ${bootEpoch.slice(0, 8)}, ${inFlight}/${capacity}, steward ${steward?.holder ?? 'nobody'} term ${steward?.term ?? 0}, directory ${shard?.committed ?? 0} blocks at epoch ${shard?.epoch ?? 0}`;
+          return `  ${engine}: ${kind}, ${reachable ? (changing ? 'changing' : accepting ? 'ready' : 'not accepting') : 'not reached'}, weights ${weights === '' ? '-' : weights}, boot ${bootEpoch.slice(0, 8)}, ${inFlight}/${capacity}, steward ${controller?.holder ?? 'nobody'} term ${controller?.term ?? 0}, directory ${shard?.committed ?? 0} blocks at epoch ${shard?.epoch ?? 0}`;
         }),
     ].join('\n');
   },
--- a/source/postdrum/importing/openApiImport.ts
+++ b/source/postdrum/importing/openApiImport.ts
@@ -8,11 +8,11 @@
 
 const methods = ['get', 'put', 'post', 'delete', 'patch'] as const;
 
-const remoteIn = (value: unknown): string | undefined => {
+const findExternalReference = (value: unknown): string | undefined => {
   if (typeof value !== 'object' || value === null) return undefined;
   for (const [name, item] of Object.entries(value)) {
     if (name === '$ref' && typeof item === 'string' && !item.startsWith('#')) return item;
-    const found = remoteIn(item);
+    const found = findExternalReference(item);
     if (found !== undefined) return found;
   }
   return undefined;
@@ -24,7 +24,7 @@
     .replace(/^-+|-+$/g, '')
     .slice(0, 60) || 'root';
 
-/** Mappings from an OpenAPI file, as a piece change that an operator then takes or does not. Nothing is fetched. */
+/** Converts an OpenAPI file to a change that adds routes, for an operator to review and apply. Nothing is fetched. */
 export const OpenApiImports = {
   run: async (text: string, service: string, className: string): Promise<Imported> => {
     let document: unknown;
@@ -33,8 +33,8 @@
     } catch {
       return { kind: 'refused', text: 'the file is neither JSON nor YAML' };
     }
-    const remote = remoteIn(document);
-    // Why before the library sees it: nothing outside the file is ever read.
+    const remote = findExternalReference(document);
+    // References are checked before the library parses the document, so that nothing outside the file is ever read.
     if (remote !== undefined)
       return { kind: 'refused', text: `the file refers to something outside itself (${remote}); it is not fetched` };
     try {
@@ -53,7 +53,7 @@
       .filter(([, item]) => methods.some((method) => item[method] !== undefined))
       .map(([path, item]) => ({
         put: `/mappings/${Documents.escape(nameOf(path))}`,
-        // Why only then resumable: a repeated send of anything else may do its work twice.
+        // Only paths with nothing but GET are resumable; any other request that is sent again may take effect twice.
         value: {
           path,
           model: '',
--- a/source/postdrum/main.ts
+++ b/source/postdrum/main.ts
@@ -30,22 +30,22 @@
 const { out, fail, fileText } = Says;
 
 const change = async (
-  reach: FleetReach,
+  client: FleetReach,
   key: DocumentKey,
   method: 'PUT' | 'PATCH',
   text: string,
   flags: Flags,
 ): Promise<number> => {
-  const present = flags.revision === undefined ? await reach.document(key) : undefined;
+  const present = flags.revision === undefined ? await client.document(key) : undefined;
   const revision = flags.revision ?? (present?.kind === 'read' ? String(present.revision) : '0');
   const id = flags.id ?? randomUUID();
   const headers = { 'if-match': `"${revision}"`, 'idempotency-key': id, 'content-type': 'application/json' };
   let answer;
   try {
-    answer = await reach.core1(`/${key}`, method, text, headers);
+    answer = await client.core1(`/${key}`, method, text, headers);
   } catch (error) {
     if (!(error instanceof Unreachable)) throw error;
-    // Why not a refusal: a keeper that fell silent may have passed the change on.
+    // The outcome is unknown: a control node that stopped answering may have forwarded the change.
     return fail(
       `${error.message}; whether the change was taken is not known, ask again with --id ${id} --revision ${revision}`,
       3,
@@ -77,10 +77,10 @@
     out(JSON.stringify({ changes: imported.changes }, undefined, 2));
     return 0;
   },
-  withFleet: async ({ topic, verb, file, flags }, reach) => {
+  withFleet: async ({ topic, verb, file, flags }, client) => {
     if (!isDocumentKey(topic)) return undefined;
-    if (verb === 'take') return change(reach, topic, 'PUT', fileText(file), flags);
-    if (verb === 'patch') return change(reach, topic, 'PATCH', fileText(file), flags);
+    if (verb === 'take') return change(client, topic, 'PUT', fileText(file), flags);
+    if (verb === 'patch') return change(client, topic, 'PATCH', fileText(file), flags);
     return undefined;
   },
 });
--- a/source/postdrum/reaching/fleetReach.ts
+++ b/source/postdrum/reaching/fleetReach.ts
@@ -3,6 +3,7 @@
 import type { Manner } from './manner';
 import type { EngineFact, LoadFact, MemberFact, StewardFact } from '../../shared/news/factTypes';
 
+/** The status page of a control node. */
 export type KeeperStatus = Readonly<{
   keeper: string;
   standing: string;
@@ -13,20 +14,21 @@
   owners: Readonly<Record<string, Readonly<{ owner: string; epoch: string; revision: number }>>>;
   duties: Readonly<Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>>;
   agents: readonly MemberFact[];
-  /** What it holds of each key itself; missing: the keeper is of an earlier build. */
+  /** Its own replica of each key; missing if the control node runs an earlier build. */
   replica?: Readonly<{
     keys: Readonly<Record<string, Readonly<{ epoch: string; revision: number; leadsForMicroseconds: number | null }>>>;
     silentMicroseconds: Readonly<Record<string, number | null>>;
   }>;
 }>;
 
+/** The status page of an agent. */
 export type AgentStatus = Readonly<{
   agent: string;
   fleet: string;
   ageMicroseconds: number | null;
   revisions: Readonly<Record<string, number>>;
   members: readonly MemberFact[];
-  /** The list of engines in force there; missing: the agent is of an earlier build. */
+  /** The engine list in effect there; missing if the agent runs an earlier build. */
   listed?: EngineList['engines'];
   engines: readonly EngineFact[];
   stewards: readonly StewardFact[];
@@ -34,22 +36,25 @@
   shards: readonly Readonly<{ holder: string; term: number; epoch: number; bootEpoch: string; committed: number }>[];
 }>;
 
+/** A stored document; nothing if none has been committed yet. */
 export type Document = Readonly<{ kind: 'read'; revision: number; text: string }> | Readonly<{ kind: 'nothing' }>;
 
-/** What could be reached of the fleet, and what could not. */
+/** The statuses of the processes that answered, and the names of those that did not. */
 export type FleetView = Readonly<{
   keepers: readonly KeeperStatus[];
   agents: readonly AgentStatus[];
   silent: readonly string[];
 }>;
 
+/** No process answered a request. */
 export class Unreachable extends Error {}
+/** A response, a document or a file that can't be used. */
 export class OddAnswer extends Error {}
 
 const isObject = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-const isKeeperStatus = (value: unknown): value is KeeperStatus =>
+const isControlNodeStatus = (value: unknown): value is KeeperStatus =>
   isObject(value) &&
   typeof value['keeper'] === 'string' &&
   isObject(value['members']) &&
@@ -62,13 +67,14 @@
   isObject(value['revisions']) &&
   ['members', 'engines', 'stewards', 'loads', 'shards'].every((field) => Array.isArray(value[field]));
 
+/** An HTTP response with its whole body. */
 export type HttpAnswer = Readonly<{ status: number; text: string; headers: Readonly<Record<string, string>> }>;
 
-/** The way of the command line to the fleet: HTTP only, each ask under a limit. */
+/** HTTP client of the command line; each request has a time limit. */
 export class FleetReach {
   public constructor(
     private readonly core: readonly string[],
-    private readonly manner: Manner,
+    private readonly operatorInterface: Manner,
     private readonly limitMilliseconds = 6000,
   ) {}
 
@@ -98,44 +104,45 @@
     }
   }
 
-  /** The first keeper that gives a plain answer. */
+  /** Sends a request to each control node in turn and returns the first response other than 503. */
   public async core1(
     path: string,
     method: 'GET' | 'PUT' | 'PATCH' = 'GET',
     body?: string,
     headers: Readonly<Record<string, string>> = {},
   ): Promise<HttpAnswer> {
-    let last = '';
+    let lastFailure = '';
     for (const address of this.core) {
       try {
         const answer = await this.http(address, path, method, body, headers);
         if (answer.status !== 503) return answer;
-        last = `${address} says: ${answer.text.trim()}`;
+        lastFailure = `${address} says: ${answer.text.trim()}`;
       } catch (error) {
-        last = (error as Error).message;
+        lastFailure = (error as Error).message;
       }
     }
-    throw new Unreachable(`the core cannot be reached (${last})`);
+    throw new Unreachable(`the core cannot be reached (${lastFailure})`);
   }
 
   public async document(key: DocumentKey): Promise<Document> {
-    const path = this.manner.paths[key];
+    const path = this.operatorInterface.paths[key];
     if (path === undefined) throw new OddAnswer(`this fleet's core keeps no document ${key}`);
     const answer = await this.core1(path);
-    // Why look at the kind: a door that has no such page answers 404 too, and says nothing about the document.
+    // The content type is checked because a server without this page also answers 404, which says nothing about the document.
     if (answer.status === 404 && (answer.headers['content-type'] ?? '').startsWith('application/json'))
       return { kind: 'nothing' };
-    const revision = answer.status === 200 ? this.manner.revisionIn(answer.headers) : undefined;
+    const revision = answer.status === 200 ? this.operatorInterface.revisionIn(answer.headers) : undefined;
     if (revision === undefined)
       throw new OddAnswer(`the core answers in a way this version does not know (status ${answer.status})`);
     return { kind: 'read', revision, text: answer.text };
   }
 
+  /** Collects the status of all control nodes and agents that can be reached. */
   public async view(): Promise<FleetView> {
     const silent: string[] = [];
-    const keepers = new Map<string, KeeperStatus>();
-    const keeperAddresses = new Map<string, string>();
-    const ask = async <Status>(
+    const controlNodes = new Map<string, KeeperStatus>();
+    const nodeAddresses = new Map<string, string>();
+    const fetchStatus = async <Status>(
       address: string,
       is: (value: unknown) => value is Status,
       limitMilliseconds: number,
@@ -150,38 +157,38 @@
       }
       return undefined;
     };
-    const askKeepers = async (addresses: readonly string[]): Promise<void> => {
-      const answers = await Promise.all(addresses.map((address) => ask(address, isKeeperStatus, 2000)));
+    const queryControlNodes = async (addresses: readonly string[]): Promise<void> => {
+      const answers = await Promise.all(addresses.map((address) => fetchStatus(address, isControlNodeStatus, 2000)));
       for (const [index, status] of answers.entries()) {
         if (status === undefined) continue;
-        keepers.set(status.keeper, status);
-        keeperAddresses.set(status.keeper, addresses[index] ?? '');
+        controlNodes.set(status.keeper, status);
+        nodeAddresses.set(status.keeper, addresses[index] ?? '');
       }
     };
-    await askKeepers(this.core);
+    await queryControlNodes(this.core);
     const known = new Set(this.core);
-    await askKeepers(
+    await queryControlNodes(
       [
         ...new Set(
-          [...keepers.values()].flatMap(({ members }) =>
+          [...controlNodes.values()].flatMap(({ members }) =>
             Object.values(members).map(({ operatorsAddress }) => operatorsAddress),
           ),
         ),
       ].filter((address) => !known.has(address)),
     );
-    const pages = new Set(
-      [...keepers.values()].flatMap(({ agents }) =>
+    const agentAddresses = new Set(
+      [...controlNodes.values()].flatMap(({ agents }) =>
         agents.flatMap(({ pagesAddress }) => (pagesAddress === '' ? [] : [pagesAddress])),
       ),
     );
     const agents = new Map<string, AgentStatus>();
-    /** Agents without pages are shown by the keepers that they asked of late. */
-    const askThroughKeepers = async (names: readonly string[]): Promise<void> => {
+    /** Statuses of agents without an HTTP address come from the control nodes that they contacted recently. */
+    const queryThroughControlNodes = async (names: readonly string[]): Promise<void> => {
       await Promise.all(
         names.map(async (name) => {
-          for (const keeper of keepers.values()) {
-            if (!keeper.agents.some((agent) => agent.name === name)) continue;
-            const status = await this.agentThrough(keeperAddresses.get(keeper.keeper) ?? '', name);
+          for (const controlNode of controlNodes.values()) {
+            if (!controlNode.agents.some((agent) => agent.name === name)) continue;
+            const status = await this.fetchAgentThrough(nodeAddresses.get(controlNode.keeper) ?? '', name);
             if (status === undefined) continue;
             agents.set(name, status);
             return;
@@ -190,19 +197,19 @@
         }),
       );
     };
-    const askAgents = async (addresses: readonly string[]): Promise<void> => {
-      const answers = await Promise.all(addresses.map((address) => ask(address, isAgentStatus, 2000)));
+    const queryAgents = async (addresses: readonly string[]): Promise<void> => {
+      const answers = await Promise.all(addresses.map((address) => fetchStatus(address, isAgentStatus, 2000)));
       for (const status of answers) if (status !== undefined) agents.set(status.agent, status);
     };
-    const withoutPages = new Set(
-      [...keepers.values()].flatMap(({ agents: known }) =>
+    const agentsWithoutAddress = new Set(
+      [...controlNodes.values()].flatMap(({ agents: known }) =>
         known.flatMap(({ name, pagesAddress }) => (pagesAddress === '' ? [name] : [])),
       ),
     );
-    await askAgents([...pages]);
-    await askThroughKeepers([...withoutPages]);
-    // Why a second round: agents know each other, keepers only those that asked them of late.
-    await askAgents(
+    await queryAgents([...agentAddresses]);
+    await queryThroughControlNodes([...agentsWithoutAddress]);
+    // A second round is needed because agents know each other, but control nodes only the agents that contacted them recently.
+    await queryAgents(
       [
         ...new Set(
           [...agents.values()].flatMap(({ members }) =>
@@ -211,9 +218,9 @@
               .map(({ pagesAddress }) => pagesAddress),
           ),
         ),
-      ].filter((address) => address !== '' && !pages.has(address)),
+      ].filter((address) => address !== '' && !agentAddresses.has(address)),
     );
-    await askThroughKeepers(
+    await queryThroughControlNodes(
       [
         ...new Set(
           [...agents.values()].flatMap(({ members }) =>
@@ -222,14 +229,14 @@
               .map(({ name }) => name),
           ),
         ),
-      ].filter((name) => !withoutPages.has(name)),
+      ].filter((name) => !agentsWithoutAddress.has(name)),
     );
-    return { keepers: [...keepers.values()], agents: [...agents.values()], silent: [...new Set(silent)].sort() };
+    return { keepers: [...controlNodes.values()], agents: [...agents.values()], silent: [...new Set(silent)].sort() };
   }
 
-  private async agentThrough(keeperAddress: string, name: string): Promise<AgentStatus | undefined> {
+  private async fetchAgentThrough(nodeAddress: string, name: string): Promise<AgentStatus | undefined> {
     try {
-      const answer = await this.http(keeperAddress, `/agents/${encodeURIComponent(name)}`, 'GET', undefined, {}, 2000);
+      const answer = await this.http(nodeAddress, `/agents/${encodeURIComponent(name)}`, 'GET', undefined, {}, 2000);
       const value: unknown = JSON.parse(answer.text);
       return answer.status === 200 && isAgentStatus(value) ? value : undefined;
     } catch {
--- a/source/postdrum/reaching/manner.ts
+++ b/source/postdrum/reaching/manner.ts
@@ -2,19 +2,19 @@
 import type { Fault } from '../../shared/blueprint/document';
 import type { Blueprint, DocumentKey } from '../../shared/blueprint/types';
 
-/** How the operators of a fleet speak, as far as the command line must know. It decides nothing. */
+/** The operators' API and configuration format of a fleet, as far as the command line needs them. */
 export type Manner = Readonly<{
-  /** Where each document is read; missing: the core of such a fleet does not keep it. */
+  /** The path of each document; missing if the control nodes of such a fleet don't store it. */
   paths: Readonly<Partial<Record<DocumentKey, string>>>;
-  /** The revision that an answer names; undefined: it should and does not. */
+  /** The revision in the headers of a response; undefined if it is missing or invalid. */
   revisionIn: (headers: Readonly<Record<string, string>>) => number | undefined;
-  /** An operators' document that nobody has checked yet. */
+  /** Parses and checks an operators' document. */
   read: (text: string) => Checked<Blueprint>;
-  /** Why this document could not follow the present one, whatever it says; undefined: there is none yet. */
+  /** The reasons why this document can't replace the current one; `present` is undefined if there is none yet. */
   follows: (present: string | undefined, next: string) => readonly Fault[];
 }>;
 
-/** The product's own. */
+/** The native API and format. */
 export const ownManner: Manner = {
   paths: { blueprint: '/blueprint', engines: '/engines', 'core-members': '/core-members' },
   revisionIn: (headers) => {
--- a/source/shared/blueprint/check.ts
+++ b/source/shared/blueprint/check.ts
@@ -2,6 +2,7 @@
 import { Documents, type Fault } from './document';
 import type { Blueprint, CoreMembers, DocumentKey, EngineList } from './types';
 
+/** Upper bounds on the size of a document and on its numbers of entries. */
 export const BlueprintLimits = { textBytes: 4 * 1024 * 1024, named: 20_000, keysPerTenant: 64 } as const;
 
 type Field = Readonly<{ format: (value: unknown) => void; default: unknown }>;
@@ -24,7 +25,7 @@
       typeof value === 'string' && value.length >= least && value.length <= most,
       `must be a text of ${least} to ${most} characters`,
     );
-const yesOrNo = (value: unknown): void => must(typeof value === 'boolean', 'must be true or false');
+const booleanFormat = (value: unknown): void => must(typeof value === 'boolean', 'must be true or false');
 const oneOf =
   (...allowed: readonly string[]) =>
   (value: unknown): void =>
@@ -47,8 +48,8 @@
     must(typeof key === 'string' && /^[\x21-\x7e]{8,256}$/.test(key), 'each key must be 8 to 256 printable characters');
 };
 const name = text(128, 1);
-// Why a marker: a field without a default is one the operator must write.
-const needed = undefined;
+// Marks a field without a default, which the operator must give.
+const required = undefined;
 
 const number = (value: unknown): void =>
   must(typeof value === 'number' && Number.isFinite(value) && value >= 0, 'must be a number of at least 0');
@@ -58,12 +59,12 @@
   (value: unknown): void => {
     if (value !== null) format(value);
   };
-/** A piece inside a piece: each of its fields must be there and hold. */
-const partsHold = (value: unknown, fields: Fields): void => {
+/** Checks a nested object: every field must be present and valid. */
+const checkNested = (value: unknown, fields: Fields): void => {
   must(isObject(value), 'must be an object');
-  const parts = value as Readonly<Record<string, unknown>>;
-  for (const field of Object.keys(parts)) must(fields[field] !== undefined, `has an unknown field ${field}`);
-  for (const [field, { format }] of fieldEntries(fields)) format(parts[field]);
+  const members = value as Readonly<Record<string, unknown>>;
+  for (const field of Object.keys(members)) must(fields[field] !== undefined, `has an unknown field ${field}`);
+  for (const [field, { format }] of cachedEntries(fields)) format(members[field]);
 };
 const shapeFields: Fields = {
   keptTokens: { format: number, default: 0 },
@@ -74,35 +75,35 @@
   healthPath: { format: text(512), default: '' },
 };
 const shareFields: Fields = {
-  service: { format: name, default: needed },
-  weight: { format: number, default: needed },
+  service: { format: name, default: required },
+  weight: { format: number, default: required },
 };
 const shares = (value: unknown): void => {
   must(Array.isArray(value) && value.length <= 64, 'must be a list of at most 64 shares');
   const list = value as readonly Readonly<{ weight: number }>[];
-  for (const share of list) partsHold(share, shareFields);
+  for (const share of list) checkNested(share, shareFields);
   must(list.length === 0 || list.some(({ weight }) => weight > 0), 'the weights add up to 0');
 };
 
 const classFields: Fields = {
-  rank: { format: whole(0, 1000), default: needed },
-  sharePerMille: { format: whole(0, 1000), default: needed },
-  lends: { format: yesOrNo, default: true },
+  rank: { format: whole(0, 1000), default: required },
+  sharePerMille: { format: whole(0, 1000), default: required },
+  lends: { format: booleanFormat, default: true },
   holdingMost: { format: whole(0, 100_000), default: 256 },
   holdingLimitMicroseconds: { format: whole(0, 600_000_000), default: 3_000_000 },
 };
 const tenantFields: Fields = {
-  walled: { format: yesOrNo, default: false },
-  keys: { format: keys, default: needed },
+  walled: { format: booleanFormat, default: false },
+  keys: { format: keys, default: required },
   class: { format: text(128), default: '' },
 };
-const serviceKind: Field = { format: oneOf('pool', 'app'), default: needed };
+const serviceKind: Field = { format: oneOf('pool', 'app'), default: required };
 const answerLimit: Field = { format: whole(1000, 3_600_000_000), default: 120_000_000 };
 const poolFields: Fields = {
   kind: serviceKind,
-  model: { format: name, default: needed },
-  weights: { format: name, default: needed },
-  tokenizer: { format: name, default: needed },
+  model: { format: name, default: required },
+  weights: { format: name, default: required },
+  tokenizer: { format: name, default: required },
   adapter: { format: text(128), default: '' },
   dtype: { format: name, default: 'bf16' },
   quant: { format: name, default: 'none' },
@@ -111,15 +112,15 @@
   rope: { format: name, default: 'default' },
   blockCharacters: { format: whole(64, 65_536), default: 1024 },
   answerLimitMicroseconds: answerLimit,
-  shape: { format: orNone((value) => partsHold(value, shapeFields)), default: null },
+  shape: { format: orNone((value) => checkNested(value, shapeFields)), default: null },
 };
 const appFields: Fields = {
   kind: serviceKind,
   answerLimitMicroseconds: answerLimit,
-  shape: { format: orNone((value) => partsHold(value, shapeFields)), default: null },
+  shape: { format: orNone((value) => checkNested(value, shapeFields)), default: null },
 };
 const storeFields: Fields = {
-  address: { format: address, default: needed },
+  address: { format: address, default: required },
   zone: { format: text(64), default: '' },
   keptTokens: { format: number, default: 0 },
   linkBytesPerSecond: { format: number, default: 0 },
@@ -131,20 +132,20 @@
   headMicroseconds: { format: time, default: 0 },
   idleMicroseconds: { format: time, default: 0 },
 };
-const mappingFields: Fields = {
+const routeFields: Fields = {
   path: {
     format: (value) =>
       must(typeof value === 'string' && /^\/[!-~]{0,511}$/.test(value), 'must be a path that begins with /'),
-    default: needed,
+    default: required,
   },
   model: { format: text(128), default: '' },
-  service: { format: name, default: needed },
-  class: { format: name, default: needed },
-  resumable: { format: yesOrNo, default: false },
+  service: { format: name, default: required },
+  class: { format: name, default: required },
+  resumable: { format: booleanFormat, default: false },
   host: { format: text(255), default: '' },
-  prefix: { format: yesOrNo, default: false },
-  open: { format: yesOrNo, default: false },
-  repeatable: { format: orNone(yesOrNo), default: null },
+  prefix: { format: booleanFormat, default: false },
+  open: { format: booleanFormat, default: false },
+  repeatable: { format: orNone(booleanFormat), default: null },
   shares: { format: shares, default: [] },
   mostSends: { format: whole(0, 1000), default: 0 },
   limitMicroseconds: { format: time, default: 0 },
@@ -152,11 +153,11 @@
   gapMicroseconds: { format: time, default: 0 },
 };
 const engineFields: Fields = {
-  kind: { format: oneOf('engine', 'app', 'store'), default: needed },
+  kind: { format: oneOf('engine', 'app', 'store'), default: required },
   service: { format: text(128), default: '' },
-  address: { format: address, default: needed },
+  address: { format: address, default: required },
   zone: { format: text(64), default: '' },
-  state: { format: oneOf('ready', 'draining'), default: needed },
+  state: { format: oneOf('ready', 'draining'), default: required },
 };
 const weightsByModel = (value: unknown): void =>
   must(
@@ -167,20 +168,20 @@
   );
 const capacityField: Field = { format: whole(0, 100_000), default: 0 };
 const weightsField: Field = { format: weightsByModel, default: {} };
-/** Why only where given: what a list does not say stays unsaid. */
-const engineFieldsSaid: readonly Fields[] = [
+/** The optional fields are checked only where they are given, so that no default is added for a field that the list omits. */
+const engineFieldVariants: readonly Fields[] = [
   engineFields,
   { ...engineFields, capacity: capacityField },
   { ...engineFields, weights: weightsField },
   { ...engineFields, capacity: capacityField, weights: weightsField },
 ];
 const engineFieldsOf = (item: unknown): Fields =>
-  engineFieldsSaid[
+  engineFieldVariants[
     isObject(item) ? (Object.hasOwn(item, 'capacity') ? 1 : 0) + (Object.hasOwn(item, 'weights') ? 2 : 0) : 0
   ] ?? engineFields;
 const memberFields: Fields = {
-  address: { format: address, default: needed },
-  operatorsAddress: { format: address, default: needed },
+  address: { format: address, default: required },
+  operatorsAddress: { format: address, default: required },
   zone: { format: text(64), default: '' },
 };
 
@@ -195,7 +196,7 @@
   getProperties: () => Readonly<Record<string, readonly unknown[]>>;
 }>;
 
-// Why a list of one around each value: convict turns a text into a number or a truth value by the type of the default.
+// Each value is wrapped in a list of one because convict converts strings to numbers or booleans by the type of the default.
 const checkerOf = (fields: Fields): Checker =>
   convict(
     Object.fromEntries(
@@ -208,18 +209,18 @@
 
 const checkers = new Map<Fields, Checker>();
 
-/** All fields at once with a checker kept for its kind; undefined when anything is wrong. */
+/** Checks all fields at once with a cached checker; returns undefined when any field is invalid. */
 const checkWhole = (value: Readonly<Record<string, unknown>>, fields: Fields): unknown => {
   const names = Object.keys(fields);
   if (
     Object.keys(value).some((field) => fields[field] === undefined) ||
-    names.some((field) => fields[field]?.default === needed && !Object.hasOwn(value, field))
+    names.some((field) => fields[field]?.default === required && !Object.hasOwn(value, field))
   )
     return undefined;
   const checker = checkers.get(fields) ?? checkerOf(fields);
   checkers.set(fields, checker);
   try {
-    // Why every field each time: the checker still holds the values of the object before.
+    // Every field is loaded each time because the cached checker still holds the values of the previous object.
     checker.load(
       Object.fromEntries(
         names.map((field) => [
@@ -229,7 +230,7 @@
       ),
     );
     checker.validate({ allowed: 'strict' });
-    // Why without null: a field that may be left out is then not there at all.
+    // Null values are dropped, so that an omitted optional field is absent from the result.
     return Object.fromEntries(
       Object.entries(checker.getProperties()).flatMap(([field, [item]]) => (item === null ? [] : [[field, item]])),
     );
@@ -238,7 +239,7 @@
   }
 };
 
-/** One object through convict; convict only ever sees a copy, so its defaults never reach what is stored. */
+/** Checks one object with convict. Convict only sees a copy, so its defaults never reach the stored text. */
 const checkFields = (value: unknown, fields: Fields, path: string, faults: Fault[]): unknown => {
   if (!isObject(value)) {
     faults.push({ path, fault: 'must be an object' });
@@ -246,13 +247,13 @@
   }
   const whole = checkWhole(value, fields);
   if (whole !== undefined) return whole;
-  // Why once more field by field: each fault then has its own path.
+  // The fields are checked again one by one, so that each fault has its own path.
   for (const field of Object.keys(value))
     if (fields[field] === undefined)
       faults.push({ path: `${path}/${Documents.escape(field)}`, fault: 'unknown field' });
   for (const [field, { format, default: fallback }] of Object.entries(fields)) {
     const given = Object.hasOwn(value, field);
-    if (!given && fallback === needed) faults.push({ path: `${path}/${field}`, fault: 'is missing' });
+    if (!given && fallback === required) faults.push({ path: `${path}/${field}`, fault: 'is missing' });
     if (!given) continue;
     try {
       const checker = checkerOf({ [field]: { format, default: fallback } });
@@ -283,86 +284,88 @@
   }
   const entries = Object.entries(value);
   if (entries.length > BlueprintLimits.named) faults.push({ path, fault: `at most ${BlueprintLimits.named} pieces` });
-  for (const [pieceName, piece] of entries) {
-    const piecePath = `${path}/${Documents.escape(pieceName)}`;
-    if (!/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/.test(pieceName))
-      faults.push({ path: piecePath, fault: 'a name has 1 to 64 letters, digits, dots, dashes' });
-    taken[pieceName] = checkFields(piece, fieldsOf(piece), piecePath, faults);
+  for (const [entryName, entry] of entries) {
+    const entryPath = `${path}/${Documents.escape(entryName)}`;
+    if (!/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/.test(entryName))
+      faults.push({ path: entryPath, fault: 'a name has 1 to 64 letters, digits, dots, dashes' });
+    taken[entryName] = checkFields(entry, fieldsOf(entry), entryPath, faults);
   }
   return taken;
 };
 
 const only = (
   value: unknown,
-  needed: readonly string[],
+  requiredFields: readonly string[],
   faults: Fault[],
-  optional: readonly string[] = [],
+  optionalFields: readonly string[] = [],
 ): Readonly<Record<string, unknown>> => {
   if (!isObject(value)) {
     faults.push({ path: '', fault: 'must be an object' });
     return {};
   }
   for (const field of Object.keys(value))
-    if (!needed.includes(field) && !optional.includes(field))
+    if (!requiredFields.includes(field) && !optionalFields.includes(field))
       faults.push({ path: `/${Documents.escape(field)}`, fault: 'unknown field' });
-  for (const field of needed) if (!Object.hasOwn(value, field)) faults.push({ path: `/${field}`, fault: 'is missing' });
+  for (const field of requiredFields)
+    if (!Object.hasOwn(value, field)) faults.push({ path: `/${field}`, fault: 'is missing' });
   return value;
 };
 
+/** The result of a check: the value with its defaults, or all faults that were found. */
 export type Checked<Value> =
   Readonly<{ kind: 'good'; value: Value }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }>;
 
 const outcome = <Value>(faults: readonly Fault[], value: unknown): Checked<Value> =>
   faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'good', value: value as Value };
 
-const linkFaults = (blueprint: Blueprint, faults: Fault[]): void => {
-  const seenMappings = new Map<string, string>();
-  for (const [mappingName, mapping] of Object.entries(blueprint.mappings)) {
-    const path = `/mappings/${Documents.escape(mappingName)}`;
-    if (!Object.hasOwn(blueprint.services, mapping.service))
+const checkReferences = (configuration: Blueprint, faults: Fault[]): void => {
+  const seenRoutes = new Map<string, string>();
+  for (const [routeName, route] of Object.entries(configuration.mappings)) {
+    const path = `/mappings/${Documents.escape(routeName)}`;
+    if (!Object.hasOwn(configuration.services, route.service))
       faults.push({ path: `${path}/service`, fault: 'names no service' });
-    if (!Object.hasOwn(blueprint.classes, mapping.class))
+    if (!Object.hasOwn(configuration.classes, route.class))
       faults.push({ path: `${path}/class`, fault: 'names no class' });
-    for (const [index, { service }] of (mapping.shares ?? []).entries())
-      if (!Object.hasOwn(blueprint.services, service))
+    for (const [index, { service }] of (route.shares ?? []).entries())
+      if (!Object.hasOwn(configuration.services, service))
         faults.push({ path: `${path}/shares/${index}/service`, fault: 'names no service' });
-    const place = `${(mapping.host ?? '').toLowerCase()}\u0000${mapping.prefix === true}\u0000${mapping.path}\u0000${mapping.model}`;
-    const other = seenMappings.get(place);
+    const place = `${(route.host ?? '').toLowerCase()}\u0000${route.prefix === true}\u0000${route.path}\u0000${route.model}`;
+    const other = seenRoutes.get(place);
     if (other !== undefined) faults.push({ path, fault: `has the host, path and model of ${other}` });
-    seenMappings.set(place, mappingName);
+    seenRoutes.set(place, routeName);
   }
-  const shares = Object.values(blueprint.classes).reduce((sum, item) => sum + item.sharePerMille, 0);
+  const shares = Object.values(configuration.classes).reduce((sum, item) => sum + item.sharePerMille, 0);
   if (shares > 1000) faults.push({ path: '/classes', fault: `shares add up to ${shares} per mille, more than 1000` });
   const owners = new Map<string, string>();
-  for (const [tenantName, tenant] of Object.entries(blueprint.tenants)) {
+  for (const [tenantName, tenant] of Object.entries(configuration.tenants)) {
     const path = `/tenants/${Documents.escape(tenantName)}`;
-    if ((tenant.class ?? '') !== '' && !Object.hasOwn(blueprint.classes, tenant.class ?? ''))
+    if ((tenant.class ?? '') !== '' && !Object.hasOwn(configuration.classes, tenant.class ?? ''))
       faults.push({ path: `${path}/class`, fault: 'names no class' });
     for (const [index, key] of tenant.keys.entries()) {
-      // Why never name the key: faults are printed and logged.
+      // The key itself is never part of the message because faults are printed and logged.
       if (owners.has(key)) faults.push({ path: `${path}/keys/${index}`, fault: 'this key is given twice' });
       owners.set(key, tenantName);
     }
   }
 };
 
-const entriesKept = new Map<Fields, readonly (readonly [string, Field])[]>();
-/** Why kept: thousands of mappings are checked by the same few fields. */
-const fieldEntries = (fields: Fields): readonly (readonly [string, Field])[] => {
-  const entries = entriesKept.get(fields) ?? Object.entries(fields);
-  entriesKept.set(fields, entries);
+const entriesCache = new Map<Fields, readonly (readonly [string, Field])[]>();
+/** Caches the entries of each field list because thousands of routes are checked against the same few lists. */
+const cachedEntries = (fields: Fields): readonly (readonly [string, Field])[] => {
+  const entries = entriesCache.get(fields) ?? Object.entries(fields);
+  entriesCache.set(fields, entries);
   return entries;
 };
 
-/** Each field by its format alone; for values that a translation has made, with no default left open. */
+/** Checks each field by its format alone, for values that a translation made and that need no defaults. */
 const formatFaults = (value: unknown, fields: Fields, path: string, faults: Fault[]): void => {
   if (!isObject(value)) {
     faults.push({ path, fault: 'must be an object' });
     return;
   }
-  for (const [field, { format, default: fallback }] of fieldEntries(fields)) {
+  for (const [field, { format, default: fallback }] of cachedEntries(fields)) {
     const given = value[field];
-    if (given === undefined && fallback !== needed) continue;
+    if (given === undefined && fallback !== required) continue;
     try {
       format(given);
     } catch (error) {
@@ -371,7 +374,7 @@
   }
 };
 
-/** Why another bound than for a document of our own: names and keys are the operators', whatever their manner. */
+/** Translated configurations have a wider bound on keys because their keys follow the rules of the operators' own format. */
 const translatedTenantFields: Fields = {
   ...tenantFields,
   keys: {
@@ -380,13 +383,15 @@
         Array.isArray(value) && value.length <= 4096 && value.every((key) => typeof key === 'string' && key !== ''),
         'must be a list of keys',
       ),
-    default: needed,
+    default: required,
   },
 };
 
 const serviceFields = (item: unknown): Fields => (isObject(item) && item['kind'] === 'app' ? appFields : poolFields);
 
+/** Validation of the documents that operators send: the configuration, the engine list and the control node members. */
 export const Blueprints = {
+  /** Checks a parsed configuration: all fields first, then the references between its entries. */
   check: (value: unknown): Checked<Blueprint> => {
     const faults: Fault[] = [];
     const top = only(value, ['classes', 'tenants', 'services', 'mappings'], faults, ['stores', 'limits', 'keyed']);
@@ -397,17 +402,17 @@
       classes: checkNamed(top['classes'], '/classes', faults, () => classFields),
       tenants: checkNamed(top['tenants'], '/tenants', faults, () => tenantFields),
       services: checkNamed(top['services'], '/services', faults, serviceFields),
-      mappings: checkNamed(top['mappings'], '/mappings', faults, () => mappingFields),
+      mappings: checkNamed(top['mappings'], '/mappings', faults, () => routeFields),
       ...(has('stores') ? { stores: checkNamed(top['stores'], '/stores', faults, () => storeFields) } : {}),
       ...(has('limits') ? { limits: checkFields(top['limits'], limitFields, '/limits', faults) } : {}),
       ...(has('keyed') ? { keyed: top['keyed'] } : {}),
     };
-    // Why only when sound: links between faulty pieces would name faults that are not there.
-    if (faults.length === 0) linkFaults(taken as unknown as Blueprint, faults);
+    // References are checked only when all fields are valid; checking them between invalid entries would report faults that don't exist.
+    if (faults.length === 0) checkReferences(taken as unknown as Blueprint, faults);
     return outcome(faults, taken);
   },
-  /** A blueprint that a dialect has made from the operators' own document: formats and links, with no copy. */
-  checkTranslated: (blueprint: Blueprint): Checked<Blueprint> => {
+  /** Checks the formats and references of a configuration that was translated from another format, without copying it. */
+  checkTranslated: (configuration: Blueprint): Checked<Blueprint> => {
     const faults: Fault[] = [];
     const each = (
       pieces: Readonly<Record<string, unknown>>,
@@ -417,18 +422,19 @@
       const entries = Object.entries(pieces);
       if (entries.length > BlueprintLimits.named)
         faults.push({ path, fault: `at most ${BlueprintLimits.named} pieces` });
-      for (const [pieceName, piece] of entries)
-        formatFaults(piece, fieldsOf(piece), `${path}/${Documents.escape(pieceName)}`, faults);
+      for (const [entryName, entry] of entries)
+        formatFaults(entry, fieldsOf(entry), `${path}/${Documents.escape(entryName)}`, faults);
     };
-    each(blueprint.classes, '/classes', () => classFields);
-    each(blueprint.tenants, '/tenants', () => translatedTenantFields);
-    each(blueprint.services, '/services', serviceFields);
-    each(blueprint.mappings, '/mappings', () => mappingFields);
-    each(blueprint.stores ?? {}, '/stores', () => storeFields);
-    if (blueprint.limits !== undefined) formatFaults(blueprint.limits, limitFields, '/limits', faults);
-    if (faults.length === 0) linkFaults(blueprint, faults);
-    return outcome(faults, blueprint);
+    each(configuration.classes, '/classes', () => classFields);
+    each(configuration.tenants, '/tenants', () => translatedTenantFields);
+    each(configuration.services, '/services', serviceFields);
+    each(configuration.mappings, '/mappings', () => routeFields);
+    each(configuration.stores ?? {}, '/stores', () => storeFields);
+    if (configuration.limits !== undefined) formatFaults(configuration.limits, limitFields, '/limits', faults);
+    if (faults.length === 0) checkReferences(configuration, faults);
+    return outcome(faults, configuration);
   },
+  /** Checks the engine list; no two engines may have the same address. */
   checkEngines: (value: unknown): Checked<EngineList> => {
     const faults: Fault[] = [];
     const top = only(value, ['engines'], faults);
@@ -442,6 +448,7 @@
     }
     return outcome(faults, { engines });
   },
+  /** Checks the control node members; at least one is required. */
   checkMembers: (value: unknown): Checked<CoreMembers> => {
     const faults: Fault[] = [];
     const top = only(value, ['members'], faults);
@@ -449,25 +456,25 @@
     if (Object.keys(members).length === 0) faults.push({ path: '/members', fault: 'at least one member' });
     return outcome(faults, { members });
   },
-  /** What an operator sent for a key, read strictly and checked on a copy. */
+  /** Parses the text that an operator sent for a key strictly, and checks a copy of the value. */
   checkText: (key: DocumentKey, source: string): Checked<Blueprint | EngineList | CoreMembers> => {
-    // Why remember: one daemon meets the same text as a change, as an entry and as a body.
-    const known = remembered.find((item) => item.key === key && item.source === source);
+    // Results are cached because one process receives the same text as a change, as a log entry and as a document body.
+    const known = cachedResults.find((item) => item.key === key && item.source === source);
     if (known !== undefined) return known.checked;
-    const checked = checkTextNow(key, source);
-    remembered = [{ key, source, checked }, ...remembered].slice(0, 6);
+    const checked = checkTextUncached(key, source);
+    cachedResults = [{ key, source, checked }, ...cachedResults].slice(0, 6);
     return checked;
   },
 } as const;
 
-type Remembered = Readonly<{
+type CachedResult = Readonly<{
   key: DocumentKey;
   source: string;
   checked: Checked<Blueprint | EngineList | CoreMembers>;
 }>;
-let remembered: readonly Remembered[] = [];
+let cachedResults: readonly CachedResult[] = [];
 
-const checkTextNow = (key: DocumentKey, source: string): Checked<Blueprint | EngineList | CoreMembers> => {
+const checkTextUncached = (key: DocumentKey, source: string): Checked<Blueprint | EngineList | CoreMembers> => {
   if (Buffer.byteLength(source) > BlueprintLimits.textBytes)
     return { kind: 'faulty', faults: [{ path: '', fault: `longer than ${BlueprintLimits.textBytes} bytes` }] };
   const document = Documents.read(source);
--- a/source/shared/blueprint/dialect.ts
+++ b/source/shared/blueprint/dialect.ts
@@ -2,106 +2,111 @@
 import { Pieces, type Fault } from './document';
 import type { Blueprint } from './types';
 
-/** whole: the document anew. pieces: named parts of it. weights: the intended weights of one model. */
+/** whole: replaces the document. pieces: changes named values of it. weights: sets the intended weights of one model. */
 export type OrderForm = 'whole' | 'pieces' | 'weights';
 
-/** The text that stands now; revision 0 and an empty text where nothing was taken yet. */
+/** The current text of the document; revision 0 and an empty text if no change has been committed yet. */
 export type Present = Readonly<{ revision: number; text: string }>;
+/** A change that an operator requests on a given base revision. */
 export type DialectOrder = Readonly<{ form: OrderForm; text: string; ifMatch: number }>;
 
+/** The result of applying a change: the text to write, no difference, or a refusal. */
 export type DialectApplied =
   | Readonly<{ kind: 'write'; text: string }>
-  /** What was ordered stands already. */
+  /** The document already has the requested content. */
   | Readonly<{ kind: 'same' }>
   | Readonly<{ kind: 'refused'; reason: 'faults' | 'revision'; faults: readonly Fault[] }>;
 
 /**
- * How the operators' document is written. Pure: keepers apply orders with it, every daemon reads what was taken.
- * The text it returns is what the register keeps and what all daemons compare by digest.
+ * The format of the operators' configuration document. Its functions are pure: control nodes apply changes with them,
+ * and every process reads committed documents with them. The text that `apply` returns is stored in the register, and
+ * all processes compare it by its digest.
  */
 export interface Dialect {
   readonly name: string;
-  /** A text that nobody has checked yet. */
+  /** Parses and checks an unchecked text. */
   readonly read: (text: string) => Checked<Blueprint>;
-  /** A text that keepers have taken, known by its digest: nothing is checked a second time. */
+  /** Parses a text that the control nodes have committed, identified by its digest, without checking it again. */
   readonly trusted: (text: string) => Checked<Blueprint>;
-  readonly apply: (present: Present, order: DialectOrder) => DialectApplied;
+  readonly apply: (present: Present, change: DialectOrder) => DialectApplied;
 }
 
-const refused = (reason: 'faults' | 'revision', faults: readonly Fault[]): DialectApplied => ({
+const refusal = (reason: 'faults' | 'revision', faults: readonly Fault[]): DialectApplied => ({
   kind: 'refused',
   reason,
   faults,
 });
 
-/** Pieces by path, put into a text whose other bytes stay as they are. */
-const withPieces = (present: string, order: string): DialectApplied => {
-  if (Buffer.byteLength(order) > BlueprintLimits.textBytes) return refused('faults', [{ path: '', fault: 'too long' }]);
-  const pieces = Pieces.read(order);
-  if (pieces.kind === 'faulty') return refused('faults', pieces.faults);
+/** Applies edits of single values to a text and leaves its other bytes unchanged. */
+const applyEdits = (present: string, change: string): DialectApplied => {
+  if (Buffer.byteLength(change) > BlueprintLimits.textBytes)
+    return refusal('faults', [{ path: '', fault: 'too long' }]);
+  const edits = Pieces.read(change);
+  if (edits.kind === 'faulty') return refusal('faults', edits.faults);
   let text = present;
-  for (const piece of pieces.changes) {
-    const changed = Pieces.change(text, piece);
-    if (changed.kind === 'faulty') return refused('faults', changed.faults);
+  for (const edit of edits.changes) {
+    const changed = Pieces.change(text, edit);
+    if (changed.kind === 'faulty') return refusal('faults', changed.faults);
     text = changed.text;
   }
   return { kind: 'write', text };
 };
 
+/** Steps that several configuration formats share. */
 export const Dialects = {
-  /** The steps that all documents of the product's own kind share; `check` says what is wrong with the next text. */
+  /** Applies a change to a document in the native JSON format; `check` reports the faults of the resulting text. */
   applyOwn: (
     present: Present,
-    order: DialectOrder,
-    check: (text: string) => Checked<unknown>,
+    change: DialectOrder,
+    check: (text: string) => Checked<uncache>,
     links: (text: string) => readonly Fault[] = () => [],
   ): DialectApplied => {
-    if (order.ifMatch !== present.revision)
-      return refused('revision', [{ path: '', fault: `the present revision is ${present.revision}` }]);
-    if (order.form === 'weights')
-      return refused('faults', [{ path: '', fault: 'weights stand in the document; change them there' }]);
+    if (change.ifMatch !== present.revision)
+      return refusal('revision', [{ path: '', fault: `the present revision is ${present.revision}` }]);
+    if (change.form === 'weights')
+      return refusal('faults', [{ path: '', fault: 'weights stand in the document; change them there' }]);
     const next: DialectApplied =
-      order.form === 'pieces' ? withPieces(present.text, order.text) : { kind: 'write', text: order.text };
+      change.form === 'pieces' ? applyEdits(present.text, change.text) : { kind: 'write', text: change.text };
     if (next.kind !== 'write') return next;
     const checked = check(next.text);
-    if (checked.kind === 'faulty') return refused('faults', checked.faults);
+    if (checked.kind === 'faulty') return refusal('faults', checked.faults);
     const faults = links(next.text);
-    return faults.length > 0 ? refused('faults', faults) : next;
+    return faults.length > 0 ? refusal('faults', faults) : next;
   },
 } as const;
 
-const readOwn = (text: string): Checked<Blueprint> =>
-  Blueprints.checkText('blueprint', text) as unknown as Checked<Blueprint>;
+const readNative = (text: string): Checked<Blueprint> =>
+  Blueprints.checkText('blueprint', text) as uncache as Checked<Blueprint>;
 
-/** The product's own document: strict JSON, each field checked, read back byte for byte. */
+/** The native format: strict JSON with every field checked, stored byte for byte as it was sent. */
 export const ownDialect: Dialect = {
   name: 'own',
-  read: readOwn,
-  trusted: readOwn,
-  apply: (present, order) => Dialects.applyOwn(present, order, readOwn),
+  read: readNative,
+  trusted: readNative,
+  apply: (present, change) => Dialects.applyOwn(present, change, readNative),
 };
 
-const remembering = (
+const cached = (
   read: (text: string) => Checked<Blueprint>,
-  most: number,
+  maxTexts: number,
 ): ((text: string) => Checked<Blueprint>) => {
-  let known: readonly Readonly<{ text: string; checked: Checked<Blueprint> }>[] = [];
+  let cache: readonly Readonly<{ text: string; checked: Checked<Blueprint> }>[] = [];
   return (text) => {
-    const found = known.find((item) => item.text === text);
+    const found = cache.find((item) => item.text === text);
     if (found !== undefined) return found.checked;
     const checked = read(text);
-    known = [{ text, checked }, ...known].slice(0, most);
+    cache = [{ text, checked }, ...cache].slice(0, maxTexts);
     return checked;
   };
 };
 
 /**
- * Remembers the last few texts: one daemon meets the same one as a change, as an entry and as a body. Why two memories:
- * a text that was only trusted must not pass for one that was checked.
+ * Caches the results for the last few texts because one process receives the same text as a change, as a log entry and
+ * as a document body. There are two caches, so that a text that was only trusted is never taken for a checked one.
  */
-export const rememberingDialect = (dialect: Dialect, most = 3): Dialect => ({
-  name: dialect.name,
-  read: remembering(dialect.read, most),
-  trusted: remembering(dialect.trusted, most),
-  apply: dialect.apply,
+export const rememberingDialect = (format: Dialect, maxTexts = 3): Dialect => ({
+  name: format.name,
+  read: cached(format.read, maxTexts),
+  trusted: cached(format.trusted, maxTexts),
+  apply: format.apply,
 });
--- a/source/shared/blueprint/document.ts
+++ b/source/shared/blueprint/document.ts
@@ -1,21 +1,23 @@
 import { getNodeValue, parseTree, type Node, type ParseError } from 'jsonc-parser';
 
+/** A fault in a document, with the JSON pointer of the place where it is. */
 export type Fault = Readonly<{ path: string; fault: string }>;
+/** A parsed document with its syntax tree, or the faults that prevent parsing it. */
 export type DocumentRead =
   Readonly<{ kind: 'read'; value: unknown; tree: Node }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }>;
 
-const mostDepth = 32;
+const maxDepth = 32;
 
 const escape = (name: string): string => name.replaceAll('~', '~0').replaceAll('/', '~1');
 const unescape = (name: string): string => name.replaceAll('~1', '/').replaceAll('~0', '~');
 
-const walk = (node: Node, path: string, depth: number, faults: Fault[]): void => {
-  if (depth > mostDepth) {
+const collectFaults = (node: Node, path: string, depth: number, faults: Fault[]): void => {
+  if (depth > maxDepth) {
     faults.push({ path, fault: 'nested too deep' });
     return;
   }
   if (node.type === 'array')
-    node.children?.forEach((child, index) => walk(child, `${path}/${index}`, depth + 1, faults));
+    node.children?.forEach((child, index) => collectFaults(child, `${path}/${index}`, depth + 1, faults));
   if (node.type !== 'object') return;
   const seen = new Set<string>();
   for (const property of node.children ?? []) {
@@ -23,12 +25,12 @@
     if (nameNode === undefined || valueNode === undefined) continue;
     const name = String(nameNode.value);
     const childPath = `${path}/${escape(name)}`;
-    // Why: the last of two equal names would win silently, and the operator reads back something else.
+    // With duplicate names JSON parsers silently keep the last one, so the operator would read back a different document.
     if (seen.has(name)) faults.push({ path: childPath, fault: 'named twice' });
     if (name === '__proto__' || name === 'constructor' || name === 'prototype')
       faults.push({ path: childPath, fault: 'name not allowed' });
     seen.add(name);
-    walk(valueNode, childPath, depth + 1, faults);
+    collectFaults(valueNode, childPath, depth + 1, faults);
   }
 };
 
@@ -40,7 +42,7 @@
 const openArray = 91;
 const closeArray = 93;
 
-/** Where the string that begins at `start` ends, in a text that is sound JSON. */
+/** Returns the offset of the closing quote of the string that begins at `start`, in a text that is valid JSON. */
 const stringEnd = (text: string, start: number): number => {
   let end = text.indexOf('"', start + 1);
   for (;;) {
@@ -51,15 +53,15 @@
   }
 };
 
-/** Names given twice in one object, names that are not allowed, and depth, found in one pass over sound JSON. */
-const nameFaults = (text: string): readonly Fault[] => {
+/** Finds duplicate names, forbidden names and too deep nesting in one pass over valid JSON. */
+const findNameFaults = (text: string): readonly Fault[] => {
   const faults: Fault[] = [];
   const open: (Set<string> | undefined)[] = [];
   for (let at = 0; at < text.length; at += 1) {
     const code = text.charCodeAt(at);
     if (code === openObject || code === openArray) {
       open.push(code === openObject ? new Set() : undefined);
-      if (open.length > mostDepth) return [{ path: '', fault: 'nested too deep' }];
+      if (open.length > maxDepth) return [{ path: '', fault: 'nested too deep' }];
     } else if (code === closeObject || code === closeArray) open.pop();
     else if (code === quote) {
       const end = stringEnd(text, at);
@@ -80,7 +82,7 @@
   return faults;
 };
 
-/** Strict JSON text with the place of each value, so that a piece change leaves all other bytes alone. */
+/** Strict parsing of JSON text with the offset of each value, so that an edit leaves all other bytes unchanged. */
 export const Documents = {
   read: (text: string): DocumentRead => {
     const errors: ParseError[] = [];
@@ -93,10 +95,10 @@
     if (tree === undefined || first !== undefined)
       return { kind: 'faulty', faults: [{ path: '', fault: `broken JSON at character ${first?.offset ?? 0}` }] };
     const faults: Fault[] = [];
-    walk(tree, '', 0, faults);
+    collectFaults(tree, '', 0, faults);
     if (faults.length > 0) return { kind: 'faulty', faults };
     try {
-      // Why parse again: jsonc-parser lets a few texts pass that JSON does not.
+      // The text is parsed again because jsonc-parser accepts a few texts that are not valid JSON.
       JSON.parse(text);
     } catch {
       return { kind: 'faulty', faults: [{ path: '', fault: 'broken JSON' }] };
@@ -104,7 +106,7 @@
     return { kind: 'read', value: getNodeValue(tree), tree };
   },
 
-  /** The value alone, as strictly and much faster: for long texts of which no place is asked. */
+  /** Parses the value alone, as strictly as `read` and much faster, for long texts whose offsets are not needed. */
   readPlain: (
     text: string,
   ): Readonly<{ kind: 'read'; value: unknown }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }> => {
@@ -114,16 +116,18 @@
     } catch {
       return { kind: 'faulty', faults: [{ path: '', fault: 'broken JSON' }] };
     }
-    const faults = nameFaults(text);
+    const faults = findNameFaults(text);
     return faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'read', value };
   },
 
+  /** Splits a JSON pointer into its unescaped names; undefined if it is no pointer. */
   pointer: (path: string): readonly string[] | undefined =>
     path === '' ? [] : path.startsWith('/') ? path.slice(1).split('/').map(unescape) : undefined,
 
   escape,
 } as const;
 
+/** Puts or removes one value, named by its JSON pointer. */
 export type PieceChange =
   Readonly<{ kind: 'put'; path: string; text: string }> | Readonly<{ kind: 'remove'; path: string }>;
 export type PieceOutcome =
@@ -138,31 +142,32 @@
 
 const faulty = (path: string, fault: string): PieceOutcome => ({ kind: 'faulty', faults: [{ path, fault }] });
 
-const cut = (text: string, parent: Node, child: Node): string => {
+const removeChild = (text: string, parent: Node, child: Node): string => {
   const children = parent.children ?? [];
   const index = children.indexOf(child);
   const next = children[index + 1];
   const previous = children[index - 1];
-  // Why two cases: exactly one comma goes with the piece.
+  // Exactly one comma is removed with the value: the one after it, or the one before it if it is the last.
   if (next !== undefined) return text.slice(0, child.offset) + text.slice(next.offset);
   const start = previous === undefined ? child.offset : previous.offset + previous.length;
   return text.slice(0, start) + text.slice(child.offset + child.length);
 };
 
-const add = (text: string, parent: Node, name: string, piece: string): PieceOutcome => {
+const addChild = (text: string, parent: Node, name: string, value: string): PieceOutcome => {
   const last = parent.children?.at(-1);
   const start = last === undefined ? parent.offset + 1 : last.offset + last.length;
   const comma = last === undefined ? '' : ', ';
   if (parent.type === 'object')
     return {
       kind: 'changed',
-      text: `${text.slice(0, start)}${comma}${JSON.stringify(name)}: ${piece}${text.slice(start)}`,
+      text: `${text.slice(0, start)}${comma}${JSON.stringify(name)}: ${value}${text.slice(start)}`,
     };
   if (parent.type === 'array' && (name === '-' || name === String(parent.children?.length ?? 0)))
-    return { kind: 'changed', text: `${text.slice(0, start)}${comma}${piece}${text.slice(start)}` };
+    return { kind: 'changed', text: `${text.slice(0, start)}${comma}${value}${text.slice(start)}` };
   return faulty(`/${name}`, 'no such place');
 };
 
+/** Edits of single values in JSON text that leave all other bytes unchanged. */
 export const Pieces = {
   change: (text: string, change: PieceChange): PieceOutcome => {
     const document = Documents.read(text);
@@ -181,8 +186,8 @@
     if (change.kind === 'remove')
       return child === undefined
         ? faulty(change.path, 'nothing to remove')
-        : { kind: 'changed', text: cut(text, parent, child) };
-    if (child === undefined) return add(text, parent, name, change.text);
+        : { kind: 'changed', text: removeChild(text, parent, child) };
+    if (child === undefined) return addChild(text, parent, name, change.text);
     const value = valueOf(child);
     return {
       kind: 'changed',
@@ -190,7 +195,7 @@
     };
   },
 
-  /** The order of an operator: {"changes":[{"put":"/path","value":…},{"remove":"/path"}]}. Values keep their bytes. */
+  /** Parses an operator's request {"changes":[{"put":"/path","value":…},{"remove":"/path"}]}. Values keep their exact bytes. */
   read: (
     text: string,
   ):
@@ -210,8 +215,12 @@
       const putPath: unknown = put === undefined ? undefined : valueOf(put).value;
       const removePath: unknown = remove === undefined ? undefined : valueOf(remove).value;
       if (typeof putPath === 'string' && value !== undefined && removePath === undefined) {
-        const piece = valueOf(value);
-        changes.push({ kind: 'put', path: putPath, text: text.slice(piece.offset, piece.offset + piece.length) });
+        const valueNode = valueOf(value);
+        changes.push({
+          kind: 'put',
+          path: putPath,
+          text: text.slice(valueNode.offset, valueNode.offset + valueNode.length),
+        });
       } else if (typeof removePath === 'string' && putPath === undefined && value === undefined)
         changes.push({ kind: 'remove', path: removePath });
       else faults.push({ path: `/changes/${index}`, fault: 'either put with value, or remove' });
--- a/source/shared/blueprint/types.ts
+++ b/source/shared/blueprint/types.ts
@@ -1,9 +1,12 @@
+/** A priority class of requests. */
 export type ServiceClass = Readonly<{
   /** Lower is served first. */
   rank: number;
-  /** Part of each pool that this class may count on, in per mille. */
+  /** Guaranteed share of each pool's capacity, in per mille. */
   sharePerMille: number;
+  /** Whether other classes may use its idle share. */
   lends: boolean;
+  /** Most requests that may wait in the queue of this class. */
   holdingMost: number;
   holdingLimitMicroseconds: number;
 }>;
@@ -11,24 +14,24 @@
 export type Tenant = Readonly<{
   walled: boolean;
   keys: readonly string[];
-  /** Its orders belong to this class, whatever their mapping says; empty: the mapping's. */
+  /** Class of the tenant's requests, which takes precedence over the route's; empty: the route's class. */
   class?: string;
 }>;
 
-/** What an operator says of the engines of a pool. 0: not said. */
+/** Limits and properties of a pool's engines that an operator configures. 0: not configured. */
 export type EngineShape = Readonly<{
-  /** Tokens that running orders and kept parts share. */
+  /** Token capacity that running requests and cached blocks share. */
   keptTokens: number;
   tokenBytes: number;
   linkBytesPerSecond: number;
-  /** Conns that one engine takes from all callers together. */
+  /** Connections that one engine accepts from all clients together. */
   conns: number;
-  /** Event calls that one engine holds at once. */
+  /** Event stream calls that one engine holds open at once. */
   calls: number;
   healthPath: string;
 }>;
 
-/** A shared store of kept parts, named by the operators and on no list of engines. */
+/** A shared cache store that the operators configure; it is on no engine list. */
 export type Store = Readonly<{
   address: string;
   zone: string;
@@ -37,7 +40,7 @@
   calls: number;
 }>;
 
-/** Bounds on what a caller may send. 0: the program's own. */
+/** Bounds on what a client may send. 0: the built-in bound. */
 export type CallerLimits = Readonly<{
   headBytes: number;
   bodyBytes: number;
@@ -45,6 +48,7 @@
   idleMicroseconds: number;
 }>;
 
+/** A group of engines that serve the same model with the same cache layout. */
 export type Pool = Readonly<{
   kind: 'pool';
   model: string;
@@ -63,36 +67,38 @@
 export type AppService = Readonly<{ kind: 'app'; answerLimitMicroseconds: number; shape?: EngineShape }>;
 export type Service = Pool | AppService;
 
-/** Part of a mapping's orders that another service takes, in per mille of the weights of all parts. */
+/** Part of a route's requests that a service receives, by its weight among the weights of all shares. */
 export type Share = Readonly<{ service: string; weight: number }>;
 
+/** Maps a path, host and model to a service and a class. */
 export type Mapping = Readonly<{
   path: string;
   model: string;
   service: string;
   class: string;
-  /** The answer may be taken up at another engine after its last whole event. */
+  /** The response may be resumed at another engine after its last whole event. */
   resumable: boolean;
   /** Empty or missing: any host. */
   host?: string;
-  /** Takes every path that begins with `path`; the longest wins. */
+  /** Matches every path that begins with `path`; the longest match wins. */
   prefix?: boolean;
-  /** Orders need no key. */
+  /** Requests need no API key. */
   open?: boolean;
-  /** May run more than once. */
+  /** Requests are idempotent and may run more than once. */
   repeatable?: boolean;
-  /** Services by weight; then `service` is the first of them. */
+  /** Weighted services; if given, `service` is the first of them. */
   shares?: readonly Share[];
-  /** Most engines one order may be sent to; 0 or missing: the program's own. */
+  /** Most engines that one request may be sent to; 0 or missing: the built-in number. */
   mostSends?: number;
-  /** Longest that an order may be held or answered; 0 or missing: the service's. */
+  /** Longest time that a request may wait or be answered; 0 or missing: the limit of the service. */
   limitMicroseconds?: number;
-  /** Within this the first event earns its full worth; 0 or missing: not said. */
+  /** Target for the time to the first event; 0 or missing: no target. */
   aimMicroseconds?: number;
-  /** Longest pause between events that is still in time; 0 or missing: not said. */
+  /** Target for the longest pause between events; 0 or missing: no target. */
   gapMicroseconds?: number;
 }>;
 
+/** The operators' configuration of the fleet. */
 export type Blueprint = Readonly<{
   classes: Readonly<Record<string, ServiceClass>>;
   tenants: Readonly<Record<string, Tenant>>;
@@ -100,20 +106,20 @@
   mappings: Readonly<Record<string, Mapping>>;
   stores?: Readonly<Record<string, Store>>;
   limits?: CallerLimits;
-  /** Whether orders need a key at all; missing: they do. */
+  /** Whether requests need an API key at all; missing: they do. */
   keyed?: boolean;
 }>;
 
-/** The platform's list. */
+/** An engine on the platform's list. */
 export type Engine = Readonly<{
   kind: 'engine' | 'app' | 'store';
   service: string;
   address: string;
   zone: string;
   state: 'ready' | 'draining';
-  /** Orders it works on at once; missing: not said. */
+  /** Requests that it serves concurrently; missing: unknown. */
   capacity?: number;
-  /** The weights of each model on it, as the list says; missing: not said. */
+  /** The weights of each model on it, from the list; missing: unknown. */
   weights?: Readonly<Record<string, string>>;
 }>;
 export type EngineList = Readonly<{ engines: Readonly<Record<string, Engine>> }>;
@@ -121,6 +127,7 @@
 export type CoreMember = Readonly<{ address: string; operatorsAddress: string; zone: string }>;
 export type CoreMembers = Readonly<{ members: Readonly<Record<string, CoreMember>> }>;
 
+/** Keys of the documents that the control nodes store. */
 export const DocumentKeys = ['blueprint', 'engines', 'core-members'] as const;
 export type DocumentKey = (typeof DocumentKeys)[number];
 export const isDocumentKey = (value: unknown): value is DocumentKey => DocumentKeys.some((key) => key === value);
--- a/source/shared/demand/copyPlaces.ts
+++ b/source/shared/demand/copyPlaces.ts
@@ -2,67 +2,67 @@
 import type { Wanted } from './prefixDemand';
 
 export type CopyPlacesSettings = Readonly<{
-  /** Engines that a prefix's copies belong on, for its share of the demand: in per mille of an even spread. */
+  /** Number of copies of a prefix relative to its share of the demand; 1000 is the number of a proportional spread. */
   copiesPerMille: number;
   mostCopies: number;
 }>;
 
 /**
- * Where copies of prefixes belong. Rendezvous hashing names the engines, in an order of each prefix's own; the more
- * wanted choose first, and an engine that already has its part is passed over, so that the most wanted never heap up.
- * All who know the same demand and the same engines come to the same places.
+ * Chooses the engines that hold copies of cached prefixes. Rendezvous hashing orders the engines for each prefix; the
+ * prefixes in highest demand choose first, and an engine that already has its share is skipped, so that popular prefixes
+ * don't pile up on one engine. Every process with the same demand and engine list computes the same placement.
  */
 export const CopyPlaces = {
   copies: (sharePerMille: number, engines: number, { copiesPerMille, mostCopies }: CopyPlacesSettings): number =>
     Math.max(1, Math.min(mostCopies, engines, Math.ceil((sharePerMille * engines * copiesPerMille) / 1_000_000))),
 
-  /** For a prefix that is not among the wanted ones. */
+  /** The placement of a prefix that is not among those in highest demand. */
   usual: (prefix: string, engines: readonly string[]): readonly string[] => {
     const first = Rendezvous.first(prefix, engines);
     return first === undefined ? [] : [first];
   },
 
-  /** `weigh`: whoever assigns again and again keeps the weights, which never change. */
+  /** `weigh` lets a caller that assigns repeatedly cache the weights, which never change. */
   assign: (
     wanted: readonly Wanted[],
     engines: readonly string[],
     settings: CopyPlacesSettings,
     weigh: (prefix: string, engine: string) => number = Rendezvous.weight,
   ): ReadonlyMap<string, readonly string[]> => {
-    const places = new Map<string, readonly string[]>();
-    if (engines.length === 0) return places;
+    const placement = new Map<string, readonly string[]>();
+    if (engines.length === 0) return placement;
     const counts = wanted.map(({ sharePerMille }) => CopyPlaces.copies(sharePerMille, engines.length, settings));
     const most = Math.ceil(counts.reduce((sum, count) => sum + count, 0) / engines.length);
     const taken = new Map<string, number>();
     wanted.forEach(({ name }, index) => {
-      const weighed = engines.map((engine) => ({ engine, weight: weigh(name, engine) }));
-      const room = weighed.filter(({ engine }) => (taken.get(engine) ?? 0) < most);
+      const weighted = engines.map((engine) => ({ engine, weight: weigh(name, engine) }));
+      const room = weighted.filter(({ engine }) => (taken.get(engine) ?? 0) < most);
       const chosen = heaviest(room, counts[index] ?? 1);
-      // Why the full ones after: copies of one prefix stand on different engines, whatever that takes.
-      const rest = weighed.filter(({ engine }) => !chosen.includes(engine));
+      // Full engines are used last; copies of one prefix are always on different engines, even if one exceeds its share.
+      const rest = weighted.filter(({ engine }) => !chosen.includes(engine));
       chosen.push(...heaviest(rest, (counts[index] ?? 1) - chosen.length));
       for (const engine of chosen) taken.set(engine, (taken.get(engine) ?? 0) + 1);
-      places.set(name, chosen);
+      placement.set(name, chosen);
     });
-    return places;
+    return placement;
   },
 } as const;
 
-type Weighed = Readonly<{ engine: string; weight: number }>;
+type Weighted = Readonly<{ engine: string; weight: number }>;
 
-/** Why no sorting: most prefixes have one place, and there are many engines. */
-const heaviest = (weighed: readonly Weighed[], count: number): string[] => {
+/** Scans for the maximum instead of sorting because most prefixes have one copy and there are many engines. */
+const heaviest = (weighted: readonly Weighted[], count: number): string[] => {
   if (count <= 1) {
-    let best: Weighed | undefined;
-    for (const item of weighed) if (best === undefined || heavierFirst(item, best) < 0) best = item;
+    let best: Weighted | undefined;
+    for (const item of weighted) if (best === undefined || heavierFirst(item, best) < 0) best = item;
     return count < 1 || best === undefined ? [] : [best.engine];
   }
-  return [...weighed]
+  return [...weighted]
     .sort(heavierFirst)
     .slice(0, count)
     .map(({ engine }) => engine);
 };
 
-/** Why by name where weights are equal: all must come to the same order. */
-const heavierFirst = (left: Weighed, right: Weighed): number =>
+/** Ties are broken by name, so that all processes compute the same order. */
+const heavierFirst = (left: Weighted, right: Weighted): number =>
   right.weight - left.weight || (left.engine < right.engine ? 1 : left.engine > right.engine ? -1 : 0);
--- a/source/shared/demand/heavyHitters.ts
+++ b/source/shared/demand/heavyHitters.ts
@@ -1,15 +1,16 @@
 type Counter = { count: number; error: number; lastMicroseconds: number };
 
+/** A frequent name with its decayed count. */
 export type Hitter = Readonly<{ name: string; count: number }>;
 
-/** Counts are kept as if all had been seen long ago; beyond this factor they are brought down together. */
-const mostGrowth = 2 ** 40;
+/** Counts are stored relative to a landmark time; when the decay factor exceeds this, all are rescaled together. */
+const maxGrowth = 2 ** 40;
 
 /**
- * The most frequent names of a stream in bounded memory: the space-saving sketch, with counts that fade. A name that is
- * not counted takes over the counter of the least frequent one, and that one's count as its possible error. So a count is
- * never too low, never too high by more than its error, and no name that makes up more than one part in `counters` of
- * what was seen lately is missing.
+ * The most frequent names of a stream in bounded memory: the space-saving sketch with exponentially decayed counts. A
+ * name without a counter takes over that of the least frequent name, with its count as the possible error. So a count
+ * is never too low and never too high by more than its error, and no name with more than one part in `counters` of the
+ * recent stream is missing.
  */
 export class HeavyHitters {
   private readonly counters = new Map<string, Counter>();
@@ -36,12 +37,12 @@
     this.counters.set(name, { count: error + weight, error, lastMicroseconds: now });
   }
 
-  /** All that was seen, faded. */
+  /** The decayed count of all names. */
   public total(now: number): number {
     return this.sum / this.growth(now);
   }
 
-  /** The most frequent names that were certainly seen, by what is certain of their counts. */
+  /** The most frequent names, ordered by the lower bounds of their counts. */
   public top(most: number, now: number): readonly Hitter[] {
     const growth = this.growth(now);
     return (
@@ -51,7 +52,7 @@
           count: (count - error) / growth,
           lastMicroseconds,
         }))
-        // Why the latest first among equals: by name all proxies would tell the same few and be silent of the others.
+        // Ties go to the most recent name; ordered by name, all proxies would report the same few and omit the others.
         .sort(
           (left, right) =>
             right.count - left.count ||
@@ -63,7 +64,7 @@
     );
   }
 
-  /** What is known of one count: it lies between the two. */
+  /** The lower and upper bound of one count. */
   public bounds(name: string, now: number): readonly [least: number, most: number] {
     const growth = this.growth(now);
     const known = this.counters.get(name);
@@ -82,15 +83,15 @@
     return least;
   }
 
-  /** What one sighting weighs now against one at the landmark. Why so: nothing need be touched as time goes by. */
+  /** The weight of an occurrence now relative to one at the landmark. New ones weigh more, so stored counts need no decay. */
   private growth(now: number): number {
     this.landmark ??= now;
     const growth = 2 ** (Math.max(0, now - this.landmark) / this.halfLifeMicroseconds);
-    if (growth < mostGrowth) return growth;
+    if (growth < maxGrowth) return growth;
     for (const [name, counter] of this.counters) {
       counter.count /= growth;
       counter.error /= growth;
-      // Why dropped: what has faded to nothing would hold a counter for ever.
+      // Counters that have decayed to nothing are dropped; otherwise they would be occupied forever.
       if (counter.count < Number.EPSILON) this.counters.delete(name);
     }
     this.sum /= growth;
--- a/source/shared/demand/prefixDemand.ts
+++ b/source/shared/demand/prefixDemand.ts
@@ -1,15 +1,16 @@
-/** What one proxy is asked for: its most wanted prefixes with rounded counts, and how many orders it counted at all. */
+/** The demand at one proxy: its most requested prefixes with rounded counts, and the number of requests it counted. */
 export type DemandFact = Readonly<{
   agent: string;
-  /** Orders with shared prefixes, faded. */
+  /** Decayed count of requests with shared prefixes. */
   total: number;
   prefixes: readonly (readonly [name: string, count: number])[];
 }>;
 
+/** A requested prefix with its share of the demand on the whole fleet. */
 export type Wanted = Readonly<{ name: string; count: number; sharePerMille: number }>;
 
 export const DemandLimits = {
-  /** Prefixes in one fact, and in the order that all agree on. */
+  /** Prefixes in one gossip entry, and in the ranking of the fleet. */
   perFact: 32,
   ranked: 128,
   nameLength: 32,
@@ -18,7 +19,7 @@
 const isCount = (value: unknown): value is number =>
   typeof value === 'number' && Number.isSafeInteger(value) && value >= 0;
 
-/** Which prefixes the fleet is asked for most. Whoever holds the same facts comes to the same order. */
+/** Ranks the prefixes by demand on the whole fleet. Every process with the same entries computes the same ranking. */
 export const PrefixDemand = {
   isFact: (value: unknown): value is DemandFact => {
     const fact = value as Partial<DemandFact> | null;
@@ -41,7 +42,7 @@
     );
   },
 
-  /** A pure sum over what was told, in whatever order it came; the most wanted first, equal ones by name. */
+  /** Sums the reported counts independently of their order; highest demand first, ties by name. */
   ranked: (facts: readonly DemandFact[]): readonly Wanted[] => {
     const counts = new Map<string, number>();
     let total = 0;
@@ -56,7 +57,7 @@
       .map(([name, count]) => ({
         name,
         count,
-        // Why bounded: totals and counts are rounded each for itself.
+        // The share is bounded because totals and counts are rounded separately and their ratio may exceed 1.
         sharePerMille: Math.min(1000, Math.floor((count * 1000) / Math.max(1, total))),
       }));
   },
--- a/source/shared/fleet/fleetTransport.ts
+++ b/source/shared/fleet/fleetTransport.ts
@@ -1,11 +1,11 @@
 import type { Answer, Handler, Listener, Message, Transport } from '../effects/transport/transport';
 
-const nameIn = (message: Message): string => (typeof message['fleet'] === 'string' ? message['fleet'] : '');
+const fleetOf = (message: Message): string => (typeof message['fleet'] === 'string' ? message['fleet'] : '');
 
 /**
- * Every message says which fleet it belongs to, and one of another fleet is neither heard nor believed, whatever it
- * says. Why here and not at each message: addresses change hands, and the one that was forgotten would be the way in.
- * Who does not know its fleet yet may ask, and is answered.
+ * Adds the fleet name to every message and rejects messages of other fleets. This is done here for all messages because
+ * addresses pass from one fleet to another, and a message type without the check would let foreign state in. A process
+ * that doesn't know its fleet yet may send requests and is answered.
  */
 export class FleetTransport implements Transport {
   public constructor(
@@ -30,7 +30,7 @@
   public readonly close = (): Promise<void> => this.inner.close();
 
   private isOther(message: Message): boolean {
-    const [theirs, own] = [nameIn(message), this.own()];
+    const [theirs, own] = [fleetOf(message), this.own()];
     return theirs !== '' && own !== '' && theirs !== own;
   }
 }
--- a/source/shared/log/limitedLog.ts
+++ b/source/shared/log/limitedLog.ts
@@ -1,23 +1,23 @@
-/** A log that a loop cannot flood: at most so many sentences a window, and how many were left out when the next window begins. */
+/** Rate-limited logging: at most 8 lines in 5 s; when the next window begins, the number of suppressed lines is logged. */
 import type { Clock } from '../effects/clock/clock';
 import type { Log } from './log';
 
 const windowMicroseconds = 5_000_000;
-const mostSentences = 8;
+const maxLines = 8;
 
 export const LimitedLogs = {
   of: (log: Log, clock: Clock): Log => {
     let windowStart = -Infinity;
-    let said = 0;
-    return (sentence) => {
+    let lines = 0;
+    return (line) => {
       const now = clock.nowMicroseconds();
       if (now - windowStart >= windowMicroseconds) {
-        if (said > mostSentences) log(`${said - mostSentences} more like the last were left out.`);
+        if (lines > maxLines) log(`${lines - maxLines} more like the last were left out.`);
         windowStart = now;
-        said = 0;
+        lines = 0;
       }
-      said += 1;
-      if (said <= mostSentences) log(sentence);
+      lines += 1;
+      if (lines <= maxLines) log(line);
     };
   },
 } as const;
--- a/source/shared/log/log.ts
+++ b/source/shared/log/log.ts
@@ -2,21 +2,24 @@
 
 const logFlag = '--log=';
 
-export type Log = (sentence: string) => void;
+/** Writes one line to a log channel. */
+export type Log = (line: string) => void;
 
+/** Log channels, based on the debug package. */
 export const Logs = {
-  /** A fixed prefix for each part: postdrum:<part>. Short sentences, never a secret. */
+  /** A log with the channel name postdrum:<part>. Lines are short and never contain secrets. */
   part: (part: string): Log => {
     const write = debug(`postdrum:${part}`);
-    return (sentence) => write('%s', sentence);
+    return (line) => write('%s', line);
   },
-  /** Whether anybody reads a part's sentences. For those that cost something to make. */
+  /** Whether the channel of a part is enabled, for lines that are expensive to build. */
   isOn: (part: string): boolean => debug.enabled(`postdrum:${part}`),
-  /** What a person must see even where DEBUG is unset. Where no environment can be set, the flag `--log` says more. */
+  /** Enables the notice channels if DEBUG is unset. The flag `--log` selects channels where no environment can be set. */
   enableDefault: (words: readonly string[] = process.argv): void => {
-    const asked = words.find((word) => word.startsWith(logFlag))?.slice(logFlag.length);
-    if (asked !== undefined) debug.enable(asked);
+    const pattern = words.find((word) => word.startsWith(logFlag))?.slice(logFlag.length);
+    if (pattern !== undefined) debug.enable(pattern);
     else if (process.env['DEBUG'] === undefined) debug.enable('postdrum:*:notice');
   },
+  /** The message of an error of any type. */
   text: (error: unknown): string => (error instanceof Error ? error.message : String(error)),
 } as const;
--- a/source/shared/log/standstillWatch.ts
+++ b/source/shared/log/standstillWatch.ts
@@ -1,9 +1,9 @@
-/** Tells operators of a process that did nothing for a while: one that was stopped, waited for its processor, or worked in one piece. */
+/** Logs stalls of the process: it was stopped, waited for a processor, or blocked the event loop. */
 import type { Clock } from '../effects/clock/clock';
 import { LimitedLogs } from './limitedLog';
 import type { Log } from './log';
 
-/** A timer that is late by so much is worth a sentence. */
+/** A timer that is late by at least this much is logged as a stall. */
 export const standstillMicroseconds = 500_000;
 
 export class StandstillWatch {
@@ -17,13 +17,13 @@
     this.notice = LimitedLogs.of(log, clock);
   }
 
-  /** Work begins after this pause. Returns the pause. */
+  /** Records that work is scheduled after a pause, and returns the pause. */
   public planned(pauseMicroseconds: number): number {
     this.dueMicroseconds = this.clock.nowMicroseconds() + pauseMicroseconds;
     return pauseMicroseconds;
   }
 
-  /** That work begins. */
+  /** Records that the scheduled work begins, and logs a stall if it is late. */
   public began(): void {
     const late = this.clock.nowMicroseconds() - this.dueMicroseconds;
     if (late >= standstillMicroseconds) this.notice(`This process stood still for ${Math.round(late / 1000)} ms.`);
--- a/source/shared/metrics/metrics.ts
+++ b/source/shared/metrics/metrics.ts
@@ -2,23 +2,23 @@
 
 const escapeLabel = (value: string): string =>
   value.replaceAll('\\', '\\\\').replaceAll('"', '\\"').replaceAll('\n', '\\n');
-const lineName = (name: string, labels: Labels): string => {
+const seriesName = (name: string, labels: Labels): string => {
   const parts = Object.entries(labels).map(([label, value]) => `${label}="${escapeLabel(value)}"`);
   return parts.length === 0 ? name : `${name}{${parts.join(',')}}`;
 };
 
-/** Counts since start and values as of now, in the text format that the field's collectors read. */
+/** Counters since start and current gauges, rendered in the Prometheus text format. */
 export class Metrics {
   private readonly counts = new Map<string, number>();
   private readonly gauges: (() => readonly (readonly [string, Labels, number])[])[] = [];
 
   public count(name: string, labels: Labels = {}, by = 1): void {
-    const line = lineName(name, labels);
-    this.counts.set(line, (this.counts.get(line) ?? 0) + by);
+    const series = seriesName(name, labels);
+    this.counts.set(series, (this.counts.get(series) ?? 0) + by);
   }
 
   public value(name: string, labels: Labels = {}): number {
-    return this.counts.get(lineName(name, labels)) ?? 0;
+    return this.counts.get(seriesName(name, labels)) ?? 0;
   }
 
   public watch(read: () => readonly (readonly [string, Labels, number])[]): void {
@@ -31,8 +31,8 @@
 
   public page(): string {
     const now = this.gauges.flatMap((read) =>
-      read().map(([name, labels, value]) => `${lineName(name, labels)} ${value}`),
+      read().map(([name, labels, value]) => `${seriesName(name, labels)} ${value}`),
     );
-    return [...[...this.counts].map(([line, value]) => `${line} ${value}`), ...now].sort().join('\n') + '\n';
+    return [...[...this.counts].map(([series, value]) => `${series} ${value}`), ...now].sort().join('\n') + '\n';
   }
 }
--- a/source/shared/metrics/metricsEndpoint.ts
+++ b/source/shared/metrics/metricsEndpoint.ts
@@ -1,11 +1,11 @@
-/** Metrics at an address of their own, for collectors that know a fixed port. What a role serves never depends on it. */
+/** Serves metrics on a separate address, for collectors that scrape a fixed port. The process works without it. */
 import type { ServerResponse } from 'node:http';
 import { HttpDoors, HttpLimits, Replies, type HttpDoor } from '../http/httpDoor';
 import { Logs, type Log } from '../log/log';
 import type { Metrics } from './metrics';
 
 export const MetricsEndpoints = {
-  /** Undefined where the address cannot be had; the process goes on without. */
+  /** Returns undefined if the address can't be bound; the process continues without the endpoint. */
   open: async (address: string, path: string, metrics: Metrics, log: Log): Promise<HttpDoor | undefined> => {
     try {
       return await HttpDoors.open(address, HttpLimits.usual, (service) => {
--- a/source/shared/rendezvous/rendezvous.ts
+++ b/source/shared/rendezvous/rendezvous.ts
@@ -1,42 +1,43 @@
 import murmurhash from 'murmurhash';
 
-/** Why no digest: nobody gains by a chosen name here, and a large fleet weighs many names again and again. */
+/** A non-cryptographic hash suffices because nobody gains by choosing names, and a large fleet hashes many names often. */
 const weigh = (subject: string, name: string): number => murmurhash.v3(Buffer.from(`${subject}\u0000${name}`));
 
-type Weighed = Readonly<{ name: string; weight: number }>;
-/** Why by name where weights are equal: every daemon must come to the same order. */
-const heavierFirst = (left: Weighed, right: Weighed): number =>
+type Weighted = Readonly<{ name: string; weight: number }>;
+/** Ties are broken by name, so that every process computes the same order. */
+const heavierFirst = (left: Weighted, right: Weighted): number =>
   right.weight - left.weight || (left.name < right.name ? 1 : left.name > right.name ? -1 : 0);
 
+/** Rendezvous (highest random weight) hashing. */
 export const Rendezvous = {
-  /** What a name weighs for a subject: the more, the sooner its turn. */
+  /** The weight of a name for a subject; the highest weight comes first. */
   weight: weigh,
 
-  /** All names, the one that weighs most for this subject first. */
+  /** All names by descending weight for this subject. */
   order: (subject: string, names: readonly string[]): readonly string[] =>
     names
       .map((name) => ({ name, weight: weigh(subject, name) }))
       .sort(heavierFirst)
       .map(({ name }) => name),
 
-  /** The one that weighs most for this subject; undefined where there are no names. */
+  /** The name with the highest weight for this subject; undefined if there are no names. */
   first: (subject: string, names: readonly string[]): string | undefined => {
-    let best: Weighed | undefined;
+    let best: Weighted | undefined;
     for (const name of names) {
-      const weighed = { name, weight: weigh(subject, name) };
-      if (best === undefined || heavierFirst(weighed, best) < 0) best = weighed;
+      const weighted = { name, weight: weigh(subject, name) };
+      if (best === undefined || heavierFirst(weighted, best) < 0) best = weighted;
     }
     return best?.name;
   },
 
-  /** Which place a name has for this subject, 0 first; -1 where it is not among the names. Costs no sorting. */
+  /** The index of a name in the order for this subject, computed without sorting; -1 if it is not among the names. */
   rank: (subject: string, name: string, names: readonly string[]): number => {
     if (!names.includes(name)) return -1;
     const own = { name, weight: weigh(subject, name) };
     return names.filter((other) => heavierFirst({ name: other, weight: weigh(subject, other) }, own) < 0).length;
   },
 
-  /** The small set of others that one daemon knows and watches. */
+  /** The small set of peers that one process monitors. */
   colleagues: (self: string, names: readonly string[], count: number): readonly string[] =>
     Rendezvous.order(
       self,
--- a/source/shared/schema/schema.ts
+++ b/source/shared/schema/schema.ts
@@ -1,8 +1,8 @@
-/** Schemas of what other processes and the disk say: the types of messages derive from them, and each is checked where it enters. */
+/** Schemas of messages and stored data. Their types derive from the schemas, and each value is checked where it enters. */
 import type { Static, TSchema } from '@sinclair/typebox';
 import { TypeCompiler, type TypeCheck } from '@sinclair/typebox/compiler';
 
-/** As received: nobody changes a message of another process. */
+/** The deeply read-only type of a received value. */
 export type Received<Value> = Value extends Uint8Array
   ? Value
   : Value extends readonly (infer Item)[]
@@ -11,9 +11,10 @@
       ? { readonly [Field in keyof Value]: Received<Value[Field]> }
       : Value;
 
+/** The type of the values of a schema. */
 export type Of<Type extends TSchema> = Received<Static<Type>>;
 
-/** One schema, compiled when it is first used: a process meets few of the messages that it knows. */
+/** A schema that is compiled on first use because a process receives only a few of the messages that it knows. */
 export class Schema<Type extends TSchema> {
   private compiled: TypeCheck<Type> | undefined;
 
@@ -23,7 +24,7 @@
     return this.check().Check(value);
   }
 
-  /** Where a value first differs from the schema, and how; never what stands there. */
+  /** Describes where and how a value first differs from the schema, without the value itself. */
   public fault(value: unknown): string {
     const first = this.check().Errors(value).First();
     return first === undefined ? '' : `${first.path === '' ? 'the whole' : first.path}: ${first.message}`;
--- a/source/shared/settings/program.ts
+++ b/source/shared/settings/program.ts
@@ -1,36 +1,37 @@
 import { Logs } from '../log/log';
 
+/** Start, signals and flags that all programs share. */
 export const Programs = {
-  /** The value of `--NAME=VALUE` on the command line; empty: it is not there. */
+  /** The value of `--NAME=VALUE` on the command line; empty if it is missing. */
   flag: (name: string, words: readonly string[] = process.argv): string => {
     const prefix = `--${name}=`;
     return words.find((word) => word.startsWith(prefix))?.slice(prefix.length) ?? '';
   },
 
-  /** Runs a program; what stops it at the start is one sentence on stderr and a code that is not 0. */
+  /** Runs a program; if it fails to start, it prints one line to stderr and exits with code 1. */
   run: (program: string, start: () => Promise<void>, notices = true): void => {
     if (notices) Logs.enableDefault();
-    // Why for all: where nobody listens this signal ends a program, and it only says that settings may have changed.
+    // Every program handles SIGHUP because it terminates a process without a handler, and here it only requests a reload of the settings.
     process.on('SIGHUP', () => undefined);
     start().catch((error: unknown) => {
       const code = (error as { code?: string }).code;
-      const sentence = code === 'EADDRINUSE' ? `the address is in use (${Logs.text(error)})` : Logs.text(error);
-      process.stderr.write(`${program}: ${sentence}\n`);
+      const message = code === 'EADDRINUSE' ? `the address is in use (${Logs.text(error)})` : Logs.text(error);
+      process.stderr.write(`${program}: ${message}\n`);
       process.exit(1);
     });
   },
 
-  /** SIGHUP: the settings may have changed. */
+  /** Calls `look` on SIGHUP, which signals that the settings may have changed. */
   onHup: (look: () => Promise<void>): void => {
     process.on('SIGHUP', () => void look());
   },
 
-  /** SIGTERM and SIGINT: finish what was read, then leave; at the second limit, leave all the same. */
+  /** On SIGTERM and SIGINT, finishes accepted work and exits; exits with code 3 when the limit has passed. */
   onTerm: (limitMicroseconds: number, finish: () => Promise<void>): void => {
-    let begun = false;
+    let stopping = false;
     const term = (): void => {
-      if (begun) return;
-      begun = true;
+      if (stopping) return;
+      stopping = true;
       setTimeout(() => process.exit(3), limitMicroseconds / 1000).unref();
       finish().then(
         () => process.exit(0),
--- a/source/shared/settings/settings.ts
+++ b/source/shared/settings/settings.ts
@@ -5,6 +5,7 @@
 
 const addressPattern = /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/;
 
+/** Format checks of settings; each throws an error if the value is invalid. */
 export const SettingFormats = {
   address: (value: unknown): void => {
     if (typeof value !== 'string' || !addressPattern.test(value))
@@ -40,6 +41,7 @@
   },
 } as const;
 
+/** Documentation, format, default and flag type of a setting; a default of null means that it is required. */
 export type Setting = Readonly<{
   doc: string;
   format: (value: unknown) => void;
@@ -48,7 +50,7 @@
 }>;
 export type SettingSchema = Readonly<Record<string, Setting>>;
 
-/** Settings that several programs have. */
+/** Settings that several programs share. */
 export const SharedSettings = {
   listen: {
     doc: 'where it listens, if others reach it by another address than this',
@@ -69,7 +71,7 @@
   return `${program}: ${purpose}\n\nUse: ${program} [--settings FILE] [--NAME VALUE …]\n\n  --settings FILE\n      JSON file with any of the names below; flags go first\n  --log=PATTERN\n      which parts say what they do, such as postdrum:* (default postdrum:*:notice)\n  --help\n${lines.join('\n')}\n`;
 };
 
-/** Settings from a file, then flags, checked by convict. Faults: one sentence on stderr, exit code 2. */
+/** Reads settings from a file and then from flags, and checks them with convict. Faults: one line on stderr, exit code 2. */
 export const Settings = {
   read: (
     program: string,
@@ -77,8 +79,8 @@
     schema: SettingSchema,
     words: readonly string[],
   ): Readonly<Record<string, unknown>> => {
-    const leave = (sentence: string): never => {
-      process.stderr.write(`${program}: ${sentence}\n`);
+    const exitWithUsageError = (message: string): never => {
+      process.stderr.write(`${program}: ${message}\n`);
       process.exit(2);
     };
     try {
@@ -112,7 +114,7 @@
       checker.validate({ allowed: 'strict' });
       return checker.getProperties();
     } catch (error) {
-      return leave(`the settings are wrong: ${Logs.text(error).replace(/\s*\n\s*/g, '; ')}`);
+      return exitWithUsageError(`the settings are wrong: ${Logs.text(error).replace(/\s*\n\s*/g, '; ')}`);
     }
   },
 } as const;
--- a/source/shared/settings/settingsChange.ts
+++ b/source/shared/settings/settingsChange.ts
@@ -2,17 +2,18 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** What a running program makes of changed settings. */
+/** The effect of changed settings on a running program. */
 export type SettingsChange<Settings> = Readonly<{
-  /** In force from now on. */
+  /** The settings that are now in effect. */
   settings: Settings;
-  /** What changed, parted by whether it may change while a program runs. */
+  /** Names of the changed settings that are now in effect, and of those that need a restart. */
   taken: readonly string[];
   waiting: readonly string[];
 }>;
 
+/** Compares changed settings with those in effect. */
 export const SettingsChanges = {
-  /** Takes over the fields that may change while a program runs, and leaves the rest as they were. */
+  /** Applies the fields that may change while a program runs, and leaves the rest unchanged. */
   of: <Settings extends Fields>(
     before: Settings,
     after: Settings,
@@ -29,12 +30,12 @@
     };
   },
 
-  /** Undefined: nothing changed that this program looks at. */
+  /** Describes the change for the log; undefined if no setting of this program changed. */
   sentence: ({ taken, waiting }: Omit<SettingsChange<Fields>, 'settings'>): string | undefined => {
-    const said = [
+    const parts = [
       ...(taken.length > 0 ? [`in force now: ${taken.join(', ')}`] : []),
       ...(waiting.length > 0 ? [`only after a restart: ${waiting.join(', ')}`] : []),
     ];
-    return said.length > 0 ? `The settings have changed; ${said.join('; ')}.` : undefined;
+    return parts.length > 0 ? `The settings have changed; ${parts.join('; ')}.` : undefined;
   },
 } as const;
--- a/source/shared/settings/settingsWatch.ts
+++ b/source/shared/settings/settingsWatch.ts
@@ -3,49 +3,50 @@
 import type { Clock } from '../effects/clock/clock';
 import type { Log } from '../log/log';
 
+/** The result of parsing settings. */
 export type SettingsFound<Value> =
   Readonly<{ kind: 'read'; settings: Value }> | Readonly<{ kind: 'wrong'; sentence: string }>;
 
-/** Where a program's settings come from: a text that may change while it runs, and how it is read. */
+/** The source of a program's settings: a text that may change while the program runs, and its parser. */
 export interface SettingsSource<Value> {
-  /** Undefined: it cannot be read now. */
+  /** The current text; undefined if it can't be read now. */
   readonly text: () => string | undefined;
-  /** Changes whenever the text may have changed, and costs less than reading it; missing: the text itself is looked at. */
+  /** A version mark that changes whenever the text may have changed and is cheaper to read; missing: the text is compared. */
   readonly mark?: () => string;
   readonly parse: (text: string) => SettingsFound<Value>;
 }
 
-/** Starting values, ours: a file may change without a signal, and one put back may look untouched. */
-const lookMicroseconds = 1_000_000;
-const wholeLookEvery = 10;
+/** The file is polled because it may change without a signal. Every 10th poll ignores the mark because a restored file may have the old one. */
+const pollIntervalMicroseconds = 1_000_000;
+const fullReadEveryPolls = 10;
 
 /**
- * Looks whether the settings have changed, now and then and when told to. Why a wrong text is only told once: it may be
- * half written, and what is in force stays in force until a sound one is there.
+ * Checks periodically and on demand whether the settings have changed. An invalid text is logged once because it may be
+ * half written; the settings in effect remain until a valid text is there.
  */
 export class SettingsWatch<Value> {
   public readonly news = new Emittery<{ changed: Value }>();
   private readonly ticker: Ticker;
   private mark: string | undefined;
-  private looks = 0;
+  private polls = 0;
 
   public constructor(
     clock: Clock,
     private readonly source: SettingsSource<Value>,
     private readonly notice: Log,
-    /** The text that is in force. Why given: read again here, what changed since the start would never be seen. */
-    private seen: string | undefined = source.text(),
+    /** The text in effect. The caller gives it because reading it again here would miss changes since the start. */
+    private currentText: string | undefined = source.text(),
   ) {
     this.ticker = new Ticker(
       clock,
-      () => lookMicroseconds,
-      () => this.lookSometimes(),
+      () => pollIntervalMicroseconds,
+      () => this.poll(),
       () => undefined,
     );
   }
 
   public start(): this {
-    this.ticker.start(lookMicroseconds);
+    this.ticker.start(pollIntervalMicroseconds);
     return this;
   }
 
@@ -55,19 +56,19 @@
 
   public async look(): Promise<void> {
     const text = this.source.text();
-    if (text === undefined || text === this.seen) return;
-    this.seen = text;
+    if (text === undefined || text === this.currentText) return;
+    this.currentText = text;
     const found = this.source.parse(text);
     if (found.kind === 'wrong') this.notice(`The changed settings are wrong and not taken: ${found.sentence}`);
     else await this.news.emit('changed', found.settings);
   }
 
-  /** Without being told to: the text is only read when its mark is another, or after so many looks at that alone. */
-  private async lookSometimes(): Promise<void> {
-    this.looks += 1;
-    // Why before the text: what is written in between is then seen at the next look.
+  /** Periodic check: reads the text only if its mark has changed, or on every 10th poll. */
+  private async poll(): Promise<void> {
+    this.polls += 1;
+    // The mark is read before the text, so that a write in between is found by the next poll.
     const mark = this.source.mark?.();
-    if (mark !== undefined && mark === this.mark && this.looks % wholeLookEvery !== 0) return;
+    if (mark !== undefined && mark === this.mark && this.polls % fullReadEveryPolls !== 0) return;
     this.mark = mark;
     await this.look();
   }
--- a/source/shared/verdict/verdict.ts
+++ b/source/shared/verdict/verdict.ts
@@ -1,6 +1,7 @@
-/** Whether an order may have run at a back end. */
+/** Whether a request may have been executed by a back end. */
 export type Verdict = 'notRun' | 'mayHaveRun' | 'ran';
 
+/** An error response to a client. */
 export type Refusal = Readonly<{
   status: number;
   verdict: Verdict;
@@ -30,6 +31,7 @@
   | 'userAgentGone'
   | 'internal';
 
+/** Builds error responses, their headers and their bodies. */
 export const Refusals = {
   make: (status: number, verdict: Verdict, code: RefusalCode, text: string, retryAfterSeconds?: number): Refusal =>
     retryAfterSeconds === undefined
--- a/tests/blueprint-check.test.ts
+++ b/tests/blueprint-check.test.ts
@@ -19,7 +19,7 @@
 };
 const fact = (engine: string): unknown => ({ engine, kind: 'engine', capacity: 4, weights: 'w1', reachable: true });
 
-/** Two agents that both tell of both loads, as gossip has it; each load counts once. */
+/** Two agents that both report both loads, as gossip spreads them; each load counts once. */
 const agentsWith = (running: number, waiting: number): readonly AgentStatus[] => {
   const load = (agent: string): unknown => ({
     agent,
@@ -37,16 +37,16 @@
     ({ path, finding }) => `${path} ${finding}`,
   );
 
-test('check: nothing to say of what is as it should be, however busy', () => {
+test('check reports nothing for an unchanged configuration at any load', () => {
   assert.deepEqual(findings(present, 7, 5), []);
 });
 
-test('check: of engines that no daemon told of nothing is claimed, and that is a finding too', () => {
-  const said = BlueprintChecks.run(present, present, engines, [], true).findings;
+test('check reports one finding per pool if no agent answered, and claims nothing about its engines', () => {
+  const reported = BlueprintChecks.run(present, present, engines, [], true).findings;
   const pools = Object.entries(present.services).flatMap(([name, { kind }]) => (kind === 'pool' ? [name] : []));
   assert.ok(pools.length > 1);
   assert.deepEqual(
-    said,
+    reported,
     pools.map((name) => ({
       path: `/services/${name}`,
       finding: 'no daemon answered, so nothing is known of its engines',
@@ -60,17 +60,17 @@
   );
 });
 
-test('check: new weights for a pool that needs more than half of its places', () => {
+test('check reports new weights for a pool that needs more than half of its capacity', () => {
   const pool = present.services['pool'];
   assert.ok(pool?.kind === 'pool');
   const intended = { ...present, services: { ...present.services, pool: { ...pool, weights: 'w2' } } };
   assert.deepEqual(findings(intended, 3, 1), []);
-  const said = findings(intended, 4, 1);
-  assert.equal(said.length, 1);
-  assert.match(said[0] ?? '', /^\/services\/pool\/weights 10 orders run or wait, and half of its 16 places/);
+  const reported = findings(intended, 4, 1);
+  assert.equal(reported.length, 1);
+  assert.match(reported[0] ?? '', /^\/services\/pool\/weights 10 orders run or wait, and half of its 16 places/);
 });
 
-test('check: what would go while orders run or wait in it', () => {
+test('check reports a class that is removed while requests run or wait in it', () => {
   const { short, long } = present.classes;
   assert.ok(short !== undefined && long !== undefined);
   const moved = Object.entries(present.mappings).map(([name, mapping]) => [name, { ...mapping, class: 'long' }]);
--- a/tests/blueprint.test.ts
+++ b/tests/blueprint.test.ts
@@ -15,12 +15,12 @@
   return checked.kind === 'good' ? [] : checked.faults.map(({ path }) => path);
 };
 
-test('the examples are good blueprints', () => {
+test('the example configurations are valid', () => {
   for (const name of ['koro-sea', 'swanreach'])
     assert.equal(Blueprints.checkText('blueprint', readFileSync(`examples/${name}.json`, 'utf8')).kind, 'good');
 });
 
-test('each fault is named with its path, all of them at once', () => {
+test('reports all faults at once, each with its path', () => {
   const blueprint = first();
   (blueprint['classes'] ??= {})['long'] = { rank: 1.5, sharePerMille: 2000, extra: 1 };
   (blueprint['tenants'] ??= {})['open1'] = { walled: 'yes', keys: ['short', 7] };
@@ -38,7 +38,7 @@
   ]);
 });
 
-test('dangling names, shares above the whole, a key of two tenants and a mapping twice are refused', () => {
+test('rejects dangling references, shares above 1000 per mille, a key of two tenants and a duplicate route', () => {
   const blueprint = first();
   (blueprint['mappings'] ??= {})['x'] = { path: '/x', service: 'nowhere', class: 'none' };
   (blueprint['mappings'] ??= {})['y'] = { path: '/v1/chat/completions', model: 'long', service: 'pool', class: 'long' };
@@ -53,7 +53,7 @@
   ]);
 });
 
-test('no fault text ever shows a key', () => {
+test('no fault message contains a key', () => {
   const blueprint = first();
   (blueprint['tenants'] ??= {})['thief'] = { keys: ['key-open2-a', 'tiny'] };
   const checked = Blueprints.checkText('blueprint', JSON.stringify(blueprint));
@@ -61,7 +61,7 @@
   assert.ok(!JSON.stringify(checked).includes('key-open2-a') && !JSON.stringify(checked).includes('tiny'));
 });
 
-test('names given twice, __proto__, broken JSON, too deep and too long texts are refused', () => {
+test('rejects duplicate names, __proto__, broken JSON, and texts that are too deep or too long', () => {
   assert.deepEqual(faultPaths('{"classes":{},"classes":{}}').includes('/classes'), true);
   assert.ok(faultPaths('{"tenants":{"__proto__":{}}}').some((path) => path.includes('__proto__')));
   for (const text of ['', '{', '{"a":1,}', '// c\n{}', '[1', 'nul', '{"a":01}', '{"a":"\u0001"}'])
@@ -70,13 +70,13 @@
   assert.equal(Blueprints.checkText('blueprint', ' '.repeat(5 * 1024 * 1024)).kind, 'faulty');
 });
 
-test('the checker never alters what it was given, nor adds defaults to the stored text', () => {
+test('the checker does not modify its input and adds no defaults to the stored text', () => {
   const text = JSON.stringify(first());
   const planned = Changes.plan(emptyEntry, { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'a' });
   assert.ok(planned.kind === 'write' && planned.entry.text === text && planned.entry.revision === 1);
 });
 
-test('a piece change leaves every byte outside its piece alone', () => {
+test('an edit of one value leaves all other bytes unchanged', () => {
   const names = fc
     .string({ minLength: 1, maxLength: 8 })
     .filter((name) => !['__proto__', 'constructor', 'prototype'].includes(name));
@@ -114,15 +114,15 @@
   );
 });
 
-test('one change id has one outcome; used for another change it is refused; an old revision loses', () => {
+test('a change id has one outcome, its reuse for another change is rejected, and so is an outdated base revision', () => {
   const text = JSON.stringify(first());
-  const order = { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'a' } as const;
-  const planned = Changes.plan(emptyEntry, order);
+  const request = { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'a' } as const;
+  const planned = Changes.plan(emptyEntry, request);
   assert.ok(planned.kind === 'write');
   if (planned.kind !== 'write') return;
-  assert.deepEqual(Changes.plan(planned.entry, order), { kind: 'answer', outcome: { kind: 'taken', revision: 1 } });
-  const other = Changes.plan(planned.entry, { ...order, text: `${text} ` });
+  assert.deepEqual(Changes.plan(planned.entry, request), { kind: 'answer', outcome: { kind: 'taken', revision: 1 } });
+  const other = Changes.plan(planned.entry, { ...request, text: `${text} ` });
   assert.ok(other.kind === 'answer' && other.outcome.kind === 'refused' && other.outcome.reason === 'idUsed');
-  const late = Changes.plan(planned.entry, { ...order, id: 'b' });
+  const late = Changes.plan(planned.entry, { ...request, id: 'b' });
   assert.ok(late.kind === 'answer' && late.outcome.kind === 'refused' && late.outcome.reason === 'revision');
 });
--- a/tests/owner-links.test.ts
+++ b/tests/owner-links.test.ts
@@ -7,12 +7,8 @@
 const isOwner = ({ controlNode: keeper, name }: ControlMachine): boolean =>
   keeper?.keyLeaders()['blueprint']?.owner === name;
 
-/** From now on the first so many accepts to a machine are lost with their conn, as when a link was just mended. */
-const breakAccepts = (
-  { network }: ControlFleet,
-  { member, process }: ControlMachine,
-  count: number,
-): (() => number) => {
+/** Breaks the connection of the first `count` accept messages to a machine, as happens just after a link is restored. */
+const dropAccepts = ({ network }: ControlFleet, { member, process }: ControlMachine, count: number): (() => number) => {
   const listening = network.listenerAt(member.address);
   assert.ok(listening !== undefined);
   let broken = 0;
@@ -23,14 +19,14 @@
       );
     }
     broken += 1;
-    return Promise.reject(new Error('the conn breaks'));
+    return Promise.reject(new Error('connection broken'));
   });
   return () => broken;
 };
 
-describe('an owner with one keeper silent and a link that breaks', () => {
+describe('a key owner with one unreachable control node and a link that breaks', () => {
   for (const count of [1, 3])
-    test(`a change whose accept is lost on ${count} conns in turn stands soon, under the same owner`, async () => {
+    test(`commits a change soon and under the same owner when ${count} accept message(s) in a row are lost`, async () => {
       const fleet = new ControlFleet(21, ownDialect);
       assert.ok(await fleet.startAll(3));
       assert.ok(await fleet.world.runUntil(() => fleet.machines.some(isOwner), 3_000_000));
@@ -39,20 +35,20 @@
       const [silent, broken] = fleet.machines.filter((machine) => machine !== owner);
       assert.ok(silent !== undefined && broken !== undefined);
       fleet.network.cut(owner.machine, silent.machine);
-      const brokenTimes = breakAccepts(fleet, broken, count);
+      const brokenTimes = dropAccepts(fleet, broken, count);
       const epoch = owner.controlNode?.keyLeaders()['blueprint']?.epoch;
       const began = fleet.world.nowMicroseconds;
       const text = JSON.stringify(SimBlueprints.first());
       const outcome = await fleet.change(owner, { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'one' });
       assert.deepEqual(outcome, { kind: 'taken', revision: 1 });
       assert.equal(brokenTimes(), count);
-      // Why it matters: until then no agent can prove any revision, and the fence of every proxy goes on closing.
+      // Until the commit no agent can confirm any revision, and the freshness lease of every proxy runs down.
       const took = fleet.world.nowMicroseconds - began;
       assert.ok(took < fleet.settings.askMicroseconds / 2, `${took} µs`);
       assert.equal(owner.controlNode?.keyLeaders()['blueprint']?.epoch, epoch);
     });
 
-  test('a majority that cannot be reached is still given up after one patience', async () => {
+  test('gives up after one request timeout when no majority can be reached', async () => {
     const fleet = new ControlFleet(22, ownDialect);
     assert.ok(await fleet.startAll(3));
     assert.ok(await fleet.world.runUntil(() => fleet.machines.some(isOwner), 3_000_000));
--- a/tests/support/pool.ts
+++ b/tests/support/pool.ts
@@ -1,6 +1,6 @@
 import type { Pool } from '../../source/shared/blueprint/types';
 
-/** A pool as the operators may name it, where a test does not care for its fields. */
+/** A valid pool for tests that don't depend on its fields. */
 export const pool: Pool = {
   kind: 'pool',
   model: 'm',
--- a/tests/two-fleets.test.ts
+++ b/tests/two-fleets.test.ts
@@ -7,7 +7,7 @@
 
 const small = { ...usualShape, edges: 3, engines: 2, spares: 0 };
 
-/** Another fleet with the same names everywhere, other keys, and a revision that is far ahead. */
+/** Two fleets with the same names; the second has other API keys and a higher configuration revision. */
 const twoFleets = async (seed: number): Promise<Readonly<{ world: World; ours: SimFleet; theirs: SimFleet }>> => {
   const world = new World(seed);
   const ours = new SimFleet(world, small);
@@ -39,26 +39,29 @@
 const good = ['200 ', '200 ', '200 '];
 
 for (const seed of [1, 2, 3]) {
-  test(`a seed address that another fleet has taken over leads nobody astray, seed ${seed}`, async () => {
+  test(`no process joins another fleet that took over a seed address, seed ${seed}`, async () => {
     const { world, ours, theirs } = await twoFleets(seed);
     const gone = ours.keeper(2);
     ours.killKeeper(gone, true);
     gone.replaced = true;
     const made = ours.addKeeper(4, gone.name);
     ours.startKeeper(made);
-    assert.ok(await world.runUntil(() => made.keeper?.core.votes() === true, 12_000_000), 'the new keeper votes');
-    // Why its keeper of the same name: what carries no fleet would be taken for ours.
+    assert.ok(await world.runUntil(() => made.keeper?.core.votes() === true, 12_000_000), 'the new control node votes');
+    // The address goes to the control node of the same name because a message without a fleet name would be accepted from it.
     ours.network.handOver(gone.member.address, theirs.keeper(2).member.address);
     await restartEdges(world, ours);
     assert.deepEqual(await statuses(world, ours, 'key-open1-a'), good);
     assert.deepEqual(await statuses(world, ours, 'key-theirs'), ['401 unknownKey', '401 unknownKey', '401 unknownKey']);
-    // An emptied keeper of ours is led home too, and theirs goes on as if nothing were.
+    // A control node whose disk was wiped rejoins its own fleet, and the other fleet is not affected.
     const wiped = ours.keeper(0);
     ours.killKeeper(wiped, true);
     wiped.disk.wipe();
     await world.runFor(500_000);
     ours.startKeeper(wiped);
-    assert.ok(await world.runUntil(() => wiped.keeper?.core.votes() === true, 12_000_000), 'the emptied one votes');
+    assert.ok(
+      await world.runUntil(() => wiped.keeper?.core.votes() === true, 12_000_000),
+      'the wiped control node votes',
+    );
     assert.equal(wiped.keeper?.core.state.fleet, made.keeper?.core.state.fleet);
     assert.deepEqual(await statuses(world, theirs, 'key-theirs'), good);
     assert.deepEqual(theirs.keeper(0).keeper?.core.members().members['keeper-4'], undefined);
@@ -66,7 +69,7 @@
     assert.deepEqual(judgeAll(theirs).broken, []);
   });
 
-  test(`an agent address that another fleet has taken over brings no foreign news, seed ${seed}`, async () => {
+  test(`no gossip arrives from another fleet that took over an agent address, seed ${seed}`, async () => {
     const { world, ours, theirs } = await twoFleets(seed + 10);
     const lost = ours.edge(1);
     ours.killEdge(lost);
@@ -84,16 +87,16 @@
   });
 }
 
-test('with most seeds in foreign hands an agent stays out, or goes where its settings say', async () => {
+test('an agent joins no fleet when the seeds disagree, or the fleet that its settings name', async () => {
   const { world, ours, theirs } = await twoFleets(5);
   const fleet = ours.keeper(0).keeper?.core.state.fleet ?? '';
-  // One seed is theirs, one is nobody's: one voice against one.
+  // One seed belongs to the other fleet and one doesn't answer: one answer against one.
   ours.killKeeper(ours.keeper(1), false);
   ours.killKeeper(ours.keeper(2), false);
   ours.network.handOver(ours.keeper(2).member.address, theirs.keeper(0).member.address);
   await restartEdges(world, ours);
   assert.ok(ours.edges.every(({ agent, proxy }) => agent.link.fleet === '' && !proxy.fresh()));
-  // Two are theirs: without a word from the operators that would decide it.
+  // Two seeds belong to the other fleet and would decide if the settings didn't name the fleet.
   ours.network.handOver(ours.keeper(1).member.address, theirs.keeper(1).member.address);
   ours.statedFleet = fleet;
   await restartEdges(world, ours);
@@ -101,7 +104,7 @@
   assert.ok(ours.edges.every(({ agent }) => agent.freshness.revision('blueprint') === 0));
 });
 
-test('garbage, strange kinds and huge answers at seeds and colleagues stop nobody', async () => {
+test('malformed, unknown and huge responses of a seed stop no process', async () => {
   const world = new World(6);
   const fleet = new SimFleet(world, small);
   await fleet.startAll();
@@ -120,12 +123,12 @@
     return Promise.resolve(strange[turn % strange.length] ?? { kind: 'nothing' });
   });
   await restartEdges(world, fleet);
-  assert.ok(turn > 20, 'it was asked');
+  assert.ok(turn > 20, 'it received requests');
   assert.deepEqual(await statuses(world, fleet, 'key-open1-a'), good);
   assert.deepEqual(judgeAll(fleet).broken, []);
 });
 
-test('which fleet the seeds lead to: two that agree, and more than all others', () => {
+test('a fleet needs two seeds that agree, and more than any other fleet', () => {
   assert.equal(FleetVotes.judge(['a', 'a', 'b'], 3), 'a');
   assert.equal(FleetVotes.judge(['a', 'b', ''], 3), '');
   assert.equal(FleetVotes.judge(['a', '', ''], 3), '');
