--- a/source/postdrum/commands/commandLine.ts
+++ b/source/postdrum/commands/commandLine.ts
@@ -53,8 +53,8 @@
 };
 
 /** The engine list that the control nodes store, or else the newest that an agent has. */
-const engineListOf = async (client: FleetReach, operatorInterface: Manner, view: FleetView): Promise<EngineList> => {
-  if (operatorInterface.paths.engines === undefined) {
+const engineListOf = async (client: FleetReach, commandLineFormat: Manner, view: FleetView): Promise<EngineList> => {
+  if (commandLineFormat.paths.engines === undefined) {
     const newest = [...view.agents].sort(
       (left, right) => (right.revisions['engines'] ?? 0) - (left.revisions['engines'] ?? 0),
     )[0];
@@ -69,23 +69,23 @@
 
 const check = async (
   client: FleetReach,
-  operatorInterface: Manner,
+  commandLineFormat: Manner,
   file: string | undefined,
   json: boolean,
 ): Promise<number> => {
   const text = Says.fileText(file);
-  const checked = operatorInterface.read(text);
+  const checked = commandLineFormat.read(text);
   if (checked.kind === 'faulty') return printFaults(checked.faults, json);
   const present = await client.document('blueprint');
-  const before = present.kind === 'read' ? operatorInterface.read(present.text) : undefined;
+  const before = present.kind === 'read' ? commandLineFormat.read(present.text) : undefined;
   if (before?.kind === 'faulty') throw new OddAnswer('the core holds a setup this version does not know');
-  const faults = operatorInterface.follows(present.kind === 'read' ? present.text : undefined, text);
+  const faults = commandLineFormat.follows(present.kind === 'read' ? present.text : undefined, text);
   if (faults.length > 0) return printFaults(faults, json);
   const view = await client.view();
   const report = BlueprintChecks.run(
     checked.value,
     before?.value,
-    await engineListOf(client, operatorInterface, view),
+    await engineListOf(client, commandLineFormat, view),
     view.agents,
     view.silent.length > 0 || view.agents.length === 0,
   );
@@ -100,7 +100,7 @@
   return 0;
 };
 
-const run = async (operatorInterface: Manner, help: string, more: MoreCommands): Promise<number> => {
+const run = async (commandLineFormat: Manner, help: string, more: MoreCommands): Promise<number> => {
   const { values, positionals } = parseArgs({
     options: {
       core: { type: 'string' },
@@ -131,9 +131,9 @@
   const alone = await more.alone(command);
   if (alone !== undefined) return alone;
   if (flags.core.length === 0) return fail('--core or POSTDRUM_CORE must name a keeper', 2);
-  const client = new FleetReach(flags.core, operatorInterface);
+  const client = new FleetReach(flags.core, commandLineFormat);
   if (topic === 'status' && verb === undefined) return status(client, flags.json);
-  if (!isDocumentKey(topic) || operatorInterface.paths[topic] === undefined)
+  if (!isDocumentKey(topic) || commandLineFormat.paths[topic] === undefined)
     return fail(`there is no command ${topic}; see --help`, 2);
   if (verb === 'show') {
     const document = await client.document(topic);
@@ -141,14 +141,14 @@
     process.stdout.write(document.text);
     return 0;
   }
-  if (topic === 'blueprint' && verb === 'check') return check(client, operatorInterface, file, flags.json);
+  if (topic === 'blueprint' && verb === 'check') return check(client, commandLineFormat, file, flags.json);
   return (await more.withFleet(command, client)) ?? fail(`there is no command ${topic} ${verb ?? ''}; see --help`, 2);
 };
 
 /** The operators' command line; an error is one line on stderr and an exit code other than 0. */
 export const CommandLine = {
-  run: (operatorInterface: Manner, help: string, more: MoreCommands): void => {
-    run(operatorInterface, help, more).then(
+  run: (commandLineFormat: Manner, help: string, more: MoreCommands): void => {
+    run(commandLineFormat, help, more).then(
       (code) => {
         process.exitCode = code;
       },
--- a/source/postdrum/reaching/fleetReach.ts
+++ b/source/postdrum/reaching/fleetReach.ts
@@ -74,7 +74,7 @@
 export class FleetReach {
   public constructor(
     private readonly core: readonly string[],
-    private readonly operatorInterface: Manner,
+    private readonly commandLineFormat: Manner,
     private readonly limitMilliseconds = 6000,
   ) {}
 
@@ -125,13 +125,13 @@
   }
 
   public async document(key: DocumentKey): Promise<Document> {
-    const path = this.operatorInterface.paths[key];
+    const path = this.commandLineFormat.paths[key];
     if (path === undefined) throw new OddAnswer(`this fleet's core keeps no document ${key}`);
     const answer = await this.core1(path);
     // The content type is checked because a server without this page also answers 404, which says nothing about the document.
     if (answer.status === 404 && (answer.headers['content-type'] ?? '').startsWith('application/json'))
       return { kind: 'nothing' };
-    const revision = answer.status === 200 ? this.operatorInterface.revisionIn(answer.headers) : undefined;
+    const revision = answer.status === 200 ? this.commandLineFormat.revisionIn(answer.headers) : undefined;
     if (revision === undefined)
       throw new OddAnswer(`the core answers in a way this version does not know (status ${answer.status})`);
     return { kind: 'read', revision, text: answer.text };
--- a/source/shared/blueprint/dialect.ts
+++ b/source/shared/blueprint/dialect.ts
@@ -58,7 +58,7 @@
   applyOwn: (
     present: Present,
     change: DialectOrder,
-    check: (text: string) => Checked<uncache>,
+    check: (text: string) => Checked<unknown>,
     links: (text: string) => readonly Fault[] = () => [],
   ): DialectApplied => {
     if (change.ifMatch !== present.revision)
@@ -76,7 +76,7 @@
 } as const;
 
 const readNative = (text: string): Checked<Blueprint> =>
-  Blueprints.checkText('blueprint', text) as uncache as Checked<Blueprint>;
+  Blueprints.checkText('blueprint', text) as unknown as Checked<Blueprint>;
 
 /** The native format: strict JSON with every field checked, stored byte for byte as it was sent. */
 export const ownDialect: Dialect = {
