--- a/source/core-keeper/controlNode.ts
+++ b/source/core-keeper/controlNode.ts
@@ -1,12 +1,16 @@
 import Emittery from 'emittery';
-import { ownDialect, rememberingDialect, type Dialect } from '../shared/blueprint/dialect';
-import { DocumentKeys, type CoreMember, type DocumentKey } from '../shared/blueprint/types';
+import {
+  nativeConfigurationFormat,
+  cachingConfigurationFormat,
+  type ConfigurationFormat,
+} from '../shared/configuration/configurationFormat';
+import { DocumentKeys, type ControlNodeMember, type DocumentKey } from '../shared/configuration/types';
 import { Ticker } from '../shared/effects/clock/ticker';
 import type { Disk } from '../shared/effects/disk/disk';
 import type { Effects } from '../shared/effects/effects';
 import { FleetTransport } from '../shared/fleet/fleetTransport';
 import type { Listener } from '../shared/effects/transport/transport';
-import { LimitedLogs } from '../shared/log/limitedLog';
+import { RateLimitedLogs } from '../shared/log/rateLimitedLog';
 import { Logs, type Log } from '../shared/log/log';
 import { Metrics } from '../shared/metrics/metrics';
 import type { KeyStatement } from '../shared/register/types';
@@ -80,15 +84,15 @@
     baseEffects: Effects,
     disk: Disk,
     private readonly settings: ControlNodeSettings,
-    uncachedDialect: Dialect = ownDialect,
+    uncachedDialect: ConfigurationFormat = nativeConfigurationFormat,
   ) {
-    const dialect = rememberingDialect(uncachedDialect);
+    const dialect = cachingConfigurationFormat(uncachedDialect);
     const { clock, random } = baseEffects;
     this.startedMicroseconds = clock.nowMicroseconds();
     const transport = new FleetTransport(baseEffects.transport, () => this.standing.fleet());
     this.effects = { ...baseEffects, transport };
-    this.log = Logs.part(`keeper:${settings.name}`);
-    this.noticeLog = Logs.part(`keeper:${settings.name}:notice`);
+    this.log = Logs.channel(`keeper:${settings.name}`);
+    this.noticeLog = Logs.channel(`keeper:${settings.name}:notice`);
     this.ledger = new WriteAheadLog(disk, clock, this.noticeLog, settings.rewriteBytes);
     this.core = new ReplicaCore(settings.name, this.ledger, clock);
     this.acceptor = new Acceptor(this.core);
@@ -101,7 +105,7 @@
       this.core,
       clock,
       settings.ownerSilentMicroseconds * quorumTimeoutMultiplier,
-      LimitedLogs.of(this.noticeLog, clock),
+      RateLimitedLogs.of(this.noticeLog, clock),
     );
     this.memberChanges = new MemberChanges(
       this.core,
@@ -177,7 +181,7 @@
           clock,
           random,
           leadershipSettings,
-          LimitedLogs.of(this.noticeLog, clock),
+          RateLimitedLogs.of(this.noticeLog, clock),
         ),
       ]),
     );
@@ -242,9 +246,9 @@
       },
       this.startedMicroseconds,
       this.metrics,
-      LimitedLogs.of(this.noticeLog, clock),
+      RateLimitedLogs.of(this.noticeLog, clock),
     );
-    const logFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
+    const logFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.errorMessage(error)}.`);
     this.tickers = [
       new Ticker(
         clock,
@@ -370,7 +374,7 @@
     return this.replicaReport.keyStatements();
   }
 
-  private membersToQuery(): readonly CoreMember[] {
+  private membersToQuery(): readonly ControlNodeMember[] {
     return this.core.votes() ? this.core.others().map(([, member]) => member) : this.standing.followedMembers();
   }
 
--- a/source/core-keeper/controlNodeSettings.ts
+++ b/source/core-keeper/controlNodeSettings.ts
@@ -1,9 +1,9 @@
-import type { CoreMember } from '../shared/blueprint/types';
+import type { ControlNodeMember } from '../shared/configuration/types';
 
 /** Settings of a control node. */
 export type ControlNodeSettings = Readonly<{
   name: string;
-  member: CoreMember;
+  member: ControlNodeMember;
   /** The address to listen on; empty: the address in `member`. */
   listenAddress: string;
   /** Addresses of the first contacts. A new fleet is founded by the nodes at these addresses. */
--- a/source/core-keeper/main.ts
+++ b/source/core-keeper/main.ts
@@ -1,5 +1,5 @@
 /** The control node's program, for fleets that use the native document format and operator API. */
-import { ownDialect } from '../shared/blueprint/dialect';
+import { nativeConfigurationFormat } from '../shared/configuration/configurationFormat';
 import { realClock } from '../shared/effects/clock/realClock';
 import { nodeDisk } from '../shared/effects/disk/nodeDisk';
 import { realRandom } from '../shared/effects/random/random';
@@ -47,7 +47,7 @@
     process.argv.slice(2),
   );
   const text = (name: string): string => String(settings[name]);
-  const noticeLog = Logs.part('keeper:notice');
+  const noticeLog = Logs.channel('keeper:notice');
   const member = { address: text('address'), operatorsAddress: text('operators'), zone: text('zone') };
   const program = await startControlNode({
     effects: { clock: realClock, random: realRandom, transport: new TcpTransport(realClock) },
@@ -60,7 +60,7 @@
       seeds: settings['seeds'] as readonly string[],
       replaces: text('replaces'),
     },
-    dialect: ownDialect,
+    dialect: nativeConfigurationFormat,
     operatorApiFormat: nativeOperatorApiFormat,
     operatorApi: { ...OperatorApiDefaults, address: member.operatorsAddress },
     onDiskFailure: (sentence) => {
@@ -71,5 +71,5 @@
   noticeLog(
     `Control node ${text('name')} listens on ${program.address}; operator API on ${program.operatorApi.address}.`,
   );
-  Programs.onTerm(Number(settings['stopLimitMicroseconds']), program.stop);
+  Programs.onShutdown(Number(settings['stopLimitMicroseconds']), program.stop);
 });
--- a/source/core-keeper/membership/fleetBootstrap.ts
+++ b/source/core-keeper/membership/fleetBootstrap.ts
@@ -1,4 +1,4 @@
-import type { CoreMember } from '../../shared/blueprint/types';
+import type { ControlNodeMember } from '../../shared/configuration/types';
 import type { Random } from '../../shared/effects/random/random';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import type { Log } from '../../shared/log/log';
@@ -12,7 +12,7 @@
 /** Settings of the bootstrap. `founders`: the number of seeds that found the fleet. */
 export type FleetBootstrapSettings = Readonly<{
   seeds: readonly string[];
-  member: CoreMember;
+  member: ControlNodeMember;
   askMicroseconds: number;
   founders: number;
   /** After this delay a majority of the seeds founds the fleet without the others; only if `joins` is `asks`, which adds them later. */
--- a/source/core-keeper/membership/fleetMembership.ts
+++ b/source/core-keeper/membership/fleetMembership.ts
@@ -1,4 +1,4 @@
-import type { CoreMember } from '../../shared/blueprint/types';
+import type { ControlNodeMember } from '../../shared/configuration/types';
 import type { Random } from '../../shared/effects/random/random';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { FleetVotes } from '../../shared/fleet/fleetName';
@@ -73,7 +73,7 @@
   }
 
   /** Members of the fleet that this replica follows while it does not vote. */
-  public followedMembers(): readonly CoreMember[] {
+  public followedMembers(): readonly ControlNodeMember[] {
     return this.core.votes() ? [] : Object.values(this.followed?.view?.members ?? {});
   }
 
@@ -189,7 +189,7 @@
     const others = this.seeds.filter((seed) => seed !== this.settings.member.address).length;
     if (fleets.size > 1) return '';
     const fleetVotes = voting.map(({ fleet }) => fleet);
-    return this.settings.isOnlyFleet ? FleetVotes.judgeOnly(fleetVotes) : FleetVotes.judge(fleetVotes, others);
+    return this.settings.isOnlyFleet ? FleetVotes.unanimous(fleetVotes) : FleetVotes.majority(fleetVotes, others);
   }
 
   private async askAll(addresses: readonly string[]): Promise<readonly Hello[]> {
--- a/source/core-keeper/membership/learnerProgress.ts
+++ b/source/core-keeper/membership/learnerProgress.ts
@@ -1,4 +1,4 @@
-import { DocumentKeys } from '../../shared/blueprint/types';
+import { DocumentKeys } from '../../shared/configuration/types';
 import { Epochs, Stamps, type KeyStatement, type Stamp } from '../../shared/register/types';
 import type { MemberView } from '../register/replicaCore';
 
--- a/source/core-keeper/membership/memberChanges.ts
+++ b/source/core-keeper/membership/memberChanges.ts
@@ -1,6 +1,6 @@
-import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
+import type { ControlNodeMember, DocumentKey } from '../../shared/configuration/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
-import type { Answer, Message, Transport } from '../../shared/effects/transport/transport';
+import type { RequestOutcome, Message, Transport } from '../../shared/effects/transport/transport';
 import type { KeyStatement } from '../../shared/register/types';
 import type { ReplicaCore } from '../register/replicaCore';
 import type { ChangeOrder, ChangeOutcome } from '../register/messages';
@@ -32,7 +32,7 @@
   change: (order: ChangeOrder) => Promise<ChangeOutcome>;
 }>;
 
-type Members = Readonly<Record<string, CoreMember>>;
+type Members = Readonly<Record<string, ControlNodeMember>>;
 /**
  * The answers to a member's announcement that it leaves. `hasSuccessor`: a standby replica can replace it. `free`: none can, and all other
  * members answered. `unsure`: some did not answer.
@@ -68,14 +68,14 @@
   ) {}
 
   /** Adds a replica whose settings name the member that it replaces. */
-  public replace(gone: string, name: string, member: CoreMember): Promise<Message> {
+  public replace(gone: string, name: string, member: ControlNodeMember): Promise<Message> {
     return this.changeList(name, member, (members) =>
       members[gone] === undefined ? undefined : { gone, id: `replace ${gone} by ${name}` },
     );
   }
 
   /** A replica without a place asks for one. It gets that of a member silent beyond doubt or leaving, or a new one. */
-  public async takeIn(name: string, member: CoreMember): Promise<Message> {
+  public async takeIn(name: string, member: ControlNodeMember): Promise<Message> {
     if (!this.core.votes() || this.settings.joins !== 'asks') return refusal;
     this.standbys.set(name, this.clock.nowMicroseconds());
     if (this.isChanging) return refusal;
@@ -153,7 +153,7 @@
     return [own, ...answers.flatMap((answer) => ControlResponses.read(answer, 'words') ?? [])];
   }
 
-  private askOthers(message: Message): Promise<readonly Answer[]> {
+  private askOthers(message: Message): Promise<readonly RequestOutcome[]> {
     return Promise.all(
       this.core.others().map(([, { address }]) => this.transport.ask(address, message, this.settings.askMicroseconds)),
     );
@@ -170,7 +170,7 @@
     return at !== undefined && this.clock.nowMicroseconds() - at <= leavingTimeoutMicroseconds;
   }
 
-  private async planJoin(name: string, member: CoreMember): Promise<Message> {
+  private async planJoin(name: string, member: ControlNodeMember): Promise<Message> {
     const memberHealth = await this.memberHealth(name);
     if (memberHealth === undefined) return refusal;
     // A member that returns under a new address replaces itself.
@@ -185,12 +185,12 @@
   /** Changes the list once: removes `gone`, unless it is empty, and adds the new member as a learner. */
   private async changeList(
     name: string,
-    member: CoreMember,
+    member: ControlNodeMember,
     plan: (members: Members) => MemberListChange | undefined,
   ): Promise<Message> {
     const read = await this.register.read('core-members');
     if (read.kind !== 'read') return refusal;
-    const members = { ...(JSON.parse(read.text) as { members: Record<string, CoreMember> }).members };
+    const members = { ...(JSON.parse(read.text) as { members: Record<string, ControlNodeMember> }).members };
     const planned = plan(members);
     if (planned === undefined) return refusal;
     delete members[planned.gone];
--- a/source/core-keeper/messages/controlRequests.ts
+++ b/source/core-keeper/messages/controlRequests.ts
@@ -1,7 +1,7 @@
 /** Schemas of the requests that a control node accepts. */
 import { Type, type TObject, type TProperties, type TSchema } from '@sinclair/typebox';
 import type { Message } from '../../shared/effects/transport/transport';
-import { Schema, type Of } from '../../shared/schema/schema';
+import { Schema, type ValueOf } from '../../shared/schema/schema';
 import {
   Ballot,
   ChangeRequest,
@@ -83,7 +83,7 @@
 type RequestKind = keyof typeof schemas;
 /** A request of one of the given kinds. */
 export type ControlRequest<Kind extends RequestKind = RequestKind> = {
-  [Each in Kind]: Of<(typeof schemas)[Each]['type']>;
+  [Each in Kind]: ValueOf<(typeof schemas)[Each]['type']>;
 }[Kind];
 
 /** A request that has passed its schema, or the reason why it was refused. */
--- a/source/core-keeper/messages/controlResponses.ts
+++ b/source/core-keeper/messages/controlResponses.ts
@@ -1,7 +1,7 @@
 /** Schemas of the responses between control nodes. A response that does not match its schema counts as missing. */
 import { Type, type TObject, type TProperties, type TSchema } from '@sinclair/typebox';
-import type { Answer } from '../../shared/effects/transport/transport';
-import { Schema, type Of } from '../../shared/schema/schema';
+import type { RequestOutcome } from '../../shared/effects/transport/transport';
+import { Schema, type ValueOf } from '../../shared/schema/schema';
 import {
   ChangeRequest,
   ChangeOutcome,
@@ -66,7 +66,9 @@
 
 type ResponseKind = keyof typeof schemas;
 /** A response of one of the given kinds. */
-export type ControlResponse<Kind extends ResponseKind> = { [Each in Kind]: Of<(typeof schemas)[Each]['type']> }[Kind];
+export type ControlResponse<Kind extends ResponseKind> = {
+  [Each in Kind]: ValueOf<(typeof schemas)[Each]['type']>;
+}[Kind];
 
 /** Checks the responses of control nodes against their schemas. */
 export const ControlResponses = {
@@ -75,7 +77,10 @@
   schemaOf: (kind: ResponseKind): TSchema => schemas[kind].type,
 
   /** The response, if it is of one of these kinds and matches its schema. */
-  read: <Kind extends ResponseKind>(response: Answer, ...kinds: readonly Kind[]): ControlResponse<Kind> | undefined => {
+  read: <Kind extends ResponseKind>(
+    response: RequestOutcome,
+    ...kinds: readonly Kind[]
+  ): ControlResponse<Kind> | undefined => {
     if (response.kind !== 'answered') return undefined;
     const { message } = response;
     const kind = kinds.find((each) => each === message.kind);
--- a/source/core-keeper/messages/messageHandler.ts
+++ b/source/core-keeper/messages/messageHandler.ts
@@ -1,8 +1,8 @@
 import type { Message } from '../../shared/effects/transport/transport';
-import { BodyPacker } from '../../shared/freshness/bodies';
+import { BodyEncoder } from '../../shared/freshness/documentBodies';
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { LeaseVoter } from '../leases/leaseVoter';
 import { ReplicaStates } from '../write-ahead-log/replicaState';
 import type { AgentContacts } from '../operators/agentContacts';
@@ -46,7 +46,7 @@
 
 /** Dispatches the requests of other processes to the components of a control node. */
 export class MessageHandler {
-  private readonly bodyPacker = new BodyPacker();
+  private readonly bodyPacker = new BodyEncoder();
 
   public constructor(
     private readonly parts: MessageHandlerParts,
@@ -195,6 +195,6 @@
     const entry = acceptedEntry?.digest === digest ? acceptedEntry : recentEntries.find(key, digest);
     if (!core.votes() || entry === undefined) return { kind: 'noBody' };
     const { revision, text } = entry;
-    return { kind: 'body', ...this.bodyPacker.sent({ key, revision, digest, text }), fleet: core.state.fleet };
+    return { kind: 'body', ...this.bodyPacker.encode({ key, revision, digest, text }), fleet: core.state.fleet };
   }
 }
--- a/source/core-keeper/operators/agentContacts.ts
+++ b/source/core-keeper/operators/agentContacts.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Message } from '../../shared/effects/transport/transport';
-import { FactLimits, Facts, type Fact } from '../../shared/news/facts';
-import { FactKeys, type MemberFact } from '../../shared/news/factTypes';
+import { GossipLimits, GossipValidation, type GossipEntry } from '../../shared/gossip/gossipStore';
+import { GossipKeys, type MemberEntry } from '../../shared/gossip/entryTypes';
 
 /** An agent that has sent no request for this long is no longer listed. */
 const retentionMicroseconds = 20_000_000;
 
-type Contact = Readonly<{ fact: Fact; atMicroseconds: number }>;
+type Contact = Readonly<{ fact: GossipEntry; atMicroseconds: number }>;
 
 /**
  * Agents that have recently sent a request to this control node, each with its own gossip fact. They are listed to new agents, as
@@ -20,9 +20,12 @@
   /** Stores the membership fact that an agent sends about itself; ignores anything else. */
   public record(own: unknown): void {
     const facts = [own];
-    if (!Facts.isList(facts)) return;
+    if (!GossipValidation.isList(facts)) return;
     for (const fact of facts)
-      if (fact.key.startsWith('member/') && (this.contacts.has(fact.key) || this.contacts.size < FactLimits.perMessage))
+      if (
+        fact.key.startsWith('member/') &&
+        (this.contacts.has(fact.key) || this.contacts.size < GossipLimits.perMessage)
+      )
         this.contacts.set(fact.key, { fact, atMicroseconds: this.clock.nowMicroseconds() });
   }
 
@@ -36,7 +39,7 @@
 
   /** The address of an agent; undefined: not known to this node. */
   public address(name: string): string | undefined {
-    return (this.contacts.get(FactKeys.member(name))?.fact.value as MemberFact | undefined)?.address;
+    return (this.contacts.get(GossipKeys.member(name))?.fact.value as MemberEntry | undefined)?.address;
   }
 
   /** The response to an agent that uses this node as a gossip seed. */
--- a/source/core-keeper/operators/nativeOperatorApiFormat.ts
+++ b/source/core-keeper/operators/nativeOperatorApiFormat.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import { BlueprintLimits } from '../../shared/blueprint/check';
-import type { DocumentKey } from '../../shared/blueprint/types';
+import { ConfigurationLimits } from '../../shared/configuration/validation';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { ReadOutcome } from '../register/quorumReader';
 import type { ChangeOutcome } from '../register/messages';
 import type {
@@ -105,7 +105,7 @@
   parseChange: parseNativeChange,
   unreadableBodyResponse: (reason) =>
     reason === 'tooLarge'
-      ? refusalResponse(413, `longer than ${BlueprintLimits.textBytes} bytes`)
+      ? refusalResponse(413, `longer than ${ConfigurationLimits.maxTextBytes} bytes`)
       : refusalResponse(400, 'the body broke off'),
   outcomeResponse: formatOutcome,
   documentResponse: formatDocument,
--- a/source/core-keeper/operators/operatorApi.ts
+++ b/source/core-keeper/operators/operatorApi.ts
@@ -1,8 +1,14 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { BlueprintLimits } from '../../shared/blueprint/check';
-import type { DocumentKey } from '../../shared/blueprint/types';
+import { ConfigurationLimits } from '../../shared/configuration/validation';
+import type { DocumentKey } from '../../shared/configuration/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
-import { HttpDoors, HttpLimits, Replies, type HttpDoor, type HttpService } from '../../shared/http/httpDoor';
+import {
+  HttpApiServers,
+  HttpLimits,
+  Replies,
+  type HttpApiServer,
+  type HttpService,
+} from '../../shared/http/httpApiServer';
 import type { Metrics } from '../../shared/metrics/metrics';
 import type { ControlNode } from '../controlNode';
 import type { ChangeRoute, ApiResponse, OperatorApiFormat } from './operatorApiFormat';
@@ -52,7 +58,7 @@
     }),
   );
   service.get('/metrics', (_request, response) =>
-    Replies.text(response as unknown as ServerResponse, 200, metrics.page()),
+    Replies.text(response as unknown as ServerResponse, 200, metrics.render()),
   );
 };
 
@@ -67,11 +73,11 @@
     settings: OperatorApiSettings,
     clock: Clock,
     metrics: Metrics,
-  ): Promise<HttpDoor> => {
+  ): Promise<HttpApiServer> => {
     const withinAnswerLimit = async <Result>(bytes: number, work: Promise<Result>): Promise<Result | undefined> =>
       settings.answerMicroseconds === 0
         ? work
-        : Clocks.within(clock, settings.answerMicroseconds + bytes * settings.answerMicrosecondsPerByte, work);
+        : Clocks.withTimeout(clock, settings.answerMicroseconds + bytes * settings.answerMicrosecondsPerByte, work);
 
     const handleRead = async (key: DocumentKey, response: ServerResponse): Promise<void> =>
       // The limit ends the read itself, so that no read continues after its caller has given up.
@@ -87,7 +93,7 @@
     ): Promise<void> => {
       const refused = apiFormat.checkHeaders(changeRoute, request.headers);
       if (refused !== undefined) return sendResponse(response, refused);
-      const body = await HttpDoors.body(request, BlueprintLimits.textBytes);
+      const body = await HttpApiServers.readText(request, ConfigurationLimits.maxTextBytes);
       if (body.kind !== 'read') return sendResponse(response, apiFormat.unreadableBodyResponse(body.kind));
       const parsed = apiFormat.parseChange({ route: changeRoute, headers: request.headers, text: body.text });
       if (parsed.kind === 'refused') return sendResponse(response, parsed.answer);
@@ -99,7 +105,7 @@
       sendResponse(response, apiFormat.outcomeResponse(outcome));
     };
 
-    return HttpDoors.open(settings.address, HttpLimits.usual, (service) => {
+    return HttpApiServers.open(settings.address, HttpLimits.usual, (service) => {
       for (const { path, key } of apiFormat.readRoutes)
         service.get(path, (_request, response) => handleRead(key, response as unknown as ServerResponse));
       for (const changeRoute of apiFormat.changeRoutes)
--- a/source/core-keeper/operators/operatorApiFormat.ts
+++ b/source/core-keeper/operators/operatorApiFormat.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import type { OrderForm } from '../../shared/blueprint/dialect';
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { ChangeForm } from '../../shared/configuration/configurationFormat';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { ReadOutcome } from '../register/quorumReader';
 import type { ChangeOrder, ChangeOutcome } from '../register/messages';
 
@@ -9,7 +9,7 @@
   method: 'put' | 'patch' | 'post';
   path: string;
   key: DocumentKey;
-  form: OrderForm;
+  form: ChangeForm;
 }>;
 
 /** pending: the outcome is not known yet. The change continues, and a repeated call with the same change id gets its outcome. */
--- a/source/core-keeper/program/controlNodeProgram.ts
+++ b/source/core-keeper/program/controlNodeProgram.ts
@@ -1,7 +1,7 @@
-import type { Dialect } from '../../shared/blueprint/dialect';
+import type { ConfigurationFormat } from '../../shared/configuration/configurationFormat';
 import type { Disk } from '../../shared/effects/disk/disk';
 import type { Effects } from '../../shared/effects/effects';
-import type { HttpDoor } from '../../shared/http/httpDoor';
+import type { HttpApiServer } from '../../shared/http/httpApiServer';
 import type { ControlNodeSettings } from '../controlNodeSettings';
 import { ControlNode } from '../controlNode';
 import { OperatorApi, type OperatorApiSettings } from '../operators/operatorApi';
@@ -12,7 +12,7 @@
   effects: Effects;
   disk: Disk;
   settings: ControlNodeSettings;
-  dialect: Dialect;
+  dialect: ConfigurationFormat;
   operatorApiFormat: OperatorApiFormat;
   operatorApi: OperatorApiSettings;
   /** Called when the disk can no longer be trusted; the process must then exit. */
@@ -22,7 +22,7 @@
 /** A running control node with its operator API. */
 export type RunningControlNode = Readonly<{
   controlNode: ControlNode;
-  operatorApi: HttpDoor;
+  operatorApi: HttpApiServer;
   address: string;
   stop: () => Promise<void>;
 }>;
@@ -32,13 +32,13 @@
   const { effects, settings } = options;
   const node = new ControlNode(effects, options.disk, settings, options.dialect);
   const { metrics } = node;
-  metrics.watch(() => [
+  metrics.addGauges(() => [
     ['postdrum_keeper_votes', {}, node.core.votes() ? 1 : 0],
     ...Object.entries(node.keyLeaders()).map(
       ([key, { revision, owner }]) => ['postdrum_key_revision', { key, owner }, revision] as const,
     ),
   ]);
-  metrics.watch(() => {
+  metrics.addGauges(() => {
     const { bytes, snapshotBytes, snapshots } = node.core.ledger.size;
     return [
       ['postdrum_log_bytes', {}, bytes],
--- a/source/core-keeper/register/acceptRound.ts
+++ b/source/core-keeper/register/acceptRound.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Stamps, type Entry, type Epoch } from '../../shared/register/types';
--- a/source/core-keeper/register/changeFetcher.ts
+++ b/source/core-keeper/register/changeFetcher.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { ControlResponses } from '../messages/controlResponses';
 import type { ChangeOrder, ChangeOutcome, FetchChange, FetchedChange } from './messages';
--- a/source/core-keeper/register/changeRouter.ts
+++ b/source/core-keeper/register/changeRouter.ts
@@ -1,7 +1,7 @@
-import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
+import type { ControlNodeMember, DocumentKey } from '../../shared/configuration/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
-import type { Answer, Transport } from '../../shared/effects/transport/transport';
+import type { RequestOutcome, Transport } from '../../shared/effects/transport/transport';
 import { ControlResponses } from '../messages/controlResponses';
 import type { ChangeOrder, ChangeOutcome } from './messages';
 import type { Leadership } from './leadership';
@@ -27,7 +27,7 @@
   /** Address of the key's leader, by its heartbeats; undefined if there are none or if this node leads. */
   leaderAddress: (key: DocumentKey) => string | undefined;
   /** The members that a standby forwards requests to; empty if this node votes itself. */
-  votingMembers: () => readonly CoreMember[];
+  votingMembers: () => readonly ControlNodeMember[];
 }>;
 
 export type ChangeLimits = Readonly<{
@@ -121,11 +121,11 @@
    * over. If its heartbeats arrive but no answer does, connections from this node may fail in one direction only, so the change is
    * offered for the leader to fetch.
    */
-  private askLeader(order: ChangeOrder, leader: string): Promise<Answer> {
+  private askLeader(order: ChangeOrder, leader: string): Promise<RequestOutcome> {
     return new Promise((resolve) => {
       let isOpen = true;
       let withdrawOffer = (): void => undefined;
-      const finish = (answer: Answer): void => {
+      const finish = (answer: RequestOutcome): void => {
         isOpen = false;
         withdrawOffer();
         resolve(answer);
--- a/source/core-keeper/register/changes.ts
+++ b/source/core-keeper/register/changes.ts
@@ -1,8 +1,13 @@
 import { createHash } from 'node:crypto';
-import { Blueprints } from '../../shared/blueprint/check';
-import { Dialects, ownDialect, type Dialect, type DialectApplied } from '../../shared/blueprint/dialect';
-import type { Fault } from '../../shared/blueprint/document';
-import type { CoreMembers } from '../../shared/blueprint/types';
+import { DocumentValidation } from '../../shared/configuration/validation';
+import {
+  ConfigurationFormats,
+  nativeConfigurationFormat,
+  type ConfigurationFormat,
+  type ConfigurationChangeResult,
+} from '../../shared/configuration/configurationFormat';
+import type { Fault } from '../../shared/configuration/jsonDocument';
+import type { ControlNodeMembers } from '../../shared/configuration/types';
 import type { Entry } from '../../shared/register/types';
 import type { ChangeOrder, ChangeOutcome } from './messages';
 import { OutcomeHistories } from './outcomeHistory';
@@ -27,8 +32,8 @@
 });
 
 const memberNamesIn = (text: string): readonly string[] => {
-  const checked = Blueprints.checkText('core-members', text);
-  return checked.kind === 'good' ? Object.keys((checked.value as CoreMembers).members) : [];
+  const checked = DocumentValidation.checkText('core-members', text);
+  return checked.kind === 'good' ? Object.keys((checked.value as ControlNodeMembers).members) : [];
 };
 
 const memberChangeFaults = (entry: Entry, text: string): readonly Fault[] => {
@@ -41,20 +46,20 @@
 };
 
 /** Only the operators' document has dialects; the lists of engines and members always use the product's own format. */
-const applyOrder = (entry: Entry, order: ChangeOrder, dialect: Dialect): DialectApplied =>
+const applyOrder = (entry: Entry, order: ChangeOrder, dialect: ConfigurationFormat): ConfigurationChangeResult =>
   order.key === 'blueprint'
     ? dialect.apply(entry, order)
-    : Dialects.applyOwn(
+    : ConfigurationFormats.applyNative(
         entry,
         order,
-        (text) => Blueprints.checkText(order.key, text),
+        (text) => DocumentValidation.checkText(order.key, text),
         (text) => (order.key === 'core-members' ? memberChangeFaults(entry, text) : []),
       );
 
 /** Rules for deriving the next entry of a key from a change request. */
 export const Changes = {
   /** Plans a change of the current entry: the next entry to write, or an immediate answer. A pure function. */
-  plan: (entry: Entry, order: ChangeOrder, dialect: Dialect = ownDialect): PlannedChange => {
+  plan: (entry: Entry, order: ChangeOrder, dialect: ConfigurationFormat = nativeConfigurationFormat): PlannedChange => {
     const remembered = OutcomeHistories.find(entry.outcomes, order);
     if (remembered.kind === 'otherChange')
       return refusal('idUsed', [{ path: '', fault: 'this change id was used for another change' }], entry.revision);
--- a/source/core-keeper/register/elections.ts
+++ b/source/core-keeper/register/elections.ts
@@ -1,4 +1,4 @@
-import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
+import { DocumentKeys, type DocumentKey } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
--- a/source/core-keeper/register/entryTransfer.ts
+++ b/source/core-keeper/register/entryTransfer.ts
@@ -1,5 +1,5 @@
-import { isDocumentKey, type DocumentKey } from '../../shared/blueprint/types';
-import type { Answer, Message, Transport } from '../../shared/effects/transport/transport';
+import { isDocumentKey, type DocumentKey } from '../../shared/configuration/types';
+import type { RequestOutcome, Message, Transport } from '../../shared/effects/transport/transport';
 import type { Accepted } from '../../shared/register/types';
 import { ControlResponses } from '../messages/controlResponses';
 import { ReplicaStates } from '../write-ahead-log/replicaState';
@@ -54,7 +54,7 @@
     await this.core.ledger.write([{ kind: 'membersLearned', epoch: offer.epoch, entry: offer.entry }]);
   }
 
-  private requestEntry(key: DocumentKey, address: string): Promise<Answer> {
+  private requestEntry(key: DocumentKey, address: string): Promise<RequestOutcome> {
     return this.transport.ask(address, { kind: 'entry', key }, this.askMicroseconds * 2);
   }
 
--- a/source/core-keeper/register/heartbeats.ts
+++ b/source/core-keeper/register/heartbeats.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Message, Transport } from '../../shared/effects/transport/transport';
 import { Epochs, type Epoch } from '../../shared/register/types';
 import { ControlResponses, type ControlResponse } from '../messages/controlResponses';
--- a/source/core-keeper/register/leadership.ts
+++ b/source/core-keeper/register/leadership.ts
@@ -1,6 +1,6 @@
 import Emittery from 'emittery';
-import type { Dialect } from '../../shared/blueprint/dialect';
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { ConfigurationFormat } from '../../shared/configuration/configurationFormat';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Clocks } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
@@ -53,7 +53,7 @@
   Readonly<{
     changeMicroseconds: number;
     firstMembersText: () => string;
-    dialect: Dialect;
+    dialect: ConfigurationFormat;
     metrics: RegisterMetrics;
   }>;
 
--- a/source/core-keeper/register/messages.ts
+++ b/source/core-keeper/register/messages.ts
@@ -6,7 +6,7 @@
   ChangeOutcome as ChangeOutcomeSchema,
   LeaderStatement as LeaderStatementSchema,
 } from '../messages/sharedSchemas';
-import type { Of } from '../../shared/schema/schema';
+import type { ValueOf } from '../../shared/schema/schema';
 
 export type Prepare = ControlRequest<'prepare'>;
 export type PrepareAnswer = ControlResponse<'promised' | 'outranked' | 'noVote'>;
@@ -20,11 +20,11 @@
 export type ConfirmAnswer = AcceptAnswer | ControlResponse<'behind'>;
 
 /** `learner`, only for `core-members`: the joining member that must catch up before the previous list stops counting. */
-export type ChangeOrder = Of<typeof ChangeOrderSchema>;
-export type ChangeOutcome = Of<typeof ChangeOutcomeSchema>;
+export type ChangeOrder = ValueOf<typeof ChangeOrderSchema>;
+export type ChangeOutcome = ValueOf<typeof ChangeOutcomeSchema>;
 
 /** What a leader announces about a key in its heartbeats. */
-export type LeaderStatement = Of<typeof LeaderStatementSchema>;
+export type LeaderStatement = ValueOf<typeof LeaderStatementSchema>;
 
 /** A leader's request for the next change that a member could not deliver to it, with the outcome of the previous one (`after`). */
 export type FetchChange = ControlRequest<'fetchChange'>;
--- a/source/core-keeper/register/preVote.ts
+++ b/source/core-keeper/register/preVote.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { Stamps } from '../../shared/register/types';
 import { ControlResponses } from '../messages/controlResponses';
--- a/source/core-keeper/register/quorumReader.ts
+++ b/source/core-keeper/register/quorumReader.ts
@@ -1,8 +1,8 @@
 import { ControlResponses } from '../messages/controlResponses';
-import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
+import type { ControlNodeMember, DocumentKey } from '../../shared/configuration/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
-import { Bodies } from '../../shared/freshness/bodies';
+import { DocumentBodies } from '../../shared/freshness/documentBodies';
 import { MajorityReads, type MembersView, type StatementsAnswer } from '../../shared/register/majorityRead';
 import { Digests } from './changes';
 
@@ -13,7 +13,7 @@
 export type QuorumReaderNode = Readonly<{
   fleet: () => string;
   /** All other members that this node knows. */
-  members: () => readonly CoreMember[];
+  members: () => readonly ControlNodeMember[];
   /** This node's own answer; undefined if it does not vote. */
   ownAnswer: () => StatementsAnswer | undefined;
   /** The text with this digest; undefined if this node does not hold it. */
@@ -165,8 +165,8 @@
   ): Promise<string | undefined> {
     const limit = Math.max(1, deadlineMicroseconds - this.clock.nowMicroseconds());
     const answer = await this.transport.ask(address, { kind: 'body', key, digest }, limit);
-    if (answer.kind !== 'answered' || !Bodies.is(answer.message)) return undefined;
-    const text = Bodies.text(answer.message);
+    if (answer.kind !== 'answered' || !DocumentBodies.is(answer.message)) return undefined;
+    const text = DocumentBodies.text(answer.message);
     return text !== undefined && Digests.of(text) === digest ? text : undefined;
   }
 }
--- a/source/core-keeper/register/recentEntries.ts
+++ b/source/core-keeper/register/recentEntries.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Entry } from '../../shared/register/types';
 import type { ReplicaEvent } from '../write-ahead-log/replicaState';
 
--- a/source/core-keeper/register/registerMetrics.ts
+++ b/source/core-keeper/register/registerMetrics.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Metrics } from '../../shared/metrics/metrics';
 
 /** Reason for a campaign: the replica receives no heartbeats of a leader, or a request needs one. */
--- a/source/core-keeper/register/replicaCore.ts
+++ b/source/core-keeper/register/replicaCore.ts
@@ -1,5 +1,5 @@
-import { Blueprints } from '../../shared/blueprint/check';
-import type { CoreMember, CoreMembers } from '../../shared/blueprint/types';
+import { DocumentValidation } from '../../shared/configuration/validation';
+import type { ControlNodeMember, ControlNodeMembers } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Entry, Stamp } from '../../shared/register/types';
 import { ReplicaStates, type ReplicaState } from '../write-ahead-log/replicaState';
@@ -9,12 +9,12 @@
 export type MemberView = Readonly<{
   revision: number;
   sets: readonly (readonly string[])[];
-  members: Readonly<Record<string, CoreMember>>;
+  members: Readonly<Record<string, ControlNodeMember>>;
 }>;
 
-const membersIn = (text: string): CoreMembers['members'] => {
-  const checked = Blueprints.checkText('core-members', text);
-  return checked.kind === 'good' ? (checked.value as CoreMembers).members : {};
+const membersIn = (text: string): ControlNodeMembers['members'] => {
+  const checked = DocumentValidation.checkText('core-members', text);
+  return checked.kind === 'good' ? (checked.value as ControlNodeMembers).members : {};
 };
 
 /** Derives a member view from an entry of `core-members`. */
@@ -61,7 +61,7 @@
     return this.view;
   }
 
-  public others(): readonly (readonly [string, CoreMember])[] {
+  public others(): readonly (readonly [string, ControlNodeMember])[] {
     return Object.entries(this.members().members).filter(([name]) => name !== this.name);
   }
 
--- a/source/core-keeper/register/replicaReport.ts
+++ b/source/core-keeper/register/replicaReport.ts
@@ -1,4 +1,4 @@
-import { DocumentKeys, type DocumentKey } from '../../shared/blueprint/types';
+import { DocumentKeys, type DocumentKey } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { StatementsAnswer } from '../../shared/register/majorityRead';
 import { Epochs, type KeyStatement } from '../../shared/register/types';
--- a/source/core-keeper/register/waitingChanges.ts
+++ b/source/core-keeper/register/waitingChanges.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../../shared/blueprint/types';
+import type { DocumentKey } from '../../shared/configuration/types';
 import type { Message } from '../../shared/effects/transport/transport';
 import type { ChangeOrder, ChangeOutcome, FetchChange } from './messages';
 
--- a/source/core-keeper/register/weightsAges.ts
+++ b/source/core-keeper/register/weightsAges.ts
@@ -1,4 +1,4 @@
-import type { Dialect } from '../../shared/blueprint/dialect';
+import type { ConfigurationFormat } from '../../shared/configuration/configurationFormat';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Entry, WeightsAge } from '../../shared/register/types';
 
@@ -14,7 +14,7 @@
 
   public constructor(
     private readonly clock: Clock,
-    private readonly dialect: Dialect,
+    private readonly dialect: ConfigurationFormat,
   ) {}
 
   public restored(entry: Entry): void {
@@ -39,7 +39,7 @@
     if (this.lastEntry !== undefined && this.lastEntry.digest === entry.digest) return;
     this.lastEntry = entry;
     // The text was validated by a control node before it was accepted, so it is parsed without full checks.
-    const checked = this.dialect.trusted(entry.text);
+    const checked = this.dialect.readTrusted(entry.text);
     if (checked.kind !== 'good') return;
     const next: Record<string, ServiceWeights> = {};
     for (const [name, service] of Object.entries(checked.value.services)) {
--- a/source/core-keeper/write-ahead-log/replicaState.ts
+++ b/source/core-keeper/write-ahead-log/replicaState.ts
@@ -1,4 +1,4 @@
-import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
+import type { ControlNodeMember, DocumentKey } from '../../shared/configuration/types';
 import { Epochs, type Accepted, type Entry, type Epoch, type Incarnations } from '../../shared/register/types';
 import { OutcomeHistories, type LegacyChange } from '../register/outcomeHistory';
 
@@ -13,7 +13,7 @@
 /** The highest term granted for a duty, and its holder. */
 export type DutyTerm = Readonly<{ term: number; holder: string }>;
 /** The members that founded the fleet, by name. */
-export type FirstMembers = Readonly<Record<string, CoreMember>>;
+export type FirstMembers = Readonly<Record<string, ControlNodeMember>>;
 
 /** The durable state of one replica. */
 export type ReplicaState = Readonly<{
--- a/source/edge-agent/control-link/controlLink.ts
+++ b/source/edge-agent/control-link/controlLink.ts
@@ -1,4 +1,4 @@
-import type { CoreMember, DocumentKey } from '../../shared/blueprint/types';
+import type { ControlNodeMember, DocumentKey } from '../../shared/configuration/types';
 import type { Effects } from '../../shared/effects/effects';
 import type { Message } from '../../shared/effects/transport/transport';
 import type { Freshness } from '../../shared/freshness/freshness';
@@ -51,7 +51,7 @@
 export class ControlLink {
   private hasReportedMixedFleets = false;
   private lastReadMicroseconds = -Infinity;
-  private readonly notice = Logs.part('agent:notice');
+  private readonly notice = Logs.channel('agent:notice');
   private membersView: MembersView | undefined;
   private namedAddresses: readonly string[] = [];
   private readonly stateReports = new StateReportCache();
@@ -80,7 +80,7 @@
     return this.fleetName.name;
   }
 
-  public controlNodes(): Readonly<Record<string, CoreMember>> {
+  public controlNodes(): Readonly<Record<string, ControlNodeMember>> {
     return this.membersView?.members ?? {};
   }
 
@@ -133,7 +133,7 @@
     if (result.statements.length > 0) this.lastReadMicroseconds = startMicroseconds;
     const now = this.effects.clock.nowMicroseconds();
     for (const statement of result.statements.filter(({ key }) => this.readsDocument(key)))
-      this.freshness.hear({ ...statement, ageMicroseconds: now - startMicroseconds }, now);
+      this.freshness.applyStatement({ ...statement, ageMicroseconds: now - startMicroseconds }, now);
     // Only nodes that just answered are asked, because one that is down would cost the whole timeout. The fetch is not awaited, because
     // reads must go on confirming the applied configuration while its age grows.
     void this.fetchMissingDocuments(addresses.filter((address) => answers.get(address)?.report !== undefined));
@@ -155,7 +155,9 @@
 
   private chooseFleet(answers: readonly NodeAnswer[]): void {
     const names = answers.map(({ fleet }) => fleet);
-    const chosen = this.settings.isOnlyFleet ? FleetVotes.judgeOnly(names) : FleetVotes.judge(names, this.seeds.length);
+    const chosen = this.settings.isOnlyFleet
+      ? FleetVotes.unanimous(names)
+      : FleetVotes.majority(names, this.seeds.length);
     if (chosen !== '') {
       this.fleetName.learn(chosen);
       this.notice(`This agent belongs to the fleet ${chosen}.`);
@@ -240,7 +242,7 @@
     const limits = { askMicroseconds: askMicroseconds * documentTimeoutFactor, staggerMicroseconds: askMicroseconds };
     // The digest alone identifies the document: a control node may know the same text under another revision.
     const accept = (answer: Message): boolean =>
-      Statements.isBody(answer) && this.freshness.give({ ...answer, key, revision });
+      Statements.isBody(answer) && this.freshness.applyBody({ ...answer, key, revision });
     return new DocumentFetch(transport, clock, limits, { kind: 'body', key, digest }, rotatedAddresses, accept).run();
   }
 }
--- a/source/edge-agent/edgeAgent.ts
+++ b/source/edge-agent/edgeAgent.ts
@@ -1,10 +1,10 @@
-import type { BackEndDoor } from '../shared/back-end/protocol';
-import { ownDialect, type Dialect } from '../shared/blueprint/dialect';
+import type { BackEndControl } from '../shared/back-end/protocol';
+import { nativeConfigurationFormat, type ConfigurationFormat } from '../shared/configuration/configurationFormat';
 import type { NamedKey } from '../shared/directory/hashChain';
-import { ShardBook } from '../shared/directory/shardBook';
-import type { DirectoryNote, GrantAnswer } from '../shared/directory/shardDirectory';
+import { ShardCatalog } from '../shared/directory/shardCatalog';
+import type { FillReport, FillGrantAnswer } from '../shared/directory/shardDirectory';
 import { Clocks } from '../shared/effects/clock/clock';
-import { DeskMessages } from '../shared/desk/messages';
+import { SchedulerMessages } from '../shared/scheduler/schedulerMessages';
 import { Ticker } from '../shared/effects/clock/ticker';
 import type { Effects } from '../shared/effects/effects';
 import { FleetName } from '../shared/fleet/fleetName';
@@ -12,20 +12,20 @@
 import type { Listener, Message } from '../shared/effects/transport/transport';
 import { Freshness } from '../shared/freshness/freshness';
 import { Logs, type Log } from '../shared/log/log';
-import { StandstillWatch } from '../shared/log/standstillWatch';
-import { FactBook } from '../shared/news/facts';
-import { FactKeys } from '../shared/news/factTypes';
-import { NewsExchange } from '../shared/news/newsExchange';
-import { Pulses } from '../shared/news/pulses';
-import { FleetPace } from '../shared/pace/fleetPace';
+import { StallMonitor } from '../shared/log/stallMonitor';
+import { GossipStore } from '../shared/gossip/gossipStore';
+import { GossipKeys } from '../shared/gossip/entryTypes';
+import { GossipExchange } from '../shared/gossip/gossipExchange';
+import { HolderHeartbeats } from '../shared/gossip/holderHeartbeats';
+import { IntervalScaling } from '../shared/flow-control/intervalScaling';
 import { SettingsChanges } from '../shared/settings/settingsChange';
 import { ControlLink } from './control-link/controlLink';
-import { EngineListDefaults, EngineListKeeper, type EngineListSettings } from './engine-list/engineListKeeper';
+import { EngineListDefaults, EngineListReader, type EngineListSettings } from './engine-list/engineListReader';
 import type { EngineLister } from './engine-list/engineLister';
 import { Membership } from './membership/membership';
-import { WorkDesk } from './desk/workDesk';
-import { AgentPages } from './pages/agentPages';
-import { FedProxies } from './proxies/fedProxies';
+import { RequestScheduler } from './scheduler/requestScheduler';
+import { AgentStatusPages } from './pages/agentStatusPages';
+import { AttachedProxies } from './proxies/attachedProxies';
 import { LoadTotals } from './proxies/loadTotals';
 import { LeaseHolder } from './leases/leaseHolder';
 import { EventReaderDefaults } from './engine-control/eventReader';
@@ -157,21 +157,21 @@
  * machine and of machines without an agent.
  */
 export class EdgeAgent {
-  public readonly facts = new FactBook();
-  public readonly shards = new ShardBook();
+  public readonly facts = new GossipStore();
+  public readonly shards = new ShardCatalog();
   public readonly freshness: Freshness;
-  public readonly pulses: Pulses;
-  public readonly link: ControlLink;
+  public readonly pulses: HolderHeartbeats;
+  public readonly controlLink: ControlLink;
   public readonly membership: Membership;
-  public readonly stewardship: LeaseManager;
-  private readonly exchange: NewsExchange;
-  private readonly duties: LeaseHolder;
-  private readonly requestScheduler: WorkDesk;
-  private readonly proxies: FedProxies;
+  public readonly leaseManager: LeaseManager;
+  private readonly exchange: GossipExchange;
+  private readonly leaseHolder: LeaseHolder;
+  private readonly requestScheduler: RequestScheduler;
+  private readonly proxies: AttachedProxies;
   private readonly loadTotals: LoadTotals;
-  private readonly engineList: EngineListKeeper | undefined;
-  private readonly notice = Logs.part('agent:notice');
-  private readonly standstills: StandstillWatch;
+  private readonly engineList: EngineListReader | undefined;
+  private readonly notice = Logs.channel('agent:notice');
+  private readonly standstills: StallMonitor;
   private readonly tickers: readonly Ticker[];
   private readonly log: Log;
   private readonly effects: Effects;
@@ -183,20 +183,20 @@
 
   public constructor(
     given: Effects,
-    backEnd: BackEndDoor,
+    backEnd: BackEndControl,
     private settings: AgentSettings,
     lister?: EngineLister,
-    dialect: Dialect = ownDialect,
+    dialect: ConfigurationFormat = nativeConfigurationFormat,
   ) {
     const { clock, random } = given;
     this.fleet = new FleetName(settings.fleet);
     const effects = { ...given, transport: new FleetTransport(given.transport, () => this.fleet.name) };
     this.effects = effects;
-    this.log = Logs.part(`agent:${settings.name}`);
-    this.standstills = new StandstillWatch(clock, this.notice);
+    this.log = Logs.channel(`agent:${settings.name}`);
+    this.standstills = new StallMonitor(clock, this.notice);
     this.freshness = new Freshness(clock, dialect, settings.engineList);
-    this.pulses = new Pulses(clock);
-    this.link = new ControlLink(
+    this.pulses = new HolderHeartbeats(clock);
+    this.controlLink = new ControlLink(
       effects,
       this.fleet,
       this.freshness,
@@ -208,7 +208,7 @@
         readsEngines: settings.engineList === 'kept',
         isOnlyFleet: settings.isOnlyFleet,
       },
-      () => this.facts.get(FactKeys.member(settings.name)) ?? null,
+      () => this.facts.get(GossipKeys.member(settings.name)) ?? null,
     );
     const self = {
       name: settings.name,
@@ -218,11 +218,11 @@
       pagesAddress: settings.pagesAddress,
       boot: random.name(),
     };
-    this.requestScheduler = new WorkDesk(clock);
+    this.requestScheduler = new RequestScheduler(clock);
     this.membership = new Membership(self, this.facts, clock, settings, this.log);
     this.loadTotals = new LoadTotals(this.facts, clock, random);
-    this.proxies = new FedProxies(this.facts, clock, settings, (agent) => this.membership.isPresent(agent));
-    this.exchange = new NewsExchange(
+    this.proxies = new AttachedProxies(this.facts, clock, settings, (agent) => this.membership.isPresent(agent));
+    this.exchange = new GossipExchange(
       {
         fleet: this.fleet,
         facts: this.facts,
@@ -232,16 +232,16 @@
       },
       effects,
     );
-    this.duties = new LeaseHolder(
+    this.leaseHolder = new LeaseHolder(
       settings.name,
-      this.link,
+      this.controlLink,
       effects,
       { leaseMicroseconds: settings.leaseMicroseconds, askMicroseconds: settings.readAskMicroseconds },
       this.notice,
     );
-    this.stewardship = new LeaseManager(
+    this.leaseManager = new LeaseManager(
       settings.name,
-      this.duties,
+      this.leaseHolder,
       this.membership,
       this.facts,
       this.shards,
@@ -270,10 +270,10 @@
     this.engineList =
       lister === undefined || settings.engineList === 'kept'
         ? undefined
-        : new EngineListKeeper(
+        : new EngineListReader(
             lister,
             this.freshness,
-            () => this.stewardship.listTerm(),
+            () => this.leaseManager.listTerm(),
             clock,
             random,
             this.engineListSettings(),
@@ -281,20 +281,20 @@
             this.notice,
           );
     const { engineList } = this;
-    const onFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
+    const onFailure = (error: unknown): void => this.log(`A periodic task failed: ${Logs.errorMessage(error)}.`);
     const tickers: readonly (readonly [() => number, () => Promise<void>])[] = [
-      [() => this.standstills.planned(settings.readMicroseconds), () => this.read()],
-      [() => this.gossipIntervalMicroseconds(), () => this.news()],
+      [() => this.standstills.scheduled(settings.readMicroseconds), () => this.read()],
+      [() => this.gossipIntervalMicroseconds(), () => this.gossip()],
       [() => settings.watchMicroseconds * this.intervalFactor(maxProbeFactor), () => this.probeMembers()],
       [
         () => settings.ballotMicroseconds * this.intervalFactor(maxLeaseRequestFactor),
-        () => this.stewardship.renewLeases(),
+        () => this.leaseManager.renewLeases(),
       ],
-      [() => settings.tendMicroseconds, () => this.stewardship.reconcile()],
+      [() => settings.tendMicroseconds, () => this.leaseManager.reconcile()],
     ];
     // The interval is short while no list is known because requests wait for it; later only the age of the list is checked.
     const listInterval = (): number =>
-      this.stewardship.listTerm() === undefined && this.freshness.engines === undefined
+      this.leaseManager.listTerm() === undefined && this.freshness.engines === undefined
         ? settings.tendMicroseconds
         : settings.listMicroseconds;
     this.tickers = [
@@ -314,35 +314,35 @@
   }
 
   /** Applies changed settings: those that may change while the agent runs at once, the others after a restart. */
-  public settingsAre(given: AgentSettings): void {
-    const change = SettingsChanges.of(this.settings, given, changeableSettings);
+  public updateSettings(given: AgentSettings): void {
+    const change = SettingsChanges.apply(this.settings, given, changeableSettings);
     this.settings = change.settings;
-    this.link.setSeeds(this.settings.seeds);
-    this.stewardship.setWeightsLimit(this.settings.weightsWithinMicroseconds);
-    this.engineList?.settingsAre(this.engineListSettings());
-    const sentence = SettingsChanges.sentence(change);
+    this.controlLink.setSeeds(this.settings.seeds);
+    this.leaseManager.setWeightsLimit(this.settings.weightsWithinMicroseconds);
+    this.engineList?.updateSettings(this.engineListSettings());
+    const sentence = SettingsChanges.describe(change);
     if (sentence !== undefined) this.notice(sentence);
   }
 
   /** The first half of a planned stop: hands the leases over to other agents; proxies still get their updates. */
-  public resign(): Promise<void> {
-    return this.stewardship.resign();
+  public handOverLeases(): Promise<void> {
+    return this.leaseManager.resign();
   }
 
   /** Resolves when the proxy of this machine has stopped requesting updates, at the latest after the limit. */
-  public async linger(limitMicroseconds: number): Promise<void> {
+  public async waitForProxy(limitMicroseconds: number): Promise<void> {
     const { clock } = this.effects;
     const until = clock.nowMicroseconds() + limitMicroseconds;
     while (
       clock.nowMicroseconds() < until &&
-      clock.nowMicroseconds() - this.proxies.heardMicroseconds(this.settings.name) < proxyStoppedMicroseconds
+      clock.nowMicroseconds() - this.proxies.lastRequestMicroseconds(this.settings.name) < proxyStoppedMicroseconds
     )
       await Clocks.wait(clock, proxyStoppedMicroseconds / 4);
   }
 
   /** A planned stop: announces that the agent leaves, so that the others need not detect it. */
   public async leave(): Promise<void> {
-    await this.stewardship.resign();
+    await this.leaseManager.resign();
     this.membership.leave();
     await Promise.all(
       this.membership.gossipPeers().map(({ address }) => this.exchange.ask(address, this.settings.newsAskMicroseconds)),
@@ -367,14 +367,14 @@
   }
 
   private read(): Promise<void> {
-    this.standstills.began();
-    return this.link.read();
+    this.standstills.started();
+    return this.controlLink.read();
   }
 
-  private async news(): Promise<void> {
+  private async gossip(): Promise<void> {
     this.membership.refuteSuspicion();
     this.membership.tick();
-    this.requestScheduler.keepOnly(Object.keys(this.freshness.engines?.engines ?? {}));
+    this.requestScheduler.retainEngines(Object.keys(this.freshness.engines?.engines ?? {}));
     const colleagues = this.membership.gossipPeers();
     // A seed is asked until another agent is known, and once in 25 exchanges after that, so that two partitions find each
     // other again.
@@ -390,13 +390,13 @@
     this.exchangeCount += 1;
     // A seed gets this agent's own entry in full: a control node asked as a seed stores no versions, and tells the agents
     // that ask it about each other.
-    const extra = asksSeed ? { own: this.facts.get(FactKeys.member(this.settings.name)) ?? null } : {};
+    const extra = asksSeed ? { own: this.facts.get(GossipKeys.member(this.settings.name)) ?? null } : {};
     if (address !== undefined) await this.exchange.ask(address, this.settings.newsAskMicroseconds, extra);
   }
 
   /** How much longer an interval is in a fleet of this size, at most `max`. */
   private intervalFactor(max: number): number {
-    return FleetPace.of(this.membership.present().length, max);
+    return IntervalScaling.of(this.membership.present().length, max);
   }
 
   /**
@@ -404,7 +404,7 @@
    * the more of them there are.
    */
   private proxyIntervalFactor(max: number): number {
-    return Math.max(this.intervalFactor(max), FleetPace.of(this.facts.countOf('load'), max));
+    return Math.max(this.intervalFactor(max), IntervalScaling.of(this.facts.countOf('load'), max));
   }
 
   /**
@@ -436,7 +436,7 @@
 
   /** Probes the agents that this one watches; an agent is suspected only after probes by other agents failed too. */
   private async probeMembers(): Promise<void> {
-    this.proxies.review();
+    this.proxies.updatePresence();
     await Promise.all(
       this.membership.probeTargets().map(async ({ name, address }) => {
         const answer = await this.effects.transport.ask(address, { kind: 'ping' }, this.settings.newsAskMicroseconds);
@@ -467,7 +467,7 @@
       case 'news':
         return this.answerGossip(message);
       case 'newsMore':
-        return this.exchange.more(message);
+        return this.exchange.answerPush(message);
       case 'bodyPart':
         return this.exchange.part(message);
       case 'words':
@@ -477,7 +477,7 @@
         return { kind: 'pong' };
       case 'status':
         // Control nodes show the status of agents that have no pages of their own.
-        return { kind: 'status', status: AgentPages.status(this.settings.name, this) };
+        return { kind: 'status', status: AgentStatusPages.status(this.settings.name, this) };
       case 'probe': {
         const answer = await this.effects.transport.ask(
           String(message['address']),
@@ -489,13 +489,13 @@
       case 'reserve': {
         // Only the lease holder schedules requests: two schedulers would not know of each other's reservations.
         const order = message['order'];
-        return this.stewardship.listTerm() === undefined || !DeskMessages.isOrder(order)
+        return this.leaseManager.listTerm() === undefined || !SchedulerMessages.isRequest(order)
           ? { kind: 'noDesk' }
           : { kind: 'reserved', word: this.requestScheduler.reserve(order) };
       }
       case 'awaitRead':
         // Without the lease nobody reports completed prefills here, so the wait would be in vain.
-        if (this.stewardship.listTerm() !== undefined) await this.requestScheduler.read(String(message['prefix']));
+        if (this.leaseManager.listTerm() !== undefined) await this.requestScheduler.read(String(message['prefix']));
         return { kind: 'heard' };
       case 'readDone':
         this.requestScheduler.done(String(message['engine']), String(message['order']), message['good'] === true);
@@ -503,10 +503,7 @@
       case 'grant':
         return { kind: 'grantAnswer', answer: await this.grant(message) };
       case 'notes': {
-        const missed = await this.deliverNotes(
-          message['notes'] as readonly DirectoryNote[],
-          message['passed'] === true,
-        );
+        const missed = await this.deliverNotes(message['notes'] as readonly FillReport[], message['passed'] === true);
         return { kind: 'heard', missed };
       }
       default:
@@ -517,21 +514,21 @@
   private answerGossip(message: Message): Message {
     const { proxy, facts, loads } = message;
     if (typeof proxy !== 'string') return this.exchange.answer(message);
-    this.proxies.hear(proxy, facts);
+    this.proxies.recordRequest(proxy, facts);
     const answer = this.exchange.answer(message);
     return loads === undefined ? answer : { ...answer, loads: this.loadTotals.update(proxy, loads) };
   }
 
-  private async grant(message: Message): Promise<GrantAnswer> {
+  private async grant(message: Message): Promise<FillGrantAnswer> {
     const engine = String(message['engine']);
-    const controller = this.stewardship.controller(engine);
+    const controller = this.leaseManager.controller(engine);
     if (controller !== undefined)
       return controller.grant(
         String(message['fill']),
         Number(message['epoch']),
         message['keys'] as readonly NamedKey[],
       );
-    const holder = this.stewardship.holderOf(engine);
+    const holder = this.leaseManager.holderOf(engine);
     // A message is forwarded only once, so that two agents that each take the other for the controller do not loop.
     if (message['passed'] === true || holder === undefined || holder.holder === this.settings.name)
       return { kind: 'refused', reason: 'notSteward' };
@@ -543,21 +540,21 @@
       this.settings.newsAskMicroseconds,
     );
     return answer.kind === 'answered' && answer.message.kind === 'grantAnswer'
-      ? (answer.message['answer'] as GrantAnswer)
+      ? (answer.message['answer'] as FillGrantAnswer)
       : { kind: 'refused', reason: 'notSteward' };
   }
 
   /** Delivers notes to the controllers of their engines. Returns the indexes of those that reached none. */
-  private async deliverNotes(notes: readonly DirectoryNote[], passed: boolean): Promise<readonly number[]> {
+  private async deliverNotes(notes: readonly FillReport[], passed: boolean): Promise<readonly number[]> {
     const remote = new Map<string, number[]>();
     const missed: number[] = [];
     for (const [index, note] of notes.entries()) {
-      const controller = this.stewardship.controller(note.holder);
+      const controller = this.leaseManager.controller(note.holder);
       if (controller !== undefined) {
         controller.recordNote(note);
         continue;
       }
-      const address = this.membership.member(this.stewardship.holderOf(note.holder)?.holder ?? '')?.address;
+      const address = this.membership.member(this.leaseManager.holderOf(note.holder)?.holder ?? '')?.address;
       if (passed || address === undefined || address === this.settings.address) missed.push(index);
       else remote.set(address, [...(remote.get(address) ?? []), index]);
     }
--- a/source/edge-agent/engine-control/engineController.ts
+++ b/source/edge-agent/engine-control/engineController.ts
@@ -1,13 +1,13 @@
-import type { Engine } from '../../shared/blueprint/types';
+import type { Engine } from '../../shared/configuration/types';
 import type { NamedKey } from '../../shared/directory/hashChain';
-import type { DirectoryNote, GrantAnswer } from '../../shared/directory/shardDirectory';
+import type { FillReport, FillGrantAnswer } from '../../shared/directory/shardDirectory';
 
 /** Controls one cache holder (an engine or a store) under one lease term, on the agent that holds the lease. */
 export interface EngineController {
   readonly name: string;
   readonly term: number;
-  readonly grant: (fill: string, epoch: number, keys: readonly NamedKey[]) => GrantAnswer;
-  readonly recordNote: (note: DirectoryNote) => void;
+  readonly grant: (fill: string, epoch: number, keys: readonly NamedKey[]) => FillGrantAnswer;
+  readonly recordNote: (note: FillReport) => void;
   readonly blockCounts: () => Readonly<{ committed: number; used: number; quarantined: number; charged: number }>;
   /** Called periodically while the lease is held. */
   readonly reconcile: (engine: Engine) => Promise<void>;
--- a/source/edge-agent/engine-control/engineStatusPublisher.ts
+++ b/source/edge-agent/engine-control/engineStatusPublisher.ts
@@ -1,7 +1,7 @@
 import type { EngineStatus } from '../../shared/back-end/protocol';
-import type { Engine } from '../../shared/blueprint/types';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
+import type { Engine } from '../../shared/configuration/types';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipKeys, type EngineEntry } from '../../shared/gossip/entryTypes';
 
 /** Publishes the status of an engine by gossip, only when it changes. */
 export class EngineStatusPublisher {
@@ -10,13 +10,13 @@
   public constructor(
     private readonly name: string,
     private readonly term: number,
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
   ) {}
 
   /** `status` is undefined if the engine does not answer. */
   public publish(engine: Engine, status: EngineStatus | undefined, changing: boolean): void {
-    const previous = this.facts.value<EngineFact>(FactKeys.engine(this.name));
-    const value: EngineFact = {
+    const previous = this.facts.value<EngineEntry>(GossipKeys.engine(this.name));
+    const value: EngineEntry = {
       engine: this.name,
       kind: engine.kind === 'store' ? 'store' : 'engine',
       address: engine.address,
@@ -31,11 +31,11 @@
     // Only changes are published, so that an idle fleet sends little gossip.
     if (
       previous !== undefined &&
-      (this.facts.get(FactKeys.engine(this.name))?.version[0] ?? 0) === this.term &&
+      (this.facts.get(GossipKeys.engine(this.name))?.version[0] ?? 0) === this.term &&
       JSON.stringify(previous) === JSON.stringify(value)
     )
       return;
     this.sequence += 1;
-    this.facts.put({ key: FactKeys.engine(this.name), version: [this.term, this.sequence], value });
+    this.facts.put({ key: GossipKeys.engine(this.name), version: [this.term, this.sequence], value });
   }
 }
--- a/source/edge-agent/engine-control/eventReader.ts
+++ b/source/edge-agent/engine-control/eventReader.ts
@@ -1,4 +1,4 @@
-import type { BackEndDoor, KvEvents } from '../../shared/back-end/protocol';
+import type { BackEndControl, KvEvents } from '../../shared/back-end/protocol';
 import type { ShardDirectory } from '../../shared/directory/shardDirectory';
 import type { Clock } from '../../shared/effects/clock/clock';
 import { Logs, type Log } from '../../shared/log/log';
@@ -36,7 +36,7 @@
 
 /** Reads one cache holder's events by long polling, which also serves as the health check of the holder. */
 export class EventReader {
-  private readonly notice = Logs.part('agent:notice');
+  private readonly notice = Logs.channel('agent:notice');
   private currentReachability: HolderReachability = { kind: 'unknown' };
   private failedCalls = 0;
   private isCalling = false;
@@ -51,7 +51,7 @@
     private readonly name: string,
     private readonly shard: ShardDirectory,
     private readonly holdsLease: () => boolean,
-    private readonly backEnds: BackEndDoor,
+    private readonly backEnds: BackEndControl,
     private readonly clock: Clock,
     private readonly settings: EventReaderSettings,
     /** Whether the name stands for one process run, so that another boot epoch is another engine. */
@@ -91,7 +91,7 @@
         ? this.settings.holdMicroseconds
         : this.settings.firstHoldMicroseconds;
     this.nextCallMicroseconds = startMicroseconds + this.settings.pauseMicroseconds;
-    const { bootEpoch } = this.shard.news.present;
+    const { bootEpoch } = this.shard.index.present;
     const after = this.shard.after ?? 0;
     const limit = hold + this.settings.askMicroseconds;
     const read = await this.backEnds.events(address, after, bootEpoch, limit, hold, this.expectedName());
@@ -139,7 +139,7 @@
   }
 
   private async applyEvents(address: string, read: KvEvents, after: number): Promise<void> {
-    const known = this.shard.news.present.bootEpoch;
+    const known = this.shard.index.present.bootEpoch;
     if (this.shard.observe(read.bootEpoch, this.weights())) {
       this.log(`The shard of ${this.name} is at epoch ${this.shard.epoch}.`);
       // Reading starts anew, because event numbers of another boot do not apply to this one.
@@ -148,7 +148,7 @@
         return;
       }
     }
-    if (!this.shard.events(read)) this.isListNeeded = true;
+    if (!this.shard.applyEvents(read)) this.isListNeeded = true;
     const now = this.clock.nowMicroseconds();
     // The rate of list reads is limited, because a list delays the holder's work and missing entries only cost cache misses.
     if (!this.isListNeeded || now - this.lastListMicroseconds < this.settings.listIntervalMicroseconds) return;
@@ -156,7 +156,7 @@
     const list = await this.backEnds.list(address, listTimeoutMicroseconds, this.expectedName());
     if (list === undefined || !this.holdsLease() || this.isStopped) return;
     this.isListNeeded = false;
-    this.shard.list(list);
+    this.shard.applyListing(list);
     this.log(`Read the list of ${this.name}: ${list.keys.length} parts.`);
   }
 }
--- a/source/edge-agent/engine-control/liveSalts.ts
+++ b/source/edge-agent/engine-control/liveSalts.ts
@@ -1,4 +1,4 @@
-import type { Blueprint, Pool } from '../../shared/blueprint/types';
+import type { Configuration, Pool } from '../../shared/configuration/types';
 import { Identities } from '../../shared/directory/identity';
 import { PromptParts } from '../../shared/directory/promptParts';
 import type { Freshness } from '../../shared/freshness/freshness';
@@ -7,7 +7,7 @@
 
 /** The cache salts under which requests may still look up prompt parts. */
 export class LiveSalts {
-  private cachedFor: Blueprint | undefined;
+  private cachedFor: Configuration | undefined;
   private readonly cachedSets = new Map<string, Salts>();
 
   public constructor(private readonly freshness: Freshness) {}
--- a/source/edge-agent/engine-control/longPollEngineController.ts
+++ b/source/edge-agent/engine-control/longPollEngineController.ts
@@ -1,14 +1,14 @@
-import type { BackEndDoor, Directive, EngineStatus } from '../../shared/back-end/protocol';
-import type { Engine, Pool } from '../../shared/blueprint/types';
+import type { BackEndControl, Directive, EngineStatus } from '../../shared/back-end/protocol';
+import type { Engine, Pool } from '../../shared/configuration/types';
 import type { NamedKey } from '../../shared/directory/hashChain';
-import type { ShardBook } from '../../shared/directory/shardBook';
-import { ShardDirectory, ShardLimits, type GrantAnswer } from '../../shared/directory/shardDirectory';
+import type { ShardCatalog } from '../../shared/directory/shardCatalog';
+import { ShardDirectory, ShardLimits, type FillGrantAnswer } from '../../shared/directory/shardDirectory';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Freshness } from '../../shared/freshness/freshness';
 import type { Log } from '../../shared/log/log';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
-import { WeightsRounds } from '../../shared/weights/weightsRounds';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipKeys, type EngineEntry } from '../../shared/gossip/entryTypes';
+import { WeightsRollout } from '../../shared/weights/weightsRollout';
 import { EngineStatusPublisher } from './engineStatusPublisher';
 import { EventReader, type EventReaderSettings } from './eventReader';
 import type { LiveSalts } from './liveSalts';
@@ -72,9 +72,9 @@
     public readonly term: number,
     private readonly self: string,
     private readonly holdsLease: () => boolean,
-    private readonly backEnds: BackEndDoor,
-    private readonly facts: FactBook,
-    private readonly shards: ShardBook,
+    private readonly backEnds: BackEndControl,
+    private readonly facts: GossipStore,
+    private readonly shards: ShardCatalog,
     private readonly freshness: Freshness,
     private readonly clock: Clock,
     private readonly settings: LongPollControllerSettings,
@@ -104,7 +104,7 @@
       clock,
       settings.events,
       engine.kind === 'engine',
-      facts.value<EngineFact>(FactKeys.engine(name))?.bootEpoch ?? '',
+      facts.value<EngineEntry>(GossipKeys.engine(name))?.bootEpoch ?? '',
       () => this.knownStatus()?.weights ?? '',
       () => this.onEventsCall(),
       log,
@@ -118,7 +118,7 @@
     this.weightsWithinMicroseconds = microseconds;
   }
 
-  public grant(fill: string, epoch: number, keys: readonly NamedKey[]): GrantAnswer {
+  public grant(fill: string, epoch: number, keys: readonly NamedKey[]): FillGrantAnswer {
     return this.holdsLease() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
   }
 
@@ -133,7 +133,7 @@
 
   public blockCounts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
     const { used, quarantined, charged } = this.shard;
-    return { committed: this.shard.news.size, used, quarantined, charged };
+    return { committed: this.shard.index.size, used, quarantined, charged };
   }
 
   public reconcile(engine: Engine): Promise<void> {
@@ -162,7 +162,7 @@
 
   /** The known status of the engine: its own last answer, or what the list of engines says until there is one. */
   private knownStatus(): EngineStatus | undefined {
-    const { bootEpoch } = this.shard.news.present;
+    const { bootEpoch } = this.shard.index.present;
     const model = this.pool()?.model ?? '';
     const { capacity = 0, weights } = this.engine;
     if (this.engine.kind === 'store') return { bootEpoch, weights: '', capacity: 0, inFlight: 0, accepting: true };
@@ -189,7 +189,7 @@
     const { kind } = this.reader.reachability;
     if (kind === 'there') {
       // The shard of the previous controller is replaced only now: until the first events arrive, this one knows no more.
-      if (!this.hasPublishedShard) this.shards.set(this.name, this.shard.news);
+      if (!this.hasPublishedShard) this.shards.set(this.name, this.shard.index);
       this.hasPublishedShard = true;
     }
     this.publishStatus();
@@ -207,10 +207,10 @@
     const salts =
       this.engine.kind === 'store'
         ? this.liveSalts.store()
-        : this.liveSalts.engine(this.engine.service, this.shard.news.present.weights);
+        : this.liveSalts.engine(this.engine.service, this.shard.index.present.weights);
     if (salts === this.spreadSalts) return;
     this.spreadSalts = salts;
-    this.shard.spreadOnly((name) => salts === undefined || salts.has(name.slice(0, name.lastIndexOf('/'))));
+    this.shard.publishOnly((name) => salts === undefined || salts.has(name.slice(0, name.lastIndexOf('/'))));
   }
 
   private async reconcileEngine(): Promise<void> {
@@ -218,7 +218,7 @@
     if (this.isStatusDue()) await this.requestStatus();
     const status = this.knownStatus();
     if (status === undefined || !this.holdsLease()) return;
-    this.shard.observe(this.shard.news.present.bootEpoch, status.weights);
+    this.shard.observe(this.shard.index.present.bootEpoch, status.weights);
     const dueDirective = this.directiveIfDue(status);
     if (dueDirective === undefined) {
       this.isChangingWeights = status.busy === true;
@@ -281,7 +281,7 @@
     // A change that has begun is completed, whatever the other engines do meanwhile.
     if (
       !this.isChangingWeights &&
-      !WeightsRounds.isDue(this.name, intended, this.poolFacts(), service, now, limit, mayFromMicroseconds)
+      !WeightsRollout.isDue(this.name, intended, this.poolFacts(), service, now, limit, mayFromMicroseconds)
     )
       return undefined;
     return {
@@ -316,10 +316,10 @@
     this.nextStatusMicroseconds = this.clock.nowMicroseconds() + this.settings.changingStatusMicroseconds;
   }
 
-  private poolFacts(): Readonly<Record<string, EngineFact | undefined>> {
+  private poolFacts(): Readonly<Record<string, EngineEntry | undefined>> {
     const engines = Object.entries(this.freshness.engines?.engines ?? {}).filter(
       ([, { kind, service, state }]) => kind === 'engine' && service === this.engine.service && state === 'ready',
     );
-    return Object.fromEntries(engines.map(([name]) => [name, this.facts.value<EngineFact>(FactKeys.engine(name))]));
+    return Object.fromEntries(engines.map(([name]) => [name, this.facts.value<EngineEntry>(GossipKeys.engine(name))]));
   }
 }
--- a/source/edge-agent/engine-control/pollingEngineController.ts
+++ b/source/edge-agent/engine-control/pollingEngineController.ts
@@ -1,15 +1,15 @@
-import type { BackEndDoor, Directive, EngineStatus } from '../../shared/back-end/protocol';
-import type { Engine } from '../../shared/blueprint/types';
-import type { DirectoryNote, GrantAnswer } from '../../shared/directory/shardDirectory';
+import type { BackEndControl, Directive, EngineStatus } from '../../shared/back-end/protocol';
+import type { Engine } from '../../shared/configuration/types';
+import type { FillReport, FillGrantAnswer } from '../../shared/directory/shardDirectory';
 import { ShardDirectory, ShardLimits } from '../../shared/directory/shardDirectory';
-import type { ShardBook } from '../../shared/directory/shardBook';
+import type { ShardCatalog } from '../../shared/directory/shardCatalog';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Freshness } from '../../shared/freshness/freshness';
 import type { Log } from '../../shared/log/log';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, type EngineFact } from '../../shared/news/factTypes';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipKeys, type EngineEntry } from '../../shared/gossip/entryTypes';
 import type { NamedKey } from '../../shared/directory/hashChain';
-import { PulseLimits, type Pulses } from '../../shared/news/pulses';
+import { HolderHeartbeatLimits, type HolderHeartbeats } from '../../shared/gossip/holderHeartbeats';
 import { EngineStatusPublisher } from './engineStatusPublisher';
 import type { EngineController } from './engineController';
 import { WeightsPlans } from './weightsPlan';
@@ -39,11 +39,11 @@
     public readonly term: number,
     private readonly self: string,
     private readonly holdsLease: () => boolean,
-    private readonly backEnds: BackEndDoor,
-    private readonly facts: FactBook,
-    shards: ShardBook,
+    private readonly backEnds: BackEndControl,
+    private readonly facts: GossipStore,
+    shards: ShardCatalog,
     private readonly freshness: Freshness,
-    private readonly pulses: Pulses,
+    private readonly pulses: HolderHeartbeats,
     private readonly clock: Clock,
     private readonly settings: PollingControllerSettings,
     kind: Engine['kind'],
@@ -51,23 +51,23 @@
   ) {
     // The shard starts empty, because an earlier controller's fills in flight are not known here; committed blocks are requested anew.
     this.shard = new ShardDirectory(name, term, ShardLimits.usual, kind === 'engine', () => clock.nowMicroseconds());
-    shards.set(name, this.shard.news);
+    shards.set(name, this.shard.index);
     this.statusPublisher = new EngineStatusPublisher(name, term, facts);
     // The fence counts from now, because the previous controller may have allowed the old names until its last moment.
     this.fencedMicroseconds = clock.steadyMicroseconds();
   }
 
-  public grant(fill: string, epoch: number, keys: readonly NamedKey[]): GrantAnswer {
+  public grant(fill: string, epoch: number, keys: readonly NamedKey[]): FillGrantAnswer {
     return this.holdsLease() ? this.shard.grant(fill, epoch, keys) : { kind: 'refused', reason: 'notSteward' };
   }
 
-  public recordNote(note: DirectoryNote): void {
-    if (this.holdsLease()) this.shard.note(note);
+  public recordNote(note: FillReport): void {
+    if (this.holdsLease()) this.shard.applyReport(note);
   }
 
   public blockCounts(): Readonly<{ committed: number; used: number; quarantined: number; charged: number }> {
     const { used, quarantined, charged } = this.shard;
-    return { committed: this.shard.news.size, used, quarantined, charged };
+    return { committed: this.shard.index.size, used, quarantined, charged };
   }
 
   /** Polls the engine once; called periodically while the lease is held. */
@@ -99,8 +99,8 @@
     if (!this.holdsLease()) return;
     this.publishStatus(engine, drained ? { ...status, accepting: false } : status);
     // Not while the weights change: no proxy may reference cached blocks of an engine that is about to run other weights.
-    if (!this.isChangingWeights) this.pulses.saw(this.name, this.term, this.shard.epoch, sentMicroseconds);
-    this.shard.giveUpFills(this.clock.nowMicroseconds() - fillTimeoutMicroseconds);
+    if (!this.isChangingWeights) this.pulses.recordContact(this.name, this.term, this.shard.epoch, sentMicroseconds);
+    this.shard.abandonFills(this.clock.nowMicroseconds() - fillTimeoutMicroseconds);
     this.fenceIfQuarantineFills();
     await this.readEvents(engine);
   }
@@ -126,7 +126,10 @@
     if (wanted === undefined) return false;
     // The status is published first, so that proxies stop choosing the engine while it finishes its requests.
     this.publishStatus(engine, wanted.kind === 'drain' ? { ...status, accepting: false } : status);
-    if (changesWeights && this.clock.steadyMicroseconds() - this.fencedMicroseconds < PulseLimits.quietMicroseconds)
+    if (
+      changesWeights &&
+      this.clock.steadyMicroseconds() - this.fencedMicroseconds < HolderHeartbeatLimits.weightsChangeDelayMicroseconds
+    )
       return false;
     // The directive is repeated, because an engine that missed it or has rebooted does not know it; directives are idempotent.
     const outcome = await this.backEnds.directive(engine.address, wanted, this.settings.askMicroseconds);
@@ -161,12 +164,12 @@
     return undefined;
   }
 
-  private pool(service: string): Readonly<Record<string, EngineFact | undefined>> {
+  private pool(service: string): Readonly<Record<string, EngineEntry | undefined>> {
     const engines = Object.entries(this.freshness.engines?.engines ?? {}).filter(
       ([, { kind, service: engineService, state }]) =>
         kind === 'engine' && engineService === service && state === 'ready',
     );
-    return Object.fromEntries(engines.map(([name]) => [name, this.facts.value<EngineFact>(FactKeys.engine(name))]));
+    return Object.fromEntries(engines.map(([name]) => [name, this.facts.value<EngineEntry>(GossipKeys.engine(name))]));
   }
 
   private publishStatus(engine: Engine, status: EngineStatus | undefined): void {
@@ -174,14 +177,14 @@
   }
 
   private async readEvents(engine: Engine): Promise<void> {
-    const { bootEpoch } = this.shard.news.present;
+    const { bootEpoch } = this.shard.index.present;
     const after = this.shard.after;
     if (after !== undefined) {
       const read = await this.backEnds.events(engine.address, after, bootEpoch, this.settings.askMicroseconds);
-      if (!this.holdsLease() || read === undefined || read === 'later' || this.shard.events(read)) return;
+      if (!this.holdsLease() || read === undefined || read === 'later' || this.shard.applyEvents(read)) return;
       this.log(`The events of ${this.name} have a gap; reading its whole list.`);
     }
     const list = await this.backEnds.list(engine.address, this.settings.askMicroseconds);
-    if (this.holdsLease() && list !== undefined) this.shard.list(list);
+    if (this.holdsLease() && list !== undefined) this.shard.applyListing(list);
   }
 }
--- a/source/edge-agent/engine-control/weightsPlan.ts
+++ b/source/edge-agent/engine-control/weightsPlan.ts
@@ -1,7 +1,7 @@
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import type { WeightsSince } from '../../shared/freshness/freshness';
-import type { EngineFact } from '../../shared/news/factTypes';
-import { WeightsClocks } from '../../shared/weights/weightsClocks';
+import type { EngineEntry } from '../../shared/gossip/entryTypes';
+import { WeightsDeadlines } from '../../shared/weights/weightsDeadlines';
 
 /** The next step of an engine towards the intended weights: nothing to do, wait, or load after a drain of at most this time. */
 export type WeightsStep =
@@ -17,7 +17,7 @@
     engine: string,
     intended: WeightsSince,
     present: string,
-    pool: Readonly<Record<string, EngineFact | undefined>>,
+    pool: Readonly<Record<string, EngineEntry | undefined>>,
     service: string,
     nowMicroseconds: number,
   ): WeightsStep => {
@@ -25,9 +25,9 @@
     // The engine loads at once: since when the weights are intended is not known, so the limit may already have passed.
     if (intended.sinceMicroseconds === null) return { kind: 'load', drainMicroseconds: 0 };
     const ageMicroseconds = nowMicroseconds - intended.sinceMicroseconds;
-    const drainMicroseconds = Math.max(0, WeightsClocks.drainUntilMicroseconds - ageMicroseconds);
+    const drainMicroseconds = Math.max(0, WeightsDeadlines.drainUntilMicroseconds - ageMicroseconds);
     const first = WeightsPlans.firstRound(service, intended.weights, Object.keys(pool));
-    if (first.includes(engine) || ageMicroseconds >= WeightsClocks.secondRoundMicroseconds)
+    if (first.includes(engine) || ageMicroseconds >= WeightsDeadlines.secondRoundMicroseconds)
       return { kind: 'load', drainMicroseconds };
     const isFirstDone = first.every(
       (name) => pool[name]?.weights === intended.weights && pool[name]?.changing === false,
--- a/source/edge-agent/engine-list/callPace.ts
+++ b/source/edge-agent/engine-list/callRateLimiter.ts
@@ -8,7 +8,7 @@
  * Limits the rate of calls with a leaky bucket, stored as the time at which the bucket is empty again, and backs off
  * exponentially when the server rejects calls. The burst is small because the server may count calls in any time window.
  */
-export class CallPace {
+export class CallRateLimiter {
   private bucketEmptyAt = -Infinity;
   private consecutiveRejections = 0;
   private blockedUntil = -Infinity;
@@ -16,7 +16,7 @@
   public constructor(private readonly clock: Clock) {}
 
   /** Reserves one call and returns how long it must wait. */
-  public waitMicroseconds(callsPerSecond: number): number {
+  public reserveCall(callsPerSecond: number): number {
     const now = this.clock.nowMicroseconds();
     const intervalMicroseconds = 1_000_000 / callsPerSecond;
     const burstMicroseconds = Math.max(0, burstSeconds * 1_000_000 - intervalMicroseconds);
@@ -26,14 +26,14 @@
   }
 
   /** Backs off; the random `fraction` spreads the retries of callers that were rejected at the same time. */
-  public turnedAway(fraction: number): void {
+  public recordRejection(fraction: number): void {
     const pause = minBackoffMicroseconds * 2 ** this.consecutiveRejections * (1 + fraction);
     this.consecutiveRejections += 1;
     this.blockedUntil = this.clock.nowMicroseconds() + Math.min(maxBackoffMicroseconds, pause);
   }
 
   /** Resets the backoff after a successful call. */
-  public answered(): void {
+  public recordSuccess(): void {
     this.consecutiveRejections = 0;
   }
 }
--- a/source/edge-agent/engine-list/engineLives.ts
+++ b/source/edge-agent/engine-list/engineLifetimes.ts
@@ -10,9 +10,9 @@
  * one may show an earlier state than the one before it. A name is used by one engine only, so an engine that has ended
  * does not come back.
  */
-export class EngineLives {
+export class EngineLifetimes {
   private readonly tracked = new Map<string, TrackedEngine>();
-  private readonly over = new Set<string>();
+  private readonly ended = new Set<string>();
   private reads = 0;
 
   public constructor(private readonly lagMicroseconds: () => number) {}
@@ -22,7 +22,7 @@
    * Both the time of the request and that of the response are given because the pages of a long list are fetched one after
    * another, and the entries of the last page are seen only at the end.
    */
-  public heard(
+  public applyResponse(
     listed: readonly ListedEngine[],
     known: readonly ListedEngine[],
     requestedMicroseconds: number,
@@ -42,7 +42,7 @@
   }
 
   private recordListed(engine: ListedEngine, receivedMicroseconds: number): void {
-    if (this.over.has(engine.name)) return;
+    if (this.ended.has(engine.name)) return;
     const tracked = this.tracked.get(engine.name);
     // Draining is final, and an outdated response must not make the engine look ready again.
     const state = tracked?.engine.state === 'draining' ? 'draining' : engine.state;
@@ -72,10 +72,10 @@
 
   private end(name: string): void {
     this.tracked.delete(name);
-    this.over.add(name);
-    for (const oldest of this.over) {
-      if (this.over.size <= maxEndedNames) break;
-      this.over.delete(oldest);
+    this.ended.add(name);
+    for (const oldest of this.ended) {
+      if (this.ended.size <= maxEndedNames) break;
+      this.ended.delete(oldest);
     }
   }
 }
--- a/source/edge-agent/engine-list/engineListKeeper.ts
+++ b/source/edge-agent/engine-list/engineListReader.ts
@@ -1,12 +1,12 @@
 import { createHash } from 'node:crypto';
-import { Blueprints } from '../../shared/blueprint/check';
-import type { Engine, EngineList } from '../../shared/blueprint/types';
+import { DocumentValidation } from '../../shared/configuration/validation';
+import type { Engine, EngineList } from '../../shared/configuration/types';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
 import type { Freshness } from '../../shared/freshness/freshness';
 import type { Log } from '../../shared/log/log';
-import { CallPace } from './callPace';
-import { EngineLives } from './engineLives';
+import { CallRateLimiter } from './callRateLimiter';
+import { EngineLifetimes } from './engineLifetimes';
 import type { EngineLister, ListedEngine } from './engineLister';
 
 export type EngineListSettings = Readonly<{
@@ -16,7 +16,7 @@
   /** How many calls, each for one page, the list service accepts from all agents together. */
   callsPerSecond: number;
   /** A read that needs more pages is abandoned. */
-  mostPages: number;
+  maxPages: number;
   /** The largest lag of the list; it differs per response, so a later response may show an earlier state. */
   lagMicroseconds: number;
   /** Consecutive reads that must return no engines before an empty list is accepted. */
@@ -25,7 +25,7 @@
    * An agent that knows no list this long after its start reads it without the lease. The time is short because the read
    * is one call and requests wait for it.
    */
-  lonelyMicroseconds: number;
+  firstReadWithoutLeaseMicroseconds: number;
   /** An agent also reads the list without the lease when the list that it knows is at least this old. */
   staleMicroseconds: number;
 }>;
@@ -34,10 +34,10 @@
   address: '',
   askMicroseconds: 1_000_000,
   callsPerSecond: Infinity,
-  mostPages: 64,
+  maxPages: 64,
   lagMicroseconds: 1_000_000,
   emptyReads: 3,
-  lonelyMicroseconds: 40_000,
+  firstReadWithoutLeaseMicroseconds: 40_000,
   staleMicroseconds: 3_000_000,
 } as const;
 
@@ -63,13 +63,13 @@
  * Reads the external list of engines under a lease and publishes it as the key `engines` in the fleet's own format; the
  * lease holder is the only writer of that key.
  */
-export class EngineListKeeper {
+export class EngineListReader {
   private term = 0;
   private sequence = 0;
-  private text = '';
-  private empty = 0;
-  private readonly lifetimes: EngineLives;
-  private readonly rateLimiter: CallPace;
+  private publishedText = '';
+  private consecutiveEmptyReads = 0;
+  private readonly lifetimes: EngineLifetimes;
+  private readonly rateLimiter: CallRateLimiter;
   private nextReadWithoutLease: number;
   private lastPageCount = 1;
 
@@ -82,11 +82,11 @@
     private readonly random: Random,
     private settings: EngineListSettings,
     /** The known number of agents. */
-    private readonly agents: () => number,
+    private readonly agentCount: () => number,
     private readonly log: Log,
   ) {
-    this.lifetimes = new EngineLives(() => this.settings.lagMicroseconds);
-    this.rateLimiter = new CallPace(clock);
+    this.lifetimes = new EngineLifetimes(() => this.settings.lagMicroseconds);
+    this.rateLimiter = new CallRateLimiter(clock);
     // The first read is delayed longer at a low call rate: agents that start together would otherwise use up the calls of
     // a second at once.
     const spread =
@@ -95,11 +95,11 @@
         : 0;
     this.nextReadWithoutLease =
       clock.nowMicroseconds() +
-      Math.floor(settings.lonelyMicroseconds * (1 + random.fraction()) + spread * random.fraction());
+      Math.floor(settings.firstReadWithoutLeaseMicroseconds * (1 + random.fraction()) + spread * random.fraction());
   }
 
   /** Changed settings apply from the next call on. */
-  public settingsAre(changed: Partial<EngineListSettings>): void {
+  public updateSettings(changed: Partial<EngineListSettings>): void {
     this.settings = { ...this.settings, ...changed };
   }
 
@@ -113,7 +113,7 @@
     const { listed, requestedMicroseconds } = result;
     if (!this.accepts(listed)) return;
     const text = this.toText(listed, requestedMicroseconds);
-    if (Blueprints.checkText('engines', text).kind === 'faulty') {
+    if (DocumentValidation.checkText('engines', text).kind === 'faulty') {
       this.log('The list of engines is invalid; keeping the previous list.');
       return;
     }
@@ -133,7 +133,7 @@
     const now = this.clock.nowMicroseconds();
     if (now < this.nextReadWithoutLease || !this.isStale()) return false;
     const pause =
-      ((1 + this.random.fraction()) * this.agents() * this.lastPageCount * 1_000_000) / this.rateWithoutLease();
+      ((1 + this.random.fraction()) * this.agentCount() * this.lastPageCount * 1_000_000) / this.rateWithoutLease();
     this.nextReadWithoutLease = now + Math.max(1_000_000, Math.floor(pause));
     return true;
   }
@@ -152,7 +152,7 @@
    * random intervals let only few of them read at a time.
    */
   private async waitForRateLimit(term: number | undefined): Promise<void> {
-    const wait = this.rateLimiter.waitMicroseconds(
+    const wait = this.rateLimiter.reserveCall(
       this.rate() * (term === undefined ? withoutLeaseRateShare : leaseHolderRateShare),
     );
     if (wait > 0) await Clocks.wait(this.clock, wait);
@@ -182,10 +182,10 @@
       requestedMicroseconds ??= this.clock.nowMicroseconds();
       const page = await this.lister.page(from, this.settings.askMicroseconds, this.settings.address);
       if (page === 'overRate') {
-        this.rateLimiter.turnedAway(this.random.fraction());
+        this.rateLimiter.recordRejection(this.random.fraction());
         return undefined;
       }
-      if (page !== undefined) this.rateLimiter.answered();
+      if (page !== undefined) this.rateLimiter.recordSuccess();
       // A partial list is discarded because engines on the missing pages would look as if they had ended.
       if (page === undefined || this.leaseTerm() !== term) return undefined;
       listed.push(...page.engines);
@@ -193,16 +193,16 @@
         this.lastPageCount = pages;
         return { listed, requestedMicroseconds };
       }
-      if (page.next === from || pages >= this.settings.mostPages) return undefined;
+      if (page.next === from || pages >= this.settings.maxPages) return undefined;
       from = page.next;
     }
   }
 
   /** Accepts an empty list only after several reads, because an empty list is more likely a fault of the list service. */
   private accepts(listed: readonly ListedEngine[]): boolean {
-    this.empty = listed.length === 0 ? this.empty + 1 : 0;
+    this.consecutiveEmptyReads = listed.length === 0 ? this.consecutiveEmptyReads + 1 : 0;
     const known = Object.keys(this.freshness.engines?.engines ?? {}).length;
-    return listed.length > 0 || known === 0 || this.empty >= this.settings.emptyReads;
+    return listed.length > 0 || known === 0 || this.consecutiveEmptyReads >= this.settings.emptyReads;
   }
 
   private toText(listed: readonly ListedEngine[], requestedMicroseconds: number): string {
@@ -211,7 +211,7 @@
       ...EngineLists.listed(engine),
     }));
     const { blueprint, engines: before } = this.freshness;
-    const current = this.lifetimes.heard(listed, known, requestedMicroseconds, this.clock.nowMicroseconds());
+    const current = this.lifetimes.applyResponse(listed, known, requestedMicroseconds, this.clock.nowMicroseconds());
     // An instance without models is an app: it caches no prompt parts, gets no weights and needs no engine controller.
     // The whole service is examined because an engine that has just started is listed without its models, but is no app.
     const ofEngines = new Set([
@@ -227,16 +227,16 @@
 
   private revisionOf(term: number, text: string): number {
     // The sequence restarts with each term because this agent may not know all revisions of the previous holder.
-    if (term !== this.term) [this.term, this.sequence, this.text] = [term, 0, ''];
+    if (term !== this.term) [this.term, this.sequence, this.publishedText] = [term, 0, ''];
     const applied = this.freshness.applied('engines');
     const above = (applied?.revision ?? 0) - term * revisionsPerTerm;
     // A revision of a later term is not exceeded: its holder takes precedence, and this lease has ended.
     const before = above < revisionsPerTerm ? above : 0;
-    const isPublished = text === this.text && (before <= this.sequence || applied?.text === text);
+    const isPublished = text === this.publishedText && (before <= this.sequence || applied?.text === text);
     // The revision exceeds the applied one because an agent without the lease may have published another text under the
     // next revision meanwhile.
     this.sequence = isPublished ? Math.max(before, this.sequence) : Math.max(before, this.sequence) + 1;
-    this.text = text;
+    this.publishedText = text;
     return term * revisionsPerTerm + this.sequence;
   }
 
@@ -249,13 +249,13 @@
   private publish(revision: number, text: string, requestedMicroseconds: number): void {
     const now = this.clock.nowMicroseconds();
     const digest = createHash('sha256').update(text).digest('hex').slice(0, 32);
-    this.freshness.hear(
+    this.freshness.applyStatement(
       { key: 'engines', revision, digest, ageMicroseconds: now - requestedMicroseconds, weights: {} },
       now,
     );
     if (this.freshness.revision('engines') === revision) return;
     const before = this.freshness.engines?.engines ?? {};
-    if (this.freshness.give({ key: 'engines', revision, digest, text }))
+    if (this.freshness.applyBody({ key: 'engines', revision, digest, text }))
       this.log(
         `The list of engines is at revision ${revision}: ${EngineLists.changes(before, this.freshness.engines)}.`,
       );
--- a/source/edge-agent/leases/leaseCandidacy.ts
+++ b/source/edge-agent/leases/leaseCandidacy.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../shared/effects/clock/clock';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, type StewardFact } from '../../shared/news/factTypes';
-import { FleetPace } from '../../shared/pace/fleetPace';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipKeys, type ControllerEntry } from '../../shared/gossip/entryTypes';
+import { IntervalScaling } from '../../shared/flow-control/intervalScaling';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import type { Membership } from '../membership/membership';
 import type { LeaseHolder } from './leaseHolder';
@@ -11,9 +11,9 @@
 
 export const LeaseSubjects = {
   /** The control of one engine or store. */
-  engine: (name: string): LeaseSubject => ({ lease: `engine/${name}`, factKey: FactKeys.steward(name), name }),
+  engine: (name: string): LeaseSubject => ({ lease: `engine/${name}`, factKey: GossipKeys.controller(name), name }),
   /** Reading the list of engines from a source outside the fleet. */
-  list: { lease: 'list', factKey: FactKeys.listDuty, name: 'list' } satisfies LeaseSubject,
+  list: { lease: 'list', factKey: GossipKeys.listLease, name: 'list' } satisfies LeaseSubject,
 } as const;
 
 export type LeaseCandidacySettings = Readonly<{
@@ -50,15 +50,15 @@
     private readonly self: string,
     private readonly leases: LeaseHolder,
     private readonly membership: Membership,
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
     private readonly clock: Clock,
     private readonly settings: LeaseCandidacySettings,
   ) {
     this.startedMicroseconds = clock.nowMicroseconds();
   }
 
-  public holderOf(subject: LeaseSubject): StewardFact | undefined {
-    return this.facts.value<StewardFact>(subject.factKey);
+  public holderOf(subject: LeaseSubject): ControllerEntry | undefined {
+    return this.facts.value<ControllerEntry>(subject.factKey);
   }
 
   /**
@@ -73,7 +73,7 @@
   /** Refreshes an unchanged entry only at the heartbeat interval: others need it just to see that the holder is alive. */
   public announceHeartbeat(subject: LeaseSubject, term: number, holder: string): void {
     const now = this.clock.nowMicroseconds();
-    const known = this.facts.value<StewardFact>(subject.factKey);
+    const known = this.facts.value<ControllerEntry>(subject.factKey);
     const announced = this.announcedMicroseconds.get(subject.lease) ?? -Infinity;
     if (known?.holder !== holder || known.term !== term || now - announced >= this.settings.heartbeatMicroseconds)
       this.announce(subject, term, holder);
@@ -83,7 +83,7 @@
     this.announcedMicroseconds.set(subject.lease, this.clock.nowMicroseconds());
     this.announcements += 1;
     const rest = restMicroseconds === undefined ? {} : { restMicroseconds };
-    const value: StewardFact = { engine: subject.name, holder, term, ...rest };
+    const value: ControllerEntry = { engine: subject.name, holder, term, ...rest };
     this.facts.put({ key: subject.factKey, version: [term, this.announcements], value });
   }
 
@@ -92,7 +92,7 @@
     const { lease } = subject;
     const now = this.clock.nowMicroseconds();
     const fact = this.facts.get(subject.factKey);
-    const value = fact?.value as StewardFact | undefined;
+    const value = fact?.value as ControllerEntry | undefined;
     if (fact !== undefined && value !== undefined) {
       this.leases.observeTerm(lease, value.term);
       const version = fact.version.join('.');
@@ -124,7 +124,7 @@
 
   /** Grows with the fleet, because the holder's heartbeat spreads by gossip over more hops and must not look expired on its way. */
   private absenceTimeoutMicroseconds(agents: number): number {
-    return this.settings.vacantAfterMicroseconds * FleetPace.of(agents, maxAbsenceFactor);
+    return this.settings.vacantAfterMicroseconds * IntervalScaling.of(agents, maxAbsenceFactor);
   }
 
   /** The agent to hand the lease over to, once another one has been first in the order for long enough. */
--- a/source/edge-agent/leases/leaseManager.ts
+++ b/source/edge-agent/leases/leaseManager.ts
@@ -1,13 +1,13 @@
-import type { BackEndDoor } from '../../shared/back-end/protocol';
-import type { Engine } from '../../shared/blueprint/types';
+import type { BackEndControl } from '../../shared/back-end/protocol';
+import type { Engine } from '../../shared/configuration/types';
 import { Holders } from '../../shared/directory/holders';
-import type { ShardBook } from '../../shared/directory/shardBook';
+import type { ShardCatalog } from '../../shared/directory/shardCatalog';
 import type { Effects } from '../../shared/effects/effects';
 import type { Freshness } from '../../shared/freshness/freshness';
 import type { Log } from '../../shared/log/log';
-import type { FactBook } from '../../shared/news/facts';
-import type { Pulses } from '../../shared/news/pulses';
-import type { StewardFact } from '../../shared/news/factTypes';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import type { HolderHeartbeats } from '../../shared/gossip/holderHeartbeats';
+import type { ControllerEntry } from '../../shared/gossip/entryTypes';
 import type { Membership } from '../membership/membership';
 import type { LeaseHolder } from './leaseHolder';
 import { LeaseCandidacy, LeaseSubjects, type LeaseCandidacySettings } from './leaseCandidacy';
@@ -39,11 +39,11 @@
     private readonly self: string,
     private readonly leases: LeaseHolder,
     private readonly membership: Membership,
-    private readonly facts: FactBook,
-    private readonly shards: ShardBook,
+    private readonly facts: GossipStore,
+    private readonly shards: ShardCatalog,
     private readonly freshness: Freshness,
-    private readonly pulses: Pulses,
-    private readonly backEnds: BackEndDoor,
+    private readonly pulses: HolderHeartbeats,
+    private readonly backEnds: BackEndControl,
     private readonly effects: Effects,
     private readonly settings: LeaseManagerSettings,
     private readonly log: Log,
@@ -61,7 +61,7 @@
     return [...this.controllers.values()].filter(({ name }) => this.leases.term(`engine/${name}`) !== undefined);
   }
 
-  public holderOf(engine: string): StewardFact | undefined {
+  public holderOf(engine: string): ControllerEntry | undefined {
     return this.candidacy.holderOf(LeaseSubjects.engine(engine));
   }
 
--- a/source/edge-agent/main.ts
+++ b/source/edge-agent/main.ts
@@ -1,12 +1,12 @@
-import { HttpBackEndDoor } from '../shared/back-end/httpBackEnds';
-import { HttpDoors, HttpLimits, Replies, type HttpDoor } from '../shared/http/httpDoor';
+import { HttpBackEndControl } from '../shared/back-end/httpBackEnds';
+import { HttpApiServers, HttpLimits, Replies, type HttpApiServer } from '../shared/http/httpApiServer';
 import { Metrics } from '../shared/metrics/metrics';
 import { Programs } from '../shared/settings/program';
 import { SettingFormats, Settings, SharedSettings, type SettingSchema } from '../shared/settings/settings';
 import type { ServerResponse } from 'node:http';
 import { AgentProgram } from './agentProgram';
 import { AgentDefaults, type EdgeAgent } from './edgeAgent';
-import { AgentPages } from './pages/agentPages';
+import { AgentStatusPages } from './pages/agentStatusPages';
 
 const schema: SettingSchema = {
   name: { doc: 'name of this machine', format: SettingFormats.name, default: null, kind: 'text' },
@@ -53,20 +53,20 @@
     process.argv.slice(2),
   );
   const text = (name: string): string => String(settings[name]);
-  const openPages = async (agent: EdgeAgent): Promise<HttpDoor> => {
+  const openPages = async (agent: EdgeAgent): Promise<HttpApiServer> => {
     const metrics = new Metrics();
-    metrics.watch(() => AgentPages.gauges(agent));
-    return HttpDoors.open(text('pages'), HttpLimits.usual, (service) => {
+    metrics.addGauges(() => AgentStatusPages.gauges(agent));
+    return HttpApiServers.open(text('pages'), HttpLimits.usual, (service) => {
       service.get('/status', (_request, response) =>
-        Replies.json(response as unknown as ServerResponse, 200, AgentPages.status(text('name'), agent)),
+        Replies.json(response as unknown as ServerResponse, 200, AgentStatusPages.status(text('name'), agent)),
       );
       service.get('/health', (_request, response) =>
-        Replies.json(response as unknown as ServerResponse, AgentPages.fresh(agent) ? 200 : 503, {
-          fresh: AgentPages.fresh(agent),
+        Replies.json(response as unknown as ServerResponse, AgentStatusPages.isFresh(agent) ? 200 : 503, {
+          fresh: AgentStatusPages.isFresh(agent),
         }),
       );
       service.get('/metrics', (_request, response) =>
-        Replies.text(response as unknown as ServerResponse, 200, metrics.page()),
+        Replies.text(response as unknown as ServerResponse, 200, metrics.render()),
       );
     });
   };
@@ -82,7 +82,7 @@
       fleet: text('fleet'),
       listenAddress: text('listen'),
     },
-    door: new HttpBackEndDoor(),
+    door: new HttpBackEndControl(),
     openPages,
     stopLimitMicroseconds: Number(settings['stopLimitMicroseconds']),
     // No delay is needed: a proxy that outlives its agent gets its updates from another one.
--- a/source/edge-agent/membership/membership.ts
+++ b/source/edge-agent/membership/membership.ts
@@ -2,8 +2,14 @@
 import { once } from 'remeda';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Log } from '../../shared/log/log';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, MemberStates, MemberVersions, type MemberFact, type MemberState } from '../../shared/news/factTypes';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import {
+  GossipKeys,
+  MemberStates,
+  MemberVersions,
+  type MemberEntry,
+  type MemberState,
+} from '../../shared/gossip/entryTypes';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 
 export type MembershipSettings = Readonly<{
@@ -25,8 +31,8 @@
 /** Values derived from the list of members; valid until a member's gossip entry changes. */
 type DerivedMembers = Readonly<{
   memberChanges: number;
-  all: readonly MemberFact[];
-  present: readonly MemberFact[];
+  all: readonly MemberEntry[];
+  present: readonly MemberEntry[];
   names: readonly string[];
   gossipPeers: () => readonly string[];
   zonePeers: () => readonly string[];
@@ -36,7 +42,7 @@
 
 /** The members of the fleet as known by gossip. It guides placement and candidacies for leases; correctness never depends on it. */
 export class Membership {
-  public readonly events = new Emittery<{ changed: MemberFact }>();
+  public readonly events = new Emittery<{ changed: MemberEntry }>();
   private incarnation = 1;
   private readonly notAliveSince = new Map<string, number>();
   private readonly failedProbes = new Map<string, number>();
@@ -44,7 +50,7 @@
 
   public constructor(
     private readonly self: AgentIdentity,
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
     private readonly clock: Clock,
     private readonly settings: MembershipSettings,
     private readonly log: Log,
@@ -56,11 +62,11 @@
     return this.incarnation;
   }
 
-  public all(): readonly MemberFact[] {
+  public all(): readonly MemberEntry[] {
     return this.derivedNow().all;
   }
 
-  public present(): readonly MemberFact[] {
+  public present(): readonly MemberEntry[] {
     return this.derivedNow().present;
   }
 
@@ -74,17 +80,17 @@
     return member !== undefined && MemberStates.isPresent(member);
   }
 
-  public member(name: string): MemberFact | undefined {
-    return this.facts.value<MemberFact>(FactKeys.member(name));
+  public member(name: string): MemberEntry | undefined {
+    return this.facts.value<MemberEntry>(GossipKeys.member(name));
   }
 
   /** The small set of agents that this agent gossips with. */
-  public gossipPeers(): readonly MemberFact[] {
+  public gossipPeers(): readonly MemberEntry[] {
     return this.membersNamed(this.derivedNow().gossipPeers());
   }
 
   /** A second set of the same size within the own zone: gossip with these crosses no link between zones. */
-  public zonePeers(): readonly MemberFact[] {
+  public zonePeers(): readonly MemberEntry[] {
     return this.membersNamed(this.derivedNow().zonePeers());
   }
 
@@ -94,14 +100,14 @@
   }
 
   /** The agents that this agent probes; each agent is probed by the same number of others. */
-  public probeTargets(): readonly MemberFact[] {
+  public probeTargets(): readonly MemberEntry[] {
     return this.membersNamed(this.derivedNow().probeTargets());
   }
 
   /** Called after gossip came in: refutes a worse state of this agent, or an entry of its earlier process, with a higher incarnation. */
   public refuteSuspicion(): void {
-    const fact = this.facts.get(FactKeys.member(this.self.name));
-    const value = fact?.value as MemberFact | undefined;
+    const fact = this.facts.get(GossipKeys.member(this.self.name));
+    const value = fact?.value as MemberEntry | undefined;
     if (fact === undefined || (value?.state === 'alive' && value.boot === this.self.boot)) return;
     this.incarnation = Math.max(this.incarnation, fact.version[0]) + 1;
     this.publish(this.self.name, 'alive', this.incarnation);
@@ -119,8 +125,8 @@
   }
 
   public suspect(name: string): void {
-    const fact = this.facts.get(FactKeys.member(name));
-    const member = fact?.value as MemberFact | undefined;
+    const fact = this.facts.get(GossipKeys.member(name));
+    const member = fact?.value as MemberEntry | undefined;
     if (fact === undefined || member?.state !== 'alive') return;
     this.publish(name, 'suspect', fact.version[0]);
     this.log(`Agent ${name} is suspected to have failed.`);
@@ -139,13 +145,13 @@
       }
       const since = this.notAliveSince.get(member.name) ?? now;
       this.notAliveSince.set(member.name, since);
-      const fact = this.facts.get(FactKeys.member(member.name));
+      const fact = this.facts.get(GossipKeys.member(member.name));
       if (member.state === 'suspect' && now - since >= this.settings.goneMicroseconds) {
         this.publish(member.name, 'gone', fact?.version[0] ?? 0);
         this.notAliveSince.set(member.name, now);
         this.log(`Agent ${member.name} is considered dead.`);
       } else if (member.state !== 'suspect' && now - since >= this.settings.forgetMicroseconds) {
-        this.facts.forget(FactKeys.member(member.name));
+        this.facts.forget(GossipKeys.member(member.name));
         this.notAliveSince.delete(member.name);
       }
     }
@@ -159,7 +165,7 @@
     const memberChanges = this.facts.changesOf('member');
     if (this.derived?.memberChanges === memberChanges) return this.derived;
     const { self, settings } = this;
-    const all = this.facts.withPrefix('member/').map(({ value }) => value as MemberFact);
+    const all = this.facts.withPrefix('member/').map(({ value }) => value as MemberEntry);
     const present = all.filter(MemberStates.isPresent);
     const names = present.map(({ name }) => name);
     const sameZone = present.filter(({ zone }) => zone === self.zone).map(({ name }) => name);
@@ -173,22 +179,22 @@
       all,
       present,
       names,
-      gossipPeers: once(() => Rendezvous.colleagues(self.name, names, settings.colleagues)),
-      zonePeers: once(() => Rendezvous.colleagues(self.name, sameZone, settings.colleagues)),
+      gossipPeers: once(() => Rendezvous.peers(self.name, names, settings.colleagues)),
+      zonePeers: once(() => Rendezvous.peers(self.name, sameZone, settings.colleagues)),
       zoneSize: sameZone.length,
       probeTargets: once(() => names.filter((name) => name !== self.name && isProbeTarget(name))),
     };
     return this.derived;
   }
 
-  private membersNamed(names: readonly string[]): readonly MemberFact[] {
+  private membersNamed(names: readonly string[]): readonly MemberEntry[] {
     return names.flatMap((name) => this.member(name) ?? []);
   }
 
   private publish(name: string, state: MemberState, incarnation: number): void {
-    const value: MemberFact =
-      name === this.self.name ? { ...this.self, state } : { ...(this.member(name) as MemberFact), state };
-    this.facts.put({ key: FactKeys.member(name), version: MemberVersions.of(incarnation, state), value });
+    const value: MemberEntry =
+      name === this.self.name ? { ...this.self, state } : { ...(this.member(name) as MemberEntry), state };
+    this.facts.put({ key: GossipKeys.member(name), version: MemberVersions.of(incarnation, state), value });
     void this.events.emit('changed', value);
   }
 }
--- a/source/edge-agent/pages/agentPages.ts
+++ b/source/edge-agent/pages/agentStatusPages.ts
@@ -3,12 +3,12 @@
 const maxFreshAgeMicroseconds = 1_500_000;
 
 /** The status, health and metrics that an agent shows to operators. */
-export const AgentPages = {
-  fresh: (agent: EdgeAgent): boolean => agent.freshness.ageMicroseconds() < maxFreshAgeMicroseconds,
+export const AgentStatusPages = {
+  isFresh: (agent: EdgeAgent): boolean => agent.freshness.ageMicroseconds() < maxFreshAgeMicroseconds,
 
   status: (name: string, agent: EdgeAgent): unknown => ({
     agent: name,
-    fleet: agent.link.fleet,
+    fleet: agent.controlLink.fleet,
     ageMicroseconds: Number.isFinite(agent.freshness.ageMicroseconds()) ? agent.freshness.ageMicroseconds() : null,
     revisions: {
       blueprint: agent.freshness.revision('blueprint'),
@@ -35,7 +35,7 @@
       ]),
     ),
     shards: agent.shards.all().map((shard) => ({ ...shard.present, committed: shard.size })),
-    held: agent.stewardship
+    held: agent.leaseManager
       .activeControllers()
       .map((controller) => ({ engine: controller.name, term: controller.term, ...controller.blockCounts() })),
   }),
@@ -43,7 +43,7 @@
   gauges: (agent: EdgeAgent): readonly (readonly [string, Readonly<Record<string, string>>, number])[] => [
     ['postdrum_agent_members', {}, agent.membership.present().length],
     ['postdrum_agent_facts', {}, agent.facts.size],
-    ['postdrum_agent_duties', {}, agent.stewardship.activeControllers().length],
+    ['postdrum_agent_duties', {}, agent.leaseManager.activeControllers().length],
     ...(['blueprint', 'engines', 'core-members'] as const).map(
       (key) => ['postdrum_key_revision', { key }, agent.freshness.revision(key)] as const,
     ),
--- a/source/edge-agent/proxies/loadTotals.ts
+++ b/source/edge-agent/proxies/loadTotals.ts
@@ -2,8 +2,8 @@
 import type { Random } from '../../shared/effects/random/random';
 import { LoadSums, loadTables, type LoadTable, type LoadVector } from '../../shared/loads/loadSums';
 import { LoadUpdates, type LoadUpdate } from '../../shared/loads/loadUpdates';
-import type { Fact, FactBook, FactVersion } from '../../shared/news/facts';
-import { FactKeys, MemberStates, type LoadFact, type MemberFact } from '../../shared/news/factTypes';
+import type { GossipEntry, GossipStore, EntryVersion } from '../../shared/gossip/gossipStore';
+import { GossipKeys, MemberStates, type LoadEntry, type MemberEntry } from '../../shared/gossip/entryTypes';
 
 type Row = Readonly<{ vector: LoadVector; change: number }>;
 
@@ -25,13 +25,13 @@
   private rowCount = 0;
   private change = 0;
   private proxies: readonly string[] = [];
-  private counted: ReadonlyMap<string, FactVersion> = new Map();
+  private counted: ReadonlyMap<string, EntryVersion> = new Map();
   private proxiesChange = 0;
-  private mark = '';
+  private countedRevision = '';
   private countedAt = -Infinity;
 
   public constructor(
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
     private readonly clock: Clock,
     private readonly random: Random,
   ) {
@@ -40,8 +40,9 @@
 
   /** Returns the changes since `position`; everything if the position is missing, invalid or of another numbering. */
   public update(proxy: string, position: unknown): LoadUpdate {
-    this.count();
-    const isKnown = LoadUpdates.isPosition(position) && position.book === this.book && position.change <= this.change;
+    this.recompute();
+    const isKnown =
+      LoadUpdates.isLoadPosition(position) && position.book === this.book && position.change <= this.change;
     const from = isKnown ? position.change : null;
     return {
       book: this.book,
@@ -54,15 +55,16 @@
     };
   }
 
-  private count(): void {
+  private recompute(): void {
     const revision = `${this.facts.changesOf('load')}/${this.facts.changesOf('member')}`;
     const now = this.clock.nowMicroseconds();
-    if (revision === this.mark || now - this.countedAt < this.counted.size * minIntervalMicrosecondsPerLoad) return;
-    this.mark = revision;
+    if (revision === this.countedRevision || now - this.countedAt < this.counted.size * minIntervalMicrosecondsPerLoad)
+      return;
+    this.countedRevision = revision;
     this.countedAt = now;
     const present = this.presentLoads();
-    this.counted = new Map(present.map(({ key, version }) => [key.slice(FactKeys.load('').length), version]));
-    this.setRows(LoadSums.of(present.map(({ value }) => value as LoadFact)));
+    this.counted = new Map(present.map(({ key, version }) => [key.slice(GossipKeys.load('').length), version]));
+    this.setRows(LoadSums.of(present.map(({ value }) => value as LoadEntry)));
     const proxies = [...this.counted.keys()].sort();
     if (hasSameNames(proxies, this.proxies)) return;
     this.change += 1;
@@ -71,16 +73,16 @@
   }
 
   /** The loads of present proxies: those that are not silent and whose agent is present. */
-  private presentLoads(): readonly Fact[] {
+  private presentLoads(): readonly GossipEntry[] {
     const agents = new Set(
       this.facts
         .withPrefix('member/')
-        .map(({ value }) => value as MemberFact)
+        .map(({ value }) => value as MemberEntry)
         .filter(MemberStates.isPresent)
         .map(({ name }) => name),
     );
     return this.facts.withPrefix('load/').filter(({ value }) => {
-      const { agent, isSilent } = value as LoadFact;
+      const { agent, isSilent } = value as LoadEntry;
       return isSilent !== true && agents.has(agent);
     });
   }
--- a/source/edge-agent/desk/workDesk.ts
+++ b/source/edge-agent/scheduler/requestScheduler.ts
@@ -1,24 +1,24 @@
 import type { Clock } from '../../shared/effects/clock/clock';
-import type { DeskOrder, DeskWord } from '../../shared/desk/messages';
+import type { SchedulerRequest, SchedulerDecision } from '../../shared/scheduler/schedulerMessages';
 
-export type WorkDeskSettings = Readonly<{
+export type RequestSchedulerSettings = Readonly<{
   /** A reservation whose completion is not reported within this time expires. */
-  forgetMicroseconds: number;
+  reservationTimeoutMicroseconds: number;
   /** How long a prefilled prefix is remembered here; by then the directory of cached blocks lists it. */
-  latelyMicroseconds: number;
+  prefixMemoryMicroseconds: number;
   /** Cost of prefilling a prefix that another engine already has, as a multiple of the prefill time. */
-  rereadFactor: number;
+  repeatedPrefillFactor: number;
   /** The longest time that a request waits for another request to prefill their shared prefix. */
-  mostWaitMicroseconds: number;
+  maxWaitMicroseconds: number;
 }>;
 
-export const WorkDeskSettings = {
+export const RequestSchedulerSettings = {
   usual: {
-    forgetMicroseconds: 6_000_000,
-    latelyMicroseconds: 4_000_000,
-    rereadFactor: 6,
-    mostWaitMicroseconds: 1_500_000,
-  } satisfies WorkDeskSettings,
+    reservationTimeoutMicroseconds: 6_000_000,
+    prefixMemoryMicroseconds: 4_000_000,
+    repeatedPrefillFactor: 6,
+    maxWaitMicroseconds: 1_500_000,
+  } satisfies RequestSchedulerSettings,
 } as const;
 
 type Reservation = Readonly<{ order: string; prefix: string; read: number; atMicroseconds: number }>;
@@ -37,18 +37,18 @@
  * queue at one engine while another is idle. Its state may be lost at any time: a proxy that gets no decision in time
  * places the request itself.
  */
-export class WorkDesk {
-  private readonly engines = new Map<string, Reservation[]>();
-  private readonly prefixes = new Map<string, PrefixLocation>();
-  private readonly waiting = new Map<string, Set<() => void>>();
+export class RequestScheduler {
+  private readonly reservations = new Map<string, Reservation[]>();
+  private readonly prefixLocations = new Map<string, PrefixLocation>();
+  private readonly waiters = new Map<string, Set<() => void>>();
   private waiterCount = 0;
 
   public constructor(
     private readonly clock: Clock,
-    private readonly settings: WorkDeskSettings = WorkDeskSettings.usual,
+    private readonly settings: RequestSchedulerSettings = RequestSchedulerSettings.usual,
   ) {}
 
-  public reserve({ order, prefix, offers }: DeskOrder): DeskWord {
+  public reserve({ order: requestId, prefix, offers }: SchedulerRequest): SchedulerDecision {
     const now = this.clock.nowMicroseconds();
     const location = prefix === '' ? undefined : this.currentLocation(prefix, now);
     let best: Readonly<{ engine: string; cost: number; read: number }> | undefined;
@@ -57,7 +57,7 @@
       // Blocks can be moved only after the prefill; before that there is nothing to move, and a second prefill costs the
       // fleet more than waiting.
       const isMoved = elsewhere && location.done && rest + move < read;
-      const rereadCost = elsewhere && !isMoved ? (read - rest) * this.settings.rereadFactor : 0;
+      const rereadCost = elsewhere && !isMoved ? (read - rest) * this.settings.repeatedPrefillFactor : 0;
       const prefill = location?.engine === engine ? rest : isMoved ? rest + move : read;
       // A prefix that was just prefilled here adds no copy; the requesting proxy may not know of that copy yet.
       const copyCost = location?.engine === engine ? 0 : copy;
@@ -66,10 +66,11 @@
     }
     if (best === undefined) return { engine: '', joined: false, keeper: '' };
     const { engine, read } = best;
-    const reservations = this.engines.get(engine) ?? [];
-    reservations.push({ order, prefix, read, atMicroseconds: now });
-    this.engines.set(engine, reservations);
-    if (prefix !== '' && location === undefined) this.remember(prefix, { engine, atMicroseconds: now, done: false });
+    const reservations = this.reservations.get(engine) ?? [];
+    reservations.push({ order: requestId, prefix, read, atMicroseconds: now });
+    this.reservations.set(engine, reservations);
+    if (prefix !== '' && location === undefined)
+      this.rememberLocation(prefix, { engine, atMicroseconds: now, done: false });
     const joined = location?.engine === engine;
     const decision = { engine, joined, keeper: location === undefined || joined ? '' : location.engine };
     // The request waits because an engine that gets the same prompt parts again before it has prefilled them prefills
@@ -87,66 +88,67 @@
     return new Promise((resolve) => {
       const finish = (): void => {
         cancel();
-        if (!this.waiting.get(prefix)?.delete(finish)) return;
-        if (this.waiting.get(prefix)?.size === 0) this.waiting.delete(prefix);
+        if (!this.waiters.get(prefix)?.delete(finish)) return;
+        if (this.waiters.get(prefix)?.size === 0) this.waiters.delete(prefix);
         this.waiterCount -= 1;
         resolve();
       };
       const cancel = this.clock.after(this.prefillMicroseconds(location.engine, now), finish);
-      const others = this.waiting.get(prefix) ?? new Set();
-      this.waiting.set(prefix, others.add(finish));
+      const others = this.waiters.get(prefix) ?? new Set();
+      this.waiters.set(prefix, others.add(finish));
       this.waiterCount += 1;
     });
   }
 
   private prefillMicroseconds(engine: string, now: number): number {
     return Math.round(
-      Math.min(this.settings.mostWaitMicroseconds, this.waitMicroseconds(engine, now) * prefillDelayFactor),
+      Math.min(this.settings.maxWaitMicroseconds, this.waitMicroseconds(engine, now) * prefillDelayFactor),
     );
   }
 
   private wakeWaiters(prefix: string): void {
-    for (const finish of [...(this.waiting.get(prefix) ?? [])]) finish();
+    for (const finish of [...(this.waiters.get(prefix) ?? [])]) finish();
   }
 
   /**
    * Ends a reservation. `succeeded`: the first event of the response arrived, so the engine has prefilled the prompt;
    * otherwise the request failed.
    */
-  public done(engine: string, order: string, succeeded: boolean): void {
-    const reservations = this.engines.get(engine) ?? [];
-    const match = reservations.find((reservation) => reservation.order === order);
+  public done(engine: string, requestId: string, succeeded: boolean): void {
+    const reservations = this.reservations.get(engine) ?? [];
+    const match = reservations.find((reservation) => reservation.order === requestId);
     if (match === undefined) return;
-    this.engines.set(
+    this.reservations.set(
       engine,
       reservations.filter((reservation) => reservation !== match),
     );
-    const location = this.prefixes.get(match.prefix);
+    const location = this.prefixLocations.get(match.prefix);
     if (location?.engine !== engine) return;
-    if (succeeded) this.remember(match.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
-    else if (!location.done) this.prefixes.delete(match.prefix);
+    if (succeeded)
+      this.rememberLocation(match.prefix, { engine, atMicroseconds: this.clock.nowMicroseconds(), done: true });
+    else if (!location.done) this.prefixLocations.delete(match.prefix);
     if (succeeded || !location.done) this.wakeWaiters(match.prefix);
   }
 
   /** Drops the reservations and prefixes of all engines that are not listed. */
-  public keepOnly(engines: readonly string[]): void {
+  public retainEngines(engines: readonly string[]): void {
     const retained = new Set(engines);
-    for (const engine of this.engines.keys()) if (!retained.has(engine)) this.engines.delete(engine);
-    for (const [prefix, { engine }] of this.prefixes)
+    for (const engine of this.reservations.keys()) if (!retained.has(engine)) this.reservations.delete(engine);
+    for (const [prefix, { engine }] of this.prefixLocations)
       if (!retained.has(engine)) {
-        this.prefixes.delete(prefix);
+        this.prefixLocations.delete(prefix);
         this.wakeWaiters(prefix);
       }
   }
 
   /** How long an engine's reserved prefills still take, by the prefill time that each request gave with its reservation. */
   public waitMicroseconds(engine: string, now = this.clock.nowMicroseconds()): number {
-    const reservations = this.engines.get(engine);
+    const reservations = this.reservations.get(engine);
     if (reservations === undefined || reservations.length === 0) return 0;
     const unexpired = reservations.filter(
-      ({ atMicroseconds }) => now - atMicroseconds < this.settings.forgetMicroseconds,
+      ({ atMicroseconds }) => now - atMicroseconds < this.settings.reservationTimeoutMicroseconds,
     );
-    if (unexpired.length !== reservations.length) this.engines.set(engine, unexpired);
+    if (unexpired.length !== reservations.length) this.reservations.set(engine, unexpired);
     let idleAt = 0;
     // An overdue prefill may end at any moment or be late, so at least a tenth of the reserved time is assumed.
     for (const { read, atMicroseconds } of unexpired) idleAt = Math.max(idleAt, atMicroseconds) + read;
@@ -154,18 +156,18 @@
   }
 
   private currentLocation(prefix: string, now: number): PrefixLocation | undefined {
-    const location = this.prefixes.get(prefix);
+    const location = this.prefixLocations.get(prefix);
     if (location === undefined) return undefined;
-    const limit = location.done ? this.settings.latelyMicroseconds : this.settings.forgetMicroseconds;
+    const limit = location.done ? this.settings.prefixMemoryMicroseconds : this.settings.reservationTimeoutMicroseconds;
     if (now - location.atMicroseconds < limit) return location;
-    this.prefixes.delete(prefix);
+    this.prefixLocations.delete(prefix);
     return undefined;
   }
 
-  private remember(prefix: string, location: PrefixLocation): void {
-    this.prefixes.delete(prefix);
-    this.prefixes.set(prefix, location);
-    const [oldest] = this.prefixes.keys();
-    if (this.prefixes.size > maxPrefixes && oldest !== undefined) this.prefixes.delete(oldest);
+  private rememberLocation(prefix: string, location: PrefixLocation): void {
+    this.prefixLocations.delete(prefix);
+    this.prefixLocations.set(prefix, location);
+    const [oldest] = this.prefixLocations.keys();
+    if (this.prefixLocations.size > maxPrefixes && oldest !== undefined) this.prefixLocations.delete(oldest);
   }
 }
--- a/source/edge-proxy/holding/takeDesk.ts
+++ b/source/edge-proxy/admission/admissionQueue.ts
@@ -1,19 +1,19 @@
-import type { ServiceClass } from '../../shared/blueprint/types';
+import type { ServiceClass } from '../../shared/configuration/types';
 import type { Cancel, Clock } from '../../shared/effects/clock/clock';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { Revalidation } from '../identification/requestIdentifier';
-import { Shares, type ClassLoad } from './shares';
+import { ClassShares, type ClassLoad } from './classShares';
 
 /** The outcome of a request for admission. */
-export type Taken =
+export type AdmissionResult =
   | Readonly<{ kind: 'taken'; release: () => void }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>
   /** The mapping that the request was resolved to has changed while it waited. */
   | Readonly<{ kind: 'moved'; refusal: Refusal }>;
 
 /** A request that asks for admission to a service. */
-export type TakeOrder = Readonly<{
+export type AdmissionRequest = Readonly<{
   service: string;
   className: string;
   tenant: string;
@@ -21,17 +21,17 @@
   /** Total time limit from arrival, by its route and its client; missing: the queue time limit of its class. */
   limitMicroseconds?: number;
   /** Whether it goes to the front of the queue: it was queued and admitted before, and its engine had no room. */
-  turnKept: boolean;
-  whenGone: (act: () => void) => void;
-  stillStands: () => Revalidation;
+  keepsQueuePosition: boolean;
+  onClientGone: (act: () => void) => void;
+  revalidate: () => Revalidation;
   /** Called when its turn has come; if false, later requests go first. */
-  mayStart: () => boolean;
+  tryStart: () => boolean;
   /** Called when the state changes: a refusal if the request can't be expected to start within the time that is left. */
-  hopeless: (leftMicroseconds: number) => Refusal | undefined;
+  refusalIfTooLate: (leftMicroseconds: number) => Refusal | undefined;
 }>;
 
 /** What admission needs to know of the engines and of other proxies. Only estimates: the engine itself may still refuse. */
-export interface Room {
+export interface CapacityView {
   /** Concurrent requests that all usable engines of a service take together. */
   readonly capacity: (service: string) => number;
   /** Places in engines that appear to be free now. */
@@ -43,7 +43,7 @@
   readonly proxies: () => number;
 }
 
-type QueuedRequest = Readonly<{ order: TakeOrder; settle: (taken: Taken) => void; cancel: Cancel }>;
+type QueuedRequest = Readonly<{ order: AdmissionRequest; settle: (taken: AdmissionResult) => void; cancel: Cancel }>;
 type ClassQueue = {
   running: number;
   queued: number;
@@ -51,7 +51,7 @@
   readonly startTimes: number[];
 };
 type ServiceQueues = Readonly<{ classes: Map<string, ClassQueue> }>;
-type OtherLoads = ReturnType<Room['otherLoads']>;
+type OtherLoads = ReturnType<CapacityView['otherLoads']>;
 /** Requests running and queued at all other proxies, by class. */
 type OtherSums = Readonly<{
   source: OtherLoads;
@@ -74,14 +74,14 @@
  * Admits requests to a service by class share, then by rank, and round-robin among the tenants of a class. Requests that
  * must wait are queued; queue length and waiting time are bounded.
  */
-export class TakeDesk {
+export class AdmissionQueue {
   private readonly services = new Map<string, ServiceQueues>();
   private readonly tenantsRunning = new Map<string, number>();
   private otherSums: OtherSums | undefined;
 
   public constructor(
     private readonly clock: Clock,
-    private readonly room: Room,
+    private readonly capacityView: CapacityView,
     private readonly classesOf: () => Readonly<Record<string, ServiceClass>>,
     private readonly serviceKey: (service: string, className: string) => string,
     private readonly metrics: Metrics,
@@ -103,18 +103,18 @@
     return { classes, waiting, tenants: Object.fromEntries(this.tenantsRunning) };
   }
 
-  public take(order: TakeOrder): Promise<Taken> {
-    const { service, className } = order;
+  public admit(request: AdmissionRequest): Promise<AdmissionResult> {
+    const { service, className } = request;
     const settings = this.classesOf()[className];
     if (settings === undefined) return Promise.resolve(mappingChanged);
     const queue = this.classQueue(service, className);
-    const arrivalRefusal = this.refusalOnArrival(order, queue, settings);
+    const arrivalRefusal = this.refusalOnArrival(request, queue, settings);
     if (arrivalRefusal !== undefined) return Promise.resolve({ kind: 'refuse', refusal: arrivalRefusal });
     return new Promise((resolve) => {
       // Counted from arrival: a request that was resolved anew or queued again has already used part of its time.
-      const remainingMicroseconds = this.holdingLeft(className, order);
+      const remainingMicroseconds = this.remainingQueueMicroseconds(className, request);
       const entry: QueuedRequest = {
-        order,
+        order: request,
         settle: resolve,
         cancel: this.clock.after(Math.max(0, remainingMicroseconds), () =>
           this.removeFromQueue(queue, entry, {
@@ -124,13 +124,13 @@
               'notRun',
               'holdingLimit',
               'No place came free in time.',
-              this.retryAfterEstimate(order),
+              this.retryAfterEstimate(request),
             ),
           }),
         ),
       };
       this.enqueue(queue, entry);
-      order.whenGone(() =>
+      request.onClientGone(() =>
         this.removeFromQueue(queue, entry, {
           kind: 'refuse',
           refusal: Refusals.make(499, 'notRun', 'userAgentGone', 'The caller left.'),
@@ -141,35 +141,40 @@
   }
 
   /** Called when a place may have become free: a request ended or the state of engines or proxies changed. */
-  public serveAll(): void {
+  public startAllWaiting(): void {
     for (const service of this.services.keys()) this.startWaiting(service);
   }
 
   /** Called when the state changes: ends queued requests that are no longer valid at once, not when their turn comes. */
-  public recheck(): void {
+  public revalidateQueued(): void {
     for (const { classes } of this.services.values())
       for (const queue of classes.values())
         for (const entry of [...queue.tenants.values()].flat()) {
-          const validity = entry.order.stillStands();
+          const validity = entry.order.revalidate();
           if (validity.kind === 'refuse') this.removeFromQueue(queue, entry, validity);
           else if (validity.kind === 'moved') this.removeFromQueue(queue, entry, mappingChanged);
           else {
-            const tooLate = entry.order.hopeless(this.holdingLeft(entry.order.className, entry.order));
+            const tooLate = entry.order.refusalIfTooLate(
+              this.remainingQueueMicroseconds(entry.order.className, entry.order),
+            );
             if (tooLate !== undefined) this.removeFromQueue(queue, entry, { kind: 'refuse', refusal: tooLate });
           }
         }
   }
 
   /** How long a request may still be queued in that class. */
-  public holdingLeft(
+  public remainingQueueMicroseconds(
     className: string,
-    { arrivedMicroseconds, limitMicroseconds = Infinity }: Pick<TakeOrder, 'arrivedMicroseconds' | 'limitMicroseconds'>,
+    {
+      arrivedMicroseconds,
+      limitMicroseconds = Infinity,
+    }: Pick<AdmissionRequest, 'arrivedMicroseconds' | 'limitMicroseconds'>,
   ): number {
     const classLimit = this.classesOf()[className]?.holdingLimitMicroseconds ?? 0;
     return arrivedMicroseconds + Math.min(classLimit, limitMicroseconds) - this.clock.nowMicroseconds();
   }
 
-  public heldCount(): number {
+  public queuedCount(): number {
     return this.sum(({ queued }) => queued);
   }
 
@@ -184,9 +189,9 @@
     );
   }
 
-  private refusalOnArrival(order: TakeOrder, queue: ClassQueue, settings: ServiceClass): Refusal | undefined {
+  private refusalOnArrival(order: AdmissionRequest, queue: ClassQueue, settings: ServiceClass): Refusal | undefined {
     // A request that is queued again was accepted before, and its time limit keeps running.
-    if (order.turnKept) return undefined;
+    if (order.keepsQueuePosition) return undefined;
     if (queue.queued >= settings.holdingMost)
       return Refusals.make(503, 'notRun', 'holdingFull', 'Too many orders wait.', this.retryAfterEstimate(order));
     const wait = this.expectedWaitMicroseconds(queue, queue.queued);
@@ -212,7 +217,7 @@
   }
 
   private enqueue(queue: ClassQueue, entry: QueuedRequest): void {
-    const { tenant, turnKept } = entry.order;
+    const { tenant, keepsQueuePosition: turnKept } = entry.order;
     const list = queue.tenants.get(tenant) ?? [];
     queue.queued += 1;
     if (!turnKept) {
@@ -230,14 +235,14 @@
     const serviceQueues = this.services.get(service);
     if (serviceQueues === undefined) return;
     for (;;) {
-      const capacity = this.room.capacity(service);
+      const capacity = this.capacityView.capacity(service);
       const loads = this.classLoads(service, serviceQueues, capacity);
       if (
-        this.room.free(service) <= 0 ||
+        this.capacityView.free(service) <= 0 ||
         this.ownRunning(serviceQueues) >= this.ownLimit(serviceQueues, loads, capacity)
       )
         return;
-      const started = Shares.eligible(capacity, loads).some((name) => this.startNext(service, name));
+      const started = ClassShares.eligibleClasses(capacity, loads).some((name) => this.startNext(service, name));
       if (!started) return;
     }
   }
@@ -262,7 +267,7 @@
   private startNext(service: string, className: string): boolean {
     const queue = this.classQueue(service, className);
     for (const [tenant, list] of queue.tenants) {
-      const next = list.find(({ order }) => order.mayStart());
+      const next = list.find(({ order }) => order.tryStart());
       if (next === undefined) continue;
       const rest = list.filter((entry) => entry !== next);
       queue.tenants.delete(tenant);
@@ -295,7 +300,7 @@
     });
   }
 
-  private removeFromQueue(queue: ClassQueue, entry: QueuedRequest, result: Taken): void {
+  private removeFromQueue(queue: ClassQueue, entry: QueuedRequest, result: AdmissionResult): void {
     const { tenant } = entry.order;
     const list = queue.tenants.get(tenant) ?? [];
     if (!list.includes(entry)) return;
@@ -309,7 +314,7 @@
   }
 
   private classLoads(service: string, serviceQueues: ServiceQueues, capacity: number): readonly ClassLoad[] {
-    const others = this.otherSumsOf(this.room.otherLoads());
+    const others = this.otherSumsOf(this.capacityView.otherLoads());
     return Object.entries(this.classesOf()).map(([name, settings]) => {
       const key = this.serviceKey(service, name);
       const local = serviceQueues.classes.get(name);
@@ -334,10 +339,10 @@
   }
 
   /** Suggested `retry-after` in seconds: the time in which the requests that are queued now will have started. */
-  private retryAfterEstimate({ service, className }: TakeOrder): number {
+  private retryAfterEstimate({ service, className }: AdmissionRequest): number {
     const queue = this.classQueue(service, className);
     const measuredSeconds = this.expectedWaitMicroseconds(queue, queue.queued) / 1_000_000;
-    const estimate = (queue.queued * this.room.proxies()) / Math.max(1, this.room.capacity(service));
+    const estimate = (queue.queued * this.capacityView.proxies()) / Math.max(1, this.capacityView.capacity(service));
     return Math.min(30, Math.max(1, Math.ceil(measuredSeconds > 0 ? measuredSeconds : estimate)));
   }
 
@@ -355,7 +360,7 @@
   }
 }
 
-const mappingChanged: Taken = {
+const mappingChanged: AdmissionResult = {
   kind: 'moved',
   refusal: Refusals.make(503, 'notRun', 'mappingRemoved', 'The mapping changed again and again while it waited.', 1),
 };
--- a/source/edge-proxy/holding/shares.ts
+++ b/source/edge-proxy/admission/classShares.ts
@@ -9,9 +9,9 @@
 }>;
 
 /** Divides the capacity of a service among its classes. */
-export const Shares = {
+export const ClassShares = {
   /** Classes that may start one more request now, best rank first. A pure function of the given numbers. */
-  eligible: (capacity: number, classes: readonly ClassLoad[]): readonly string[] => {
+  eligibleClasses: (capacity: number, classes: readonly ClassLoad[]): readonly string[] => {
     const total = classes.reduce((sum, item) => sum + item.running, 0);
     if (total >= capacity) return [];
     const free = capacity - total;
--- a/source/edge-proxy/feeding/feeders.ts
+++ b/source/edge-proxy/agent-subscription/agentSelector.ts
@@ -2,7 +2,7 @@
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 
 /** An agent that this proxy may subscribe to. */
-export type Feeder = Readonly<{ name: string; address: string; zone: string }>;
+export type KnownAgent = Readonly<{ name: string; address: string; zone: string }>;
 
 type BackOff = Readonly<{ failures: number; untilMicroseconds: number }>;
 
@@ -14,22 +14,25 @@
  * Selects the agent that this proxy subscribes to: the one on its own machine if there is one, else one of its zone, else any.
  * An agent that does not answer is skipped for a back-off time, and the next one is asked.
  */
-export class Feeders {
+export class AgentSelector {
   private readonly backOffs = new Map<string, BackOff>();
-  private readonly own: Feeder;
-  private current: Feeder;
-  private cachedRanking: Readonly<{ of: readonly Feeder[]; order: readonly Feeder[] }> = { of: [], order: [] };
+  private readonly localAgent: KnownAgent;
+  private current: KnownAgent;
+  private cachedRanking: Readonly<{ of: readonly KnownAgent[]; ranked: readonly KnownAgent[] }> = {
+    of: [],
+    ranked: [],
+  };
   private hasAnswer = false;
 
   public constructor(
     self: Readonly<{ name: string; zone: string; agentAddress: string }>,
     private readonly clock: Clock,
     /** Agents that seem to be present; the same array as long as none joins or leaves. */
-    private readonly known: () => readonly Feeder[],
+    private readonly known: () => readonly KnownAgent[],
   ) {
-    this.own = { name: self.name, zone: self.zone, address: self.agentAddress };
-    this.current = this.own;
-    this.cachedRanking = { of: [], order: [this.own] };
+    this.localAgent = { name: self.name, zone: self.zone, address: self.agentAddress };
+    this.current = this.localAgent;
+    this.cachedRanking = { of: [], ranked: [this.localAgent] };
   }
 
   /** Address of the agent that answered last; directory notes and grant requests are sent to it. */
@@ -43,11 +46,11 @@
   }
 
   /** Whether no known agent answers, so that a seed must be asked. */
-  public get isLost(): boolean {
-    return !this.hasAnswer || this.order().every(({ address }) => this.isSilent(address));
+  public get needsSeed(): boolean {
+    return !this.hasAnswer || this.order().every(({ address }) => this.isBackedOff(address));
   }
 
-  public heard(address: string): void {
+  public recordAnswer(address: string): void {
     const agent = this.order().find((one) => one.address === address);
     if (agent === undefined) return;
     this.backOffs.delete(address);
@@ -58,7 +61,7 @@
     if (!isLowerRanked || this.backOffs.has(this.current.address)) this.current = agent;
   }
 
-  public unheard(address: string): void {
+  public recordFailure(address: string): void {
     const failures = (this.backOffs.get(address)?.failures ?? 0) + 1;
     const backOff = Math.min(mostBackOffMicroseconds, firstBackOffMicroseconds * 2 ** (failures - 1));
     this.backOffs.set(address, { failures, untilMicroseconds: this.clock.nowMicroseconds() + backOff });
@@ -70,20 +73,20 @@
    */
   public targets(isStale: boolean): readonly string[] {
     const order = this.order();
-    const available = order.filter(({ address }) => !this.isSilent(address));
+    const available = order.filter(({ address }) => !this.isBackedOff(address));
     const first = available[0] ?? this.earliestRetry(order);
     const last = available.find(({ address }) => address === this.current.address);
     const further = isStale ? available[1] : undefined;
     return [...new Set([first, last, further].flatMap((agent) => agent?.address ?? []))];
   }
 
-  private isSilent(address: string): boolean {
+  private isBackedOff(address: string): boolean {
     const backOff = this.backOffs.get(address);
     return backOff !== undefined && this.clock.nowMicroseconds() < backOff.untilMicroseconds;
   }
 
-  private earliestRetry(order: readonly Feeder[]): Feeder | undefined {
-    const until = ({ address }: Feeder): number => this.backOffs.get(address)?.untilMicroseconds ?? 0;
+  private earliestRetry(order: readonly KnownAgent[]): KnownAgent | undefined {
+    const until = ({ address }: KnownAgent): number => this.backOffs.get(address)?.untilMicroseconds ?? 0;
     return [...order].sort((left, right) => until(left) - until(right))[0];
   }
 
@@ -91,17 +94,19 @@
    * Ranked by rendezvous hashing: the proxies of a zone spread over its agents, and those of an agent that does not answer spread
    * over the others.
    */
-  private order(): readonly Feeder[] {
+  private order(): readonly KnownAgent[] {
     const known = this.known();
-    if (this.cachedRanking.of === known) return this.cachedRanking.order;
-    const others = new Map(known.filter(({ address }) => address !== this.own.address).map((one) => [one.name, one]));
-    const ranked = Rendezvous.order(`feeder/${this.own.name}`, [...others.keys()]);
+    if (this.cachedRanking.of === known) return this.cachedRanking.ranked;
+    const others = new Map(
+      known.filter(({ address }) => address !== this.localAgent.address).map((one) => [one.name, one]),
+    );
+    const ranked = Rendezvous.order(`feeder/${this.localAgent.name}`, [...others.keys()]);
     const agents = ranked.flatMap((name) => others.get(name) ?? []);
-    const sameZone = agents.filter(({ zone }) => zone === this.own.zone);
-    const otherZones = agents.filter(({ zone }) => zone !== this.own.zone);
-    this.cachedRanking = { of: known, order: [this.own, ...sameZone, ...otherZones] };
+    const sameZone = agents.filter(({ zone }) => zone === this.localAgent.zone);
+    const otherZones = agents.filter(({ zone }) => zone !== this.localAgent.zone);
+    this.cachedRanking = { of: known, ranked: [this.localAgent, ...sameZone, ...otherZones] };
     for (const address of this.backOffs.keys())
-      if (!this.cachedRanking.order.some((one) => one.address === address)) this.backOffs.delete(address);
-    return this.cachedRanking.order;
+      if (!this.cachedRanking.ranked.some((one) => one.address === address)) this.backOffs.delete(address);
+    return this.cachedRanking.ranked;
   }
 }
--- a/source/edge-proxy/feeding/notePost.ts
+++ b/source/edge-proxy/agent-subscription/noteSender.ts
@@ -1,4 +1,4 @@
-import type { DirectoryNote } from '../../shared/directory/shardDirectory';
+import type { FillReport } from '../../shared/directory/shardDirectory';
 import type { Cancel, Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
 
@@ -6,7 +6,7 @@
 const maxAttempts = 20;
 const maxPendingNotes = 4096;
 
-export type NotePostSettings = Readonly<{
+export type NoteSenderSettings = Readonly<{
   /** How long notes are batched, starting with the first one. */
   notesMicroseconds: number;
   feedAskMicroseconds: number;
@@ -16,8 +16,8 @@
  * Sends directory notes to an agent in batches. Notes that were not delivered are retried a bounded number of times, which is
  * safe because they are idempotent. No timer runs while no note waits.
  */
-export class NotePost {
-  private notes: readonly Readonly<{ note: DirectoryNote; attempts: number }>[] = [];
+export class NoteSender {
+  private notes: readonly Readonly<{ note: FillReport; attempts: number }>[] = [];
   private state: 'idle' | 'batching' | 'sending' | 'stopped' = 'idle';
   private cancel: Cancel = () => undefined;
 
@@ -25,14 +25,14 @@
     private readonly clock: Clock,
     private readonly transport: Pick<Transport, 'ask'>,
     private readonly address: () => string,
-    private readonly settings: NotePostSettings,
+    private readonly settings: NoteSenderSettings,
   ) {}
 
-  public get waiting(): number {
+  public get pendingCount(): number {
     return this.notes.length;
   }
 
-  public tell(notes: readonly DirectoryNote[]): void {
+  public send(notes: readonly FillReport[]): void {
     if (notes.length === 0) return;
     this.notes = [...this.notes, ...notes.map((note) => ({ note, attempts: 1 }))].slice(-maxPendingNotes);
     this.scheduleBatch();
--- a/source/edge-proxy/feeding/receivedLoads.ts
+++ b/source/edge-proxy/agent-subscription/receivedLoads.ts
@@ -1,16 +1,16 @@
 import { LoadSums, type LoadSumTables, type LoadTable, type LoadVector } from '../../shared/loads/loadSums';
 import { LoadUpdates, type LoadPosition, type LoadUpdate } from '../../shared/loads/loadUpdates';
-import type { FactVersion } from '../../shared/news/facts';
-import type { LoadFact } from '../../shared/news/factTypes';
+import type { EntryVersion } from '../../shared/gossip/gossipStore';
+import type { LoadEntry } from '../../shared/gossip/entryTypes';
 
 /** The combined load of all other proxies. */
-export type OthersTogether = Readonly<{
+export type OtherProxiesSum = Readonly<{
   /** Rises with each update. */
   changes: number;
   /** Names of the other proxies that seem to be present. */
   names: readonly string[];
   /** Their loads, added up. */
-  sum: LoadFact;
+  sum: LoadEntry;
   /** Number of proxies known to have belonged to the fleet recently, this one included. */
   everSeen: number;
 }>;
@@ -46,12 +46,12 @@
 /** The sums of the loads of all proxies, as received from agents in incremental updates. */
 export class ReceivedLoads {
   private readonly subscriptions = new Map<string, Subscription>();
-  private latest: (OthersTogether & Source) | undefined;
+  private latest: (OtherProxiesSum & Source) | undefined;
 
   public constructor(private readonly self: string) {}
 
   /** Undefined: no agent has sent any yet. */
-  public get others(): OthersTogether | undefined {
+  public get others(): OtherProxiesSum | undefined {
     return this.latest;
   }
 
@@ -65,10 +65,10 @@
    * which is subtracted. `askedMicroseconds`: when the agent was asked; an answer to an earlier request than that of the known sums
    * does not replace them.
    */
-  public take(
+  public applyUpdate(
     address: string,
     update: unknown,
-    ownLoad: (version: FactVersion) => LoadFact | undefined,
+    ownLoad: (version: EntryVersion) => LoadEntry | undefined,
     askedMicroseconds = this.latest?.askedMicroseconds ?? 0,
   ): void {
     if (update === undefined) this.latest = undefined;
--- a/source/edge-proxy/feeding/seedContacts.ts
+++ b/source/edge-proxy/agent-subscription/seedSelector.ts
@@ -4,14 +4,14 @@
 /** Shortest interval between requests to seeds while no agent answers. */
 const requestIntervalMicroseconds = 200_000;
 
-export type SeedContactsSettings = Readonly<{
+export type SeedSelectorSettings = Readonly<{
   seeds: readonly string[];
   /** No address in this network ever belongs to another fleet, so the answer of one seed is enough to find the fleet. */
   isOnlyFleet: boolean;
 }>;
 
 /** The seeds of a proxy that no agent answers: asks them in turn and determines the fleet from their answers. */
-export class SeedContacts {
+export class SeedSelector {
   private readonly fleetBySeed = new Map<string, string>();
   private seeds: readonly string[];
   private nextIndex = 0;
@@ -20,13 +20,13 @@
   public constructor(
     private readonly clock: Clock,
     private readonly fleet: FleetName,
-    private readonly settings: SeedContactsSettings,
+    private readonly settings: SeedSelectorSettings,
   ) {
     this.seeds = settings.seeds;
   }
 
   /** Replaces the seeds given at the start. */
-  public seedsAre(seeds: readonly string[]): void {
+  public setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
@@ -40,10 +40,12 @@
   }
 
   /** A seed answered with the name of its fleet; empty: it does not know it. */
-  public heard(seed: string, fleet: string): void {
+  public recordAnswer(seed: string, fleet: string): void {
     this.fleetBySeed.set(seed, fleet);
     const names = [...this.fleetBySeed].filter(([one]) => this.seeds.includes(one)).map(([, name]) => name);
-    const chosen = this.settings.isOnlyFleet ? FleetVotes.judgeOnly(names) : FleetVotes.judge(names, this.seeds.length);
+    const chosen = this.settings.isOnlyFleet
+      ? FleetVotes.unanimous(names)
+      : FleetVotes.majority(names, this.seeds.length);
     if (chosen !== '') this.fleet.learn(chosen);
   }
 }
--- a/source/edge-proxy/feeding/feedWatch.ts
+++ b/source/edge-proxy/agent-subscription/subscriptionMonitor.ts
@@ -1,14 +1,14 @@
 import type { Clock } from '../../shared/effects/clock/clock';
-import type { ReceivedDocument } from '../../shared/freshness/bodyParts';
-import { LimitedLogs } from '../../shared/log/limitedLog';
+import type { ReceivedDocument } from '../../shared/freshness/documentParts';
+import { RateLimitedLogs } from '../../shared/log/rateLimitedLog';
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 
 /** A configuration whose last confirmation is older than this is logged. */
-export const oldMicroseconds = 2_000_000;
+export const staleMicroseconds = 2_000_000;
 
 /** A newer configuration that is known for longer than this without being applied is logged. */
-export const behindMicroseconds = 1_000_000;
+export const lateMicroseconds = 1_000_000;
 
 const milliseconds = (microseconds: number): number => Math.round(microseconds / 1000);
 
@@ -16,7 +16,7 @@
  * Logs and counts for operators how a proxy receives its configuration: agents that do not answer, a configuration that is no
  * longer confirmed, and one that is applied late.
  */
-export class FeedWatch {
+export class SubscriptionMonitor {
   private readonly answering = new Set<string>();
   private readonly notice: Log;
   private maxAgeMicroseconds = 0;
@@ -28,11 +28,11 @@
     private readonly metrics: Metrics,
     log: Log,
   ) {
-    this.notice = LimitedLogs.of(log, clock);
+    this.notice = RateLimitedLogs.of(log, clock);
   }
 
   /** An agent answered, or did not within the limit. A missing answer is logged only if the agent has answered before. */
-  public asked(address: string, isAnswered: boolean, tookMicroseconds: number): void {
+  public recordRequest(address: string, isAnswered: boolean, tookMicroseconds: number): void {
     this.metrics.count('postdrum_feed_asks_total', { outcome: isAnswered ? 'answered' : 'silent' });
     if (isAnswered) this.answering.add(address);
     else if (this.answering.delete(address))
@@ -40,10 +40,10 @@
   }
 
   /** Called after each round of requests with the time since the last confirmation of the configuration; Infinity: there is none. */
-  public looked(ageMicroseconds: number, revision: number): void {
+  public checkAge(ageMicroseconds: number, revision: number): void {
     if (!Number.isFinite(ageMicroseconds)) return;
     const wasStale = this.maxAgeMicroseconds > 0;
-    if (ageMicroseconds >= oldMicroseconds) {
+    if (ageMicroseconds >= staleMicroseconds) {
       if (!wasStale)
         this.notice(`Configuration ${revision} was last confirmed ${milliseconds(ageMicroseconds)} ms ago.`);
       this.maxAgeMicroseconds = Math.max(this.maxAgeMicroseconds, ageMicroseconds);
@@ -54,7 +54,7 @@
   }
 
   /** Called after each round of requests with the applied revision and the newer one that is known, if any. */
-  public applies(applied: number, newer: number | undefined): void {
+  public checkRevision(applied: number, newer: number | undefined): void {
     const now = this.clock.nowMicroseconds();
     const before = this.behind;
     if (before !== undefined && before.applied !== applied) {
@@ -64,7 +64,7 @@
     }
     if (newer === undefined) return;
     const { sinceMicroseconds, isLogged } = this.behind ?? { sinceMicroseconds: now, isLogged: false };
-    const isLate = now - sinceMicroseconds >= behindMicroseconds;
+    const isLate = now - sinceMicroseconds >= lateMicroseconds;
     if (isLate && !isLogged)
       this.notice(
         `Configuration ${newer} is known but was not received for ${milliseconds(now - sinceMicroseconds)} ms; ${applied} stays in force.`,
@@ -73,11 +73,11 @@
   }
 
   /** A long document was received in parts. Logged if that took long. */
-  public received({ key, revision, parts, bytes, isWhole, tookMicroseconds, address }: ReceivedDocument): void {
+  public recordDocument({ key, revision, parts, bytes, isWhole, tookMicroseconds, address }: ReceivedDocument): void {
     const form = isWhole ? 'whole' : 'delta';
     this.metrics.count('postdrum_documents_received_total', { key, form });
     this.metrics.count('postdrum_document_bytes_received_total', { key, form }, bytes);
-    if (tookMicroseconds >= behindMicroseconds)
+    if (tookMicroseconds >= lateMicroseconds)
       this.notice(
         `Document ${key} ${revision} was received from ${address} in ${milliseconds(tookMicroseconds)} ms: ${parts} parts, ${bytes} bytes, ${form}.`,
       );
--- a/source/edge-proxy/sends/runningSend.ts
+++ b/source/edge-proxy/attempts/attempt.ts
@@ -1,59 +1,59 @@
-import type { BackEndSender, SendFailure, SendHead } from '../../shared/back-end/protocol';
-import type { BackEndWords, HeadMeaning } from '../../shared/back-end/words';
-import type { DirectoryNote } from '../../shared/directory/shardDirectory';
+import type { BackEndSender, RequestFailure, BackEndResponseHead } from '../../shared/back-end/protocol';
+import type { BackEndCodec, ResponseFields } from '../../shared/back-end/backEndCodec';
+import type { FillReport } from '../../shared/directory/shardDirectory';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Log } from '../../shared/log/log';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { StalenessGuard } from '../identification/stalenessGuard';
 import type { RequestIdentifier } from '../identification/requestIdentifier';
-import { noFetch, type FetchPlan } from '../fetch/fetchPlanner';
-import type { LinkSpeeds } from '../fetch/linkSpeeds';
-import type { PartMoves } from '../fetch/partMoves';
+import { noFetch, type FetchPlan } from '../cache-imports/fetchPlanner';
+import type { LinkSpeeds } from '../cache-imports/linkSpeeds';
+import type { PartImports } from '../cache-imports/partImports';
 import type { RequestContext, PlacedRequest, ResolvedRequest, PolicyResult } from '../pipeline/request';
 import { RequestLimits } from '../pipeline/requestLimits';
 import type { SchedulerClient } from '../placement/schedulerClient';
 import type { EngineView } from '../placement/engineView';
 import type { PrefillSpeeds } from '../placement/prefillSpeeds';
 import type { RetryBudget } from './retryBudget';
-import type { AnswerEnd } from '../outliers/outlierDetector';
-import { FinalEvent, SendStates, type SendEvent, type SendState } from './sendState';
-import { WholeEvents } from './wholeEvents';
+import type { AnswerOutcome } from '../outliers/outlierDetector';
+import { FinalEventDetector, AttemptStates, type AttemptEvent, type AttemptState } from './attemptState';
+import { ServerSentEventBuffer } from './serverSentEventBuffer';
 
 /** What an attempt needs of the rest of the proxy. */
-export type SendParts = Readonly<{
+export type AttemptDependencies = Readonly<{
   sender: BackEndSender;
-  words: BackEndWords;
+  backEndFormat: BackEndCodec;
   fence: StalenessGuard;
   identifier: RequestIdentifier;
   view: EngineView;
   speeds: LinkSpeeds;
   /** Measured durations of cache imports between engines, and prefill speeds. */
-  moves: PartMoves;
-  readSpeeds: PrefillSpeeds;
-  desk: Pick<SchedulerClient, 'done'>;
+  importDurations: PartImports;
+  prefillSpeeds: PrefillSpeeds;
+  scheduler: Pick<SchedulerClient, 'done'>;
   /** Whether running responses are cut off when their weights are no longer permitted. */
-  cutsOldWeights: boolean;
+  cutsResponsesOnOldWeights: boolean;
   clock: Clock;
   metrics: Metrics;
   log: Log;
   /** Log of the prefill times of prompts with named parts; undefined if it is disabled. */
-  logRead: Log | undefined;
+  prefillLog: Log | undefined;
   budgetOf: (service: string) => RetryBudget;
   /** How long a request may still be queued. */
-  holdingLeft: (context: RequestContext) => number;
+  remainingQueueMicroseconds: (context: RequestContext) => number;
   /** Urgency of a request sent to the engine, by its class; undefined if none is sent. */
   urgencyOf: (context: RequestContext) => number | undefined;
   /** `retry-after` of a request that engines had no room for. */
-  busySeconds: number;
+  busyRetryAfterSeconds: number;
   /**
    * Whether an attempt that never reached its engine is free: it doesn't count as an attempt, and the
    * first few aren't charged to the retry budget.
    */
-  unsentIsFree: boolean;
-  tell: (notes: readonly DirectoryNote[]) => void;
-  mostSends: number;
-  stillGood: (fetch: FetchPlan) => boolean;
+  unreachedAttemptsAreFree: boolean;
+  publishNotes: (notes: readonly FillReport[]) => void;
+  maxAttempts: number;
+  isPlanValid: (fetch: FetchPlan) => boolean;
   /** An engine that its controller has not seen for longer may be frozen; Infinity disables this check. */
   silentMicroseconds: number;
   /** How long ago the engine last answered its controller. */
@@ -72,26 +72,26 @@
 /** With more requests than this in flight, the time to the first event says too little about speeds to be recorded. */
 const maxInFlightToMeasure = 3;
 /** Load of the engine when the attempt started: tokens still to prefill and requests in flight. */
-type LoadAtStart = Readonly<{ reading: number; inFlight: number }>;
+type LoadAtStart = Readonly<{ pendingPrefillTokens: number; inFlight: number }>;
 
 /** One attempt to send a request to an engine, from the final checks to the end of the response. */
-export class RunningSend {
-  private state: SendState = SendStates.start;
-  private readonly finalEvent = new FinalEvent();
-  private readonly events = new WholeEvents();
+export class Attempt {
+  private state: AttemptState = AttemptStates.initial;
+  private readonly finalEvent = new FinalEventDetector();
+  private readonly eventBuffer = new ServerSentEventBuffer();
   private sawFirstEvent = false;
   private schedulerNotified = false;
-  private head: SendHead | undefined;
-  private meaning: HeadMeaning | undefined;
-  private loadAtStart: LoadAtStart = { reading: 0, inFlight: 0 };
+  private head: BackEndResponseHead | undefined;
+  private meaning: ResponseFields | undefined;
+  private loadAtStart: LoadAtStart = { pendingPrefillTokens: 0, inFlight: 0 };
   private sentMicroseconds: number;
   private cancelSend: () => void = () => undefined;
   private blocked: PolicyResult | undefined;
-  private finish: (step: PolicyResult) => void = () => undefined;
+  private finish: (advance: PolicyResult) => void = () => undefined;
   private readonly startedMicroseconds: number;
 
   public constructor(
-    private readonly dependencies: SendParts,
+    private readonly dependencies: AttemptDependencies,
     private readonly context: RequestContext,
     private readonly resolved: ResolvedRequest,
     private readonly placed: PlacedRequest,
@@ -105,9 +105,9 @@
   public run(): Promise<PolicyResult> {
     const { dependencies, context, placed, fetch } = this;
     const { order, answer } = context;
-    dependencies.tell(fetch.began);
+    dependencies.publishNotes(fetch.startNotes);
     this.loadAtStart = {
-      reading: dependencies.view.work.of(placed.engine).pendingPrefillTokens,
+      pendingPrefillTokens: dependencies.view.work.of(placed.engine).pendingPrefillTokens,
       inFlight: dependencies.view.ownInFlight(placed.engine),
     };
     dependencies.view.recordSendStart(placed.engine);
@@ -133,9 +133,9 @@
         runsOnce: !this.isRepeatable(),
       },
       {
-        mayGo: () => this.checkBeforeWrite(),
+        maySend: () => this.checkBeforeWrite(),
         head: (head) => this.onHead(head),
-        part: (bytes) => this.onPart(bytes),
+        chunk: (bytes) => this.onPart(bytes),
         end: () => this.onEnd(),
         failed: (failure) => this.onFailed(failure),
       },
@@ -195,7 +195,7 @@
     }
     if (
       service.kind === 'pool' &&
-      (this.dependencies.cutsOldWeights || this.state.kind === 'opening') &&
+      (this.dependencies.cutsResponsesOnOldWeights || this.state.kind === 'opening') &&
       this.dependencies.fence.weights(this.resolved.mapping.service, this.placed.weights) === 'forbidden'
     )
       this.abandon(Refusals.make(502, 'mayHaveRun', 'oldWeights', 'The weights were replaced while it ran.', 1));
@@ -204,13 +204,13 @@
   private checkBeforeWrite(): boolean {
     if (this.state.kind === 'over') return false;
     this.blocked = this.finalCheck();
-    if (this.blocked === undefined && this.fetch !== noFetch && !this.dependencies.stillGood(this.fetch)) {
+    if (this.blocked === undefined && this.fetch !== noFetch && !this.dependencies.isPlanValid(this.fetch)) {
       const refusal = Refusals.make(503, 'notRun', 'noEngine', 'What the engine keeps changed again and again.', 1);
       this.blocked = { kind: 'hold', context: this.context, refusal };
     }
     if (this.blocked !== undefined) return false;
     // Counted here because only a request that is really written earns budget for retries.
-    if (this.context.sends === 0) this.dependencies.budgetOf(this.resolved.mapping.service).first();
+    if (this.context.sends === 0) this.dependencies.budgetOf(this.resolved.mapping.service).recordFirstAttempt();
     this.sentMicroseconds = this.dependencies.clock.nowMicroseconds();
     return true;
   }
@@ -219,7 +219,7 @@
     const { target, source, salt } = this.fetch;
     const { order } = this.context;
     const { service, mapping, tenant, trustDomain } = this.resolved;
-    return this.dependencies.words.write({
+    return this.dependencies.backEndFormat.write({
       orderId: order.id,
       contentType: order.contentType,
       passed: order.passed ?? {},
@@ -237,17 +237,17 @@
     });
   }
 
-  private step(event: SendEvent): boolean {
+  private step(event: AttemptEvent): boolean {
     const before = this.state;
-    this.state = SendStates.step(before, event);
+    this.state = AttemptStates.next(before, event);
     return before.kind !== 'over';
   }
 
-  private onHead(head: SendHead): void {
-    const framed = head.framed || this.dependencies.words.closeEndsAnswer;
+  private onHead(head: BackEndResponseHead): void {
+    const framed = head.framed || this.dependencies.backEndFormat.closeEndsAnswer;
     if (!this.step({ kind: 'head', status: head.status, framed })) return;
     this.head = head;
-    const meaning = this.dependencies.words.read(
+    const meaning = this.dependencies.backEndFormat.read(
       head,
       this.resolved.service.kind === 'pool' ? this.resolved.service.model : '',
       this.placed.engine,
@@ -259,10 +259,16 @@
     if (meaning.lacksSeal) return this.rejectResponse('The engine gave an answer without its seal.');
     if (meaning.notRun !== undefined) {
       this.step({ kind: 'notRun' });
-      this.dependencies.tell(this.fetch.notSent);
+      this.dependencies.publishNotes(this.fetch.notSentNotes);
       // Where connections are reused, the short response is left to end instead.
-      if (this.dependencies.words.namesInstance) this.cancelSend();
-      const refusal = Refusals.make(503, 'notRun', 'engineBusy', 'The engine is busy.', this.dependencies.busySeconds);
+      if (this.dependencies.backEndFormat.namesInstance) this.cancelSend();
+      const refusal = Refusals.make(
+        503,
+        'notRun',
+        'engineBusy',
+        'The engine is busy.',
+        this.dependencies.busyRetryAfterSeconds,
+      );
       if (meaning.notRun === 'busy') {
         // Queued again so that it is placed by fresher load counts instead of another guess.
         this.dependencies.view.markFull(this.placed.engine);
@@ -280,7 +286,7 @@
       return;
     }
     if (this.retryReportedFailure(head)) return;
-    if (this.resolved.service.kind !== 'pool' || !this.dependencies.words.namesInstance) return;
+    if (this.resolved.service.kind !== 'pool' || !this.dependencies.backEndFormat.namesInstance) return;
     // Abandoned before a byte reaches the client: the engine doesn't run the instance and weights that were confirmed.
     if (
       meaning.weights === undefined ||
@@ -303,7 +309,7 @@
    * Retries a response in which the engine reports its own failure, if another engine is available and a retry is allowed;
    * otherwise the response is forwarded to the client as it is. 504 isn't retried because the request's own time is over.
    */
-  private retryReportedFailure(head: SendHead): boolean {
+  private retryReportedFailure(head: BackEndResponseHead): boolean {
     if (head.status < 500 || head.status === 504 || !this.isRepeatable()) return false;
     const { engine } = this.placed;
     const isElsewhere = ({ name }: Readonly<{ name: string }>): boolean =>
@@ -314,21 +320,21 @@
     if (context === undefined) return false;
     this.step({ kind: 'failed' });
     this.reportOutcome('failed');
-    this.dependencies.tell(this.fetch.abandoned);
+    this.dependencies.publishNotes(this.fetch.noResponseNotes);
     // Where connections are reused, the short response is left to end instead.
-    if (this.dependencies.words.namesInstance) this.cancelSend();
+    if (this.dependencies.backEndFormat.namesInstance) this.cancelSend();
     this.finish({ kind: 'again', context, refusal });
     return true;
   }
 
   /** Whether the client already has a part of an earlier response and this response can't continue it. */
-  private cannotContinueResponse(head: SendHead, meaning: HeadMeaning): boolean {
+  private cannotContinueResponse(head: BackEndResponseHead, meaning: ResponseFields): boolean {
     return this.context.answer.begun() && (head.status !== 200 || !meaning.events);
   }
 
   private onPart(bytes: Uint8Array): Promise<void> | undefined {
-    if (!this.step({ kind: 'part', hasFinal: this.finalEvent.see(bytes) })) return undefined;
-    const chunk = this.meaning?.events === true ? this.events.feed(bytes) : bytes;
+    if (!this.step({ kind: 'part', hasFinal: this.finalEvent.endsWithFinalEvent(bytes) })) return undefined;
+    const chunk = this.meaning?.events === true ? this.eventBuffer.append(bytes) : bytes;
     if (chunk === undefined) return undefined;
     this.startResponse();
     return this.context.answer.part(chunk);
@@ -344,14 +350,14 @@
       status: head.status,
       headers: {
         ...meaning.passed,
-        ...(this.dependencies.words.namesInstance ? { 'postdrum-order': order.id } : {}),
-        ...(this.dependencies.words.namesInstance && head.status >= 400 ? { 'postdrum-verdict': 'ran' } : {}),
+        ...(this.dependencies.backEndFormat.namesInstance ? { 'postdrum-order': order.id } : {}),
+        ...(this.dependencies.backEndFormat.namesInstance && head.status >= 400 ? { 'postdrum-verdict': 'ran' } : {}),
       },
     });
   }
 
   /** At the first event of the response: the cache transfers that the engine was asked for have ended. */
-  private onFirstEvent(head: SendHead, meaning: HeadMeaning): void {
+  private onFirstEvent(head: BackEndResponseHead, meaning: ResponseFields): void {
     if (this.sawFirstEvent) return;
     this.sawFirstEvent = true;
     const { dependencies, placed, fetch } = this;
@@ -359,12 +365,12 @@
     this.notifyScheduler(head.status === 200);
     const isConfirmed =
       head.status === 200 && meaning.bootEpoch === placed.bootEpoch && meaning.weights === placed.weights;
-    dependencies.tell(isConfirmed ? fetch.attested : fetch.abandoned);
+    dependencies.publishNotes(isConfirmed ? fetch.firstEventNotes : fetch.noResponseNotes);
     if (head.status === 200) this.recordSpeeds();
     const { source } = fetch;
     const importMicroseconds = meaning.importMicroseconds;
     if (source !== undefined && importMicroseconds !== undefined) {
-      dependencies.speeds.measured(source.holder, placed.engine, importMicroseconds / source.keys.length);
+      dependencies.speeds.addMeasurement(source.holder, placed.engine, importMicroseconds / source.keys.length);
       dependencies.metrics.count('postdrum_imports_total', { ended: isConfirmed ? 'answered' : 'failed' });
     }
   }
@@ -379,32 +385,40 @@
     if (this.loadAtStart.inFlight > maxInFlightToMeasure) return;
     const { move } = fetch;
     if (move === undefined)
-      dependencies.readSpeeds.addMeasurement(placed.engine, toRead + this.loadAtStart.reading, elapsedMicroseconds);
+      dependencies.prefillSpeeds.addMeasurement(
+        placed.engine,
+        toRead + this.loadAtStart.pendingPrefillTokens,
+        elapsedMicroseconds,
+      );
     else {
       const prefillMicroseconds =
-        ((toRead + this.loadAtStart.reading) * 1000) / dependencies.readSpeeds.of(placed.engine);
-      dependencies.moves.measured(placed.engine, move, Math.max(0, elapsedMicroseconds - prefillMicroseconds));
+        ((toRead + this.loadAtStart.pendingPrefillTokens) * 1000) / dependencies.prefillSpeeds.of(placed.engine);
+      dependencies.importDurations.recordDuration(
+        placed.engine,
+        move,
+        Math.max(0, elapsedMicroseconds - prefillMicroseconds),
+      );
     }
   }
 
-  private reportOutcome(end: AnswerEnd): void {
+  private reportOutcome(end: AnswerOutcome): void {
     const { view, clock } = this.dependencies;
-    view.outliers.answered(this.placed.engine, end, clock.nowMicroseconds() - this.sentMicroseconds);
+    view.outliers.recordAnswer(this.placed.engine, end, clock.nowMicroseconds() - this.sentMicroseconds);
   }
 
   private notifyScheduler(succeeded: boolean): void {
     if (this.placed.reserved !== true || this.schedulerNotified) return;
     this.schedulerNotified = true;
-    this.dependencies.desk.done(this.placed.engine, this.context.order.id, succeeded);
+    this.dependencies.scheduler.done(this.placed.engine, this.context.order.id, succeeded);
   }
 
   private logPrefill(elapsedMicroseconds: number): void {
-    if (this.dependencies.logRead === undefined || this.fetch.fills.length + this.placed.cachedParts === 0) return;
+    if (this.dependencies.prefillLog === undefined || this.fetch.fills.length + this.placed.cachedParts === 0) return;
     const { placed, fetch, context } = this;
     const { order } = context;
     const tokens = order.parts?.map(({ size }) => size).join('+') ?? '';
-    this.dependencies.logRead(
-      `Request ${order.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.cachedParts}, salt and first part ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.tokensToPrefill} tokens to prefill behind ${this.loadAtStart.reading}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after arrival.`,
+    this.dependencies.prefillLog(
+      `Request ${order.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.cachedParts}, salt and first part ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.tokensToPrefill} tokens to prefill behind ${this.loadAtStart.pendingPrefillTokens}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after arrival.`,
     );
   }
 
@@ -412,7 +426,7 @@
   private closedTooEarly(): boolean {
     if (this.head?.framed !== false) return false;
     const hasBegun = this.state.kind === 'answering' && this.state.begun;
-    return !hasBegun || (this.meaning?.events === true && this.events.isWithinEvent);
+    return !hasBegun || (this.meaning?.events === true && this.eventBuffer.isWithinEvent);
   }
 
   private onEnd(): void {
@@ -422,7 +436,7 @@
       // With a 5xx status the engine itself reports that it failed.
       this.reportOutcome((this.head?.status ?? 0) >= 500 ? 'failed' : 'good');
       this.startResponse();
-      const rest = this.events.flush();
+      const rest = this.eventBuffer.flush();
       if (rest !== undefined) void answer.part(rest);
       answer.end();
       this.dependencies.metrics.count('postdrum_answers_total', {
@@ -435,18 +449,18 @@
     this.handleFailure(Refusals.make(502, 'mayHaveRun', 'engineFailed', 'The answer of the engine broke off.'));
   }
 
-  private onFailed({ kind, text, forgotten }: SendFailure): void {
+  private onFailed({ kind, text, forgotten }: RequestFailure): void {
     if (!this.step({ kind: 'failed' })) return;
     this.dependencies.log(`Attempt at engine ${this.placed.engine} failed: ${text}.`);
     if (kind === 'notRun') {
-      this.dependencies.tell(this.fetch.notSent);
+      this.dependencies.publishNotes(this.fetch.notSentNotes);
       // Neither retried here nor charged: this proxy itself stopped the request before anything was written.
       if (this.blocked !== undefined) {
         this.finish(this.blocked);
         return;
       }
-      this.dependencies.view.outliers.unreached(this.placed.engine);
-      if (this.dependencies.unsentIsFree) this.dependencies.view.markAbsent(this.placed.engine);
+      this.dependencies.view.outliers.recordConnectFailure(this.placed.engine);
+      if (this.dependencies.unreachedAttemptsAreFree) this.dependencies.view.markAbsent(this.placed.engine);
       this.retry(Refusals.make(503, 'notRun', 'engineFailed', 'The engine could not be reached.', 1), 'unsent');
       return;
     }
@@ -461,7 +475,7 @@
   private handleFailure(refusal: Refusal, countsAgainstEngine = true): void {
     if (countsAgainstEngine) this.reportOutcome('failed');
     this.dependencies.log(`Response of engine ${this.placed.engine} failed: ${refusal.text}`);
-    if (!this.sawFirstEvent) this.dependencies.tell(this.fetch.abandoned);
+    if (!this.sawFirstEvent) this.dependencies.publishNotes(this.fetch.noResponseNotes);
     if (this.context.answer.begun() && !this.canResume()) {
       this.dependencies.metrics.count('postdrum_answers_total', { service: this.resolved.mapping.service, end: 'cut' });
       this.finish({ kind: 'refuse', refusal });
@@ -476,7 +490,7 @@
     // A client that leaves counts, too, because clients give up on a silent engine before any time limit ends.
     if (isAwaitingResponse && silentEngineCodes.includes(refusal.code)) this.reportOutcome('silent');
     this.dependencies.log(`Attempt at engine ${this.placed.engine} abandoned: ${refusal.code}.`);
-    if (!this.sawFirstEvent) this.dependencies.tell(this.fetch.abandoned);
+    if (!this.sawFirstEvent) this.dependencies.publishNotes(this.fetch.noResponseNotes);
     this.cancelSend();
     this.finish({ kind: 'refuse', refusal });
   }
@@ -486,7 +500,7 @@
     return (
       this.resolved.mapping.resumable &&
       this.meaning?.events === true &&
-      (this.events.lastId ?? this.context.after) !== undefined
+      (this.eventBuffer.lastId ?? this.context.after) !== undefined
     );
   }
 
@@ -503,10 +517,10 @@
   /** The context of the next attempt, paid from the budget; undefined if another attempt isn't allowed. */
   private retryContext(refusal: Refusal, how: 'again' | 'hold' | 'unsent'): RequestContext | undefined {
     const kind = how === 'hold' ? 'hold' : 'again';
-    const after = this.events.lastId ?? this.context.after;
+    const after = this.eventBuffer.lastId ?? this.context.after;
     const context: RequestContext = {
       ...this.context,
-      sends: this.context.sends + (how === 'unsent' && this.dependencies.unsentIsFree ? 0 : 1),
+      sends: this.context.sends + (how === 'unsent' && this.dependencies.unreachedAttemptsAreFree ? 0 : 1),
       rounds: this.context.rounds + 1,
       mayHaveRun: this.context.mayHaveRun || refusal.verdict !== 'notRun',
       avoidedEngines: [...this.context.avoidedEngines, this.placed.engine],
@@ -516,12 +530,18 @@
       this.dependencies.clock.nowMicroseconds() - this.startedMicroseconds >
         this.resolved.service.answerLimitMicroseconds || this.remainingMicroseconds() <= 0;
     const budget = this.dependencies.budgetOf(this.resolved.mapping.service);
-    const isFree = how === 'unsent' && this.dependencies.unsentIsFree && this.context.rounds < maxFreeUnreachedAttempts;
-    const maxAttempts = this.resolved.mapping.mostSends ? this.resolved.mapping.mostSends : this.dependencies.mostSends;
+    const isFree =
+      how === 'unsent' && this.dependencies.unreachedAttemptsAreFree && this.context.rounds < maxFreeUnreachedAttempts;
+    const maxAttempts = this.resolved.mapping.mostSends
+      ? this.resolved.mapping.mostSends
+      : this.dependencies.maxAttempts;
     const mayRetry =
       !isTimeOver &&
       context.sends < maxAttempts &&
-      (isFree || (kind === 'hold' ? budget.mayHope(this.dependencies.holdingLeft(context)) : budget.spend()));
+      (isFree ||
+        (kind === 'hold'
+          ? budget.canExpectAnotherRetry(this.dependencies.remainingQueueMicroseconds(context))
+          : budget.trySpend()));
     if (!mayRetry) return undefined;
     this.dependencies.metrics.count('postdrum_sends_again_total', { service: this.resolved.mapping.service });
     return { ...context, owesRetryBudget: kind === 'hold' };
--- a/source/edge-proxy/sends/sendState.ts
+++ b/source/edge-proxy/attempts/attemptState.ts
@@ -1,11 +1,11 @@
 /** State of one attempt to send a request to an engine. Events that don't apply to a state leave it unchanged. */
-export type SendState =
+export type AttemptState =
   | Readonly<{ kind: 'opening' }>
   | Readonly<{ kind: 'answering'; status: number; framed: boolean; begun: boolean; sawFinal: boolean }>
   | Readonly<{ kind: 'over'; how: 'whole' | 'cut' | 'failed' | 'notRun' }>;
 
 /** What happens to an attempt. */
-export type SendEvent =
+export type AttemptEvent =
   | Readonly<{ kind: 'head'; status: number; framed: boolean }>
   | Readonly<{ kind: 'part'; hasFinal: boolean }>
   | Readonly<{ kind: 'end' }>
@@ -14,9 +14,9 @@
   | Readonly<{ kind: 'cut' }>;
 
 /** The state machine of an attempt. */
-export const SendStates = {
-  start: { kind: 'opening' } as SendState,
-  step: (state: SendState, event: SendEvent): SendState => {
+export const AttemptStates = {
+  initial: { kind: 'opening' } as AttemptState,
+  next: (state: AttemptState, event: AttemptEvent): AttemptState => {
     if (state.kind === 'over') return state;
     switch (event.kind) {
       case 'head':
@@ -41,11 +41,11 @@
 const finalEventBytes = Buffer.from('data: [DONE]');
 
 /** Detects the final event of a stream, also where it is split over two chunks. */
-export class FinalEvent {
+export class FinalEventDetector {
   private tail: Buffer = Buffer.alloc(0);
 
   /** Whether the stream so far ends with the final event. */
-  public see(bytes: Uint8Array): boolean {
+  public endsWithFinalEvent(bytes: Uint8Array): boolean {
     const joined = Buffer.concat([this.tail, bytes]);
     this.tail = joined.subarray(Math.max(0, joined.length - finalEventBytes.length - 4));
     const found = joined.lastIndexOf(finalEventBytes);
--- a/source/edge-proxy/sends/retryBudget.ts
+++ b/source/edge-proxy/attempts/retryBudget.ts
@@ -1,14 +1,14 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 
 /** Limits on the retries of all proxies together in one pool. */
-export type BudgetSettings = Readonly<{
+export type RetryBudgetSettings = Readonly<{
   /** Retries allowed per thousand first attempts. */
   perMille: number;
   /** Retries that all proxies together may make besides, once per allowance interval. */
   fleetAllowance: number;
-  allowanceMicroseconds: number;
+  allowanceIntervalMicroseconds: number;
   /** The allowance is divided among at least this many proxies. */
-  leastDaemons: number;
+  minProxies: number;
 }>;
 
 /** Cost of one retry, in thousandths; a first attempt earns `perMille` of it. */
@@ -34,27 +34,27 @@
   public constructor(
     private readonly clock: Clock,
     private readonly proxyCount: () => number,
-    private settings: BudgetSettings,
+    private settings: RetryBudgetSettings,
   ) {
     this.accruedAtMicroseconds = clock.nowMicroseconds();
   }
 
   /** Accrues under the old settings up to now, then applies the new ones and caps the balance to what they allow. */
-  public settingsAre(settings: BudgetSettings): void {
+  public setSettings(settings: RetryBudgetSettings): void {
     this.accrue(0);
     this.settings = settings;
     this.accrue(0);
   }
 
   /** Records a first attempt, which earns a part of a retry. */
-  public first(): void {
+  public recordFirstAttempt(): void {
     this.accrue(this.settings.perMille);
     this.firstAttemptTimes.push(this.clock.nowMicroseconds());
     if (this.firstAttemptTimes.length > maxFirstAttemptTimes) this.firstAttemptTimes.shift();
   }
 
   /** Pays for one retry; false if the balance is too low. */
-  public spend(): boolean {
+  public trySpend(): boolean {
     this.accrue(0);
     if (this.balance < retryCost) return false;
     this.balance -= retryCost;
@@ -62,7 +62,7 @@
   }
 
   /** Whether the budget is expected to pay for one more retry within that time, besides those already waiting for one. */
-  public mayHope(withinMicroseconds: number): boolean {
+  public canExpectAnotherRetry(withinMicroseconds: number): boolean {
     return this.expectedBalance(withinMicroseconds) >= (this.waitingRetries + 1) * retryCost;
   }
 
@@ -70,7 +70,7 @@
    * Whether the budget is expected to pay for at least one retry within that time. Other waiting retries aren't counted
    * because the admission queue decides which of them goes first.
    */
-  public stillHopes(withinMicroseconds: number): boolean {
+  public canExpectRetry(withinMicroseconds: number): boolean {
     return this.expectedBalance(withinMicroseconds) >= retryCost;
   }
 
@@ -81,13 +81,13 @@
     const perMicrosecondFromTraffic =
       (this.firstAttemptTimes.length * this.settings.perMille) / trafficWindowMicroseconds;
     const expected =
-      (perMicrosecondFromTraffic + this.ownAllowance() / this.settings.allowanceMicroseconds) *
+      (perMicrosecondFromTraffic + this.ownAllowance() / this.settings.allowanceIntervalMicroseconds) *
       Math.max(0, withinMicroseconds);
     return this.balance + expected;
   }
 
   /** Counts a request as waiting for a retry until the promise settles. */
-  public async waitingFor<Result>(work: Promise<Result>): Promise<Result> {
+  public async countWaiting<Result>(work: Promise<Result>): Promise<Result> {
     this.waitingRetries += 1;
     try {
       return await work;
@@ -99,7 +99,7 @@
   private accrue(thousandths: number): void {
     const now = this.clock.nowMicroseconds();
     const accruedAllowance =
-      ((now - this.accruedAtMicroseconds) * this.ownAllowance()) / this.settings.allowanceMicroseconds;
+      ((now - this.accruedAtMicroseconds) * this.ownAllowance()) / this.settings.allowanceIntervalMicroseconds;
     this.balance = Math.min(this.maxBalance(), this.balance + thousandths + accruedAllowance);
     this.accruedAtMicroseconds = now;
   }
@@ -109,7 +109,7 @@
    * one that has just started or is partitioned sees only itself.
    */
   private ownAllowance(): number {
-    const { fleetAllowance, leastDaemons } = this.settings;
+    const { fleetAllowance, minProxies: leastDaemons } = this.settings;
     return Math.floor((fleetAllowance * retryCost) / Math.max(leastDaemons, this.proxyCount()));
   }
 
--- a/source/edge-proxy/sends/sendPolicy.ts
+++ b/source/edge-proxy/attempts/sendPolicy.ts
@@ -1,14 +1,14 @@
 import { Refusals } from '../../shared/verdict/verdict';
-import { noFetch } from '../fetch/fetchPlanner';
+import { noFetch } from '../cache-imports/fetchPlanner';
 import type { RequestContext, PlacedRequest, Policy, ResolvedRequest, PolicyResult } from '../pipeline/request';
-import { RunningSend, type SendParts } from './runningSend';
+import { Attempt, type AttemptDependencies } from './attempt';
 
 /** The last policy: checks once more whether the request may be sent, sends it, and forwards the response. */
 export class SendPolicy implements Policy {
   public readonly name = 'send';
-  private readonly running = new Set<RunningSend>();
+  private readonly running = new Set<Attempt>();
 
-  public constructor(private readonly dependencies: SendParts) {}
+  public constructor(private readonly dependencies: AttemptDependencies) {}
 
   public readonly apply = async (context: RequestContext): Promise<PolicyResult> => {
     const { resolved, placed } = context;
@@ -16,15 +16,15 @@
     const fetch = context.fetch ?? noFetch;
     const blocked = this.finalCheck(context, resolved, placed);
     if (blocked !== undefined) {
-      this.dependencies.tell(fetch.notSent);
+      this.dependencies.publishNotes(fetch.notSentNotes);
       return blocked;
     }
     this.dependencies.metrics.count('postdrum_sends_total', { service: resolved.mapping.service });
     // An outdated cache transfer plan is dropped and the request is sent all the same: without the plan the engine just
     // prefills the whole prompt.
-    const isPlanValid = this.dependencies.stillGood(fetch);
-    if (!isPlanValid) this.dependencies.tell(fetch.notSent);
-    const attempt = new RunningSend(this.dependencies, context, resolved, placed, isPlanValid ? fetch : noFetch, () =>
+    const isPlanValid = this.dependencies.isPlanValid(fetch);
+    if (!isPlanValid) this.dependencies.publishNotes(fetch.notSentNotes);
+    const attempt = new Attempt(this.dependencies, context, resolved, placed, isPlanValid ? fetch : noFetch, () =>
       this.finalCheck(context, resolved, placed),
     );
     this.running.add(attempt);
--- a/source/edge-proxy/sends/wholeEvents.ts
+++ b/source/edge-proxy/attempts/serverSentEventBuffer.ts
@@ -8,7 +8,7 @@
  * Splits a stream of server-sent events at event boundaries, so that only whole events are forwarded. A response that
  * breaks off is resumed after the last event that the client has; half an event could be neither repeated nor left out.
  */
-export class WholeEvents {
+export class ServerSentEventBuffer {
   private buffered: Buffer = Buffer.alloc(0);
   private lastEventId: string | undefined;
   private hasOversizedEvent = false;
@@ -24,9 +24,9 @@
   }
 
   /** Adds bytes and returns those up to the last event boundary, if any. */
-  public feed(bytes: Uint8Array): Buffer | undefined {
+  public append(bytes: Uint8Array): Buffer | undefined {
     const joined = this.buffered.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.buffered, bytes]);
-    const boundaryIndex = WholeEvents.boundaryIn(joined, Math.max(0, this.buffered.length - 3));
+    const boundaryIndex = ServerSentEventBuffer.boundaryIn(joined, Math.max(0, this.buffered.length - 3));
     if (boundaryIndex === 0) {
       this.buffered = joined;
       if (joined.length <= maxEventBytes) return undefined;
@@ -35,7 +35,7 @@
     }
     this.buffered = joined.subarray(boundaryIndex);
     const complete = joined.subarray(0, boundaryIndex);
-    this.lastEventId = WholeEvents.lastIdIn(complete) ?? this.lastEventId;
+    this.lastEventId = ServerSentEventBuffer.lastIdIn(complete) ?? this.lastEventId;
     return complete;
   }
 
