--- a/source/edge-proxy/fetch/fetchPlanner.ts
+++ b/source/edge-proxy/cache-imports/fetchPlanner.ts
@@ -1,15 +1,15 @@
 import type { CacheSource, CacheTarget } from '../../shared/back-end/protocol';
 import { HashChains, type BlockKey, type NamedKey } from '../../shared/directory/hashChain';
-import type { LookUp } from '../../shared/directory/lookup';
-import type { ShardBook } from '../../shared/directory/shardBook';
-import type { DirectoryNote, GrantAnswer } from '../../shared/directory/shardDirectory';
-import type { ShardHead } from '../../shared/directory/shardNews';
+import type { LookupResult } from '../../shared/directory/lookup';
+import type { ShardCatalog } from '../../shared/directory/shardCatalog';
+import type { FillReport, FillGrantAnswer } from '../../shared/directory/shardDirectory';
+import type { ShardHead } from '../../shared/directory/shardIndex';
 import type { Metrics } from '../../shared/metrics/metrics';
-import type { Pulses } from '../../shared/news/pulses';
+import type { HolderHeartbeats } from '../../shared/gossip/holderHeartbeats';
 import type { PlacedRequest, Policy } from '../pipeline/request';
 import type { EngineView } from '../placement/engineView';
 import type { LinkSpeeds } from './linkSpeeds';
-import type { Move } from './partMoves';
+import type { PartImport } from './partImports';
 import type { PartsPlanner } from './partsPlanner';
 
 /** The cache instructions that a request gives its engine, and the notes that the cache directory receives about the request. */
@@ -17,16 +17,16 @@
   target: CacheTarget | undefined;
   source: (CacheSource & Readonly<{ holder: string }>) | undefined;
   /** The engine's shard at planning; it must still be the present one when the request is sent. */
-  under: ShardHead | undefined;
+  shardHead: ShardHead | undefined;
   /** Notes for the start of the send, for the first event of its response, for an end without a response, and for no send. */
-  began: readonly DirectoryNote[];
-  attested: readonly DirectoryNote[];
-  abandoned: readonly DirectoryNote[];
-  notSent: readonly DirectoryNote[];
+  startNotes: readonly FillReport[];
+  firstEventNotes: readonly FillReport[];
+  noResponseNotes: readonly FillReport[];
+  notSentNotes: readonly FillReport[];
   /** Cache salt of the request's parts; empty if the blocks have names that are used only once. */
   salt: string;
   /** The planned import of named parts, with its expected cost. */
-  move?: Move | undefined;
+  move?: PartImport | undefined;
   /** Names of the parts that the engine will cache because of this request. */
   fills: readonly string[];
 }>;
@@ -39,18 +39,18 @@
   grantMicroseconds: number;
 }>;
 
-export interface Grants {
-  readonly grant: (engine: string, fill: string, epoch: number, keys: readonly NamedKey[]) => Promise<GrantAnswer>;
+export interface GrantClient {
+  readonly grant: (engine: string, fill: string, epoch: number, keys: readonly NamedKey[]) => Promise<FillGrantAnswer>;
 }
 
 export const noFetch: FetchPlan = {
   target: undefined,
   source: undefined,
-  under: undefined,
-  began: [],
-  attested: [],
-  abandoned: [],
-  notSent: [],
+  shardHead: undefined,
+  startNotes: [],
+  firstEventNotes: [],
+  noResponseNotes: [],
+  notSentNotes: [],
   salt: '',
   fills: [],
 };
@@ -61,17 +61,17 @@
   name: string;
   bootEpoch: string;
   weights: string;
-  register: DirectoryNote | undefined;
+  register: FillReport | undefined;
 }>;
 
 /** Plans which cached blocks a request uses, imports from another holder, and writes to a cache store. */
 export class FetchPlanner {
   public constructor(
     private readonly view: EngineView,
-    private readonly shards: ShardBook,
-    private readonly pulses: Pulses,
+    private readonly shards: ShardCatalog,
+    private readonly pulses: HolderHeartbeats,
     private readonly speeds: LinkSpeeds,
-    private readonly grants: Grants,
+    private readonly grants: GrantClient,
     private readonly settings: FetchSettings,
     private readonly metrics: Metrics,
     private readonly parts: PartsPlanner,
@@ -100,19 +100,19 @@
   }
 
   /** Called right before the send: whether the block names of the plan are still valid. */
-  public stillGood({ under }: FetchPlan): boolean {
+  public isStillValid({ shardHead: under }: FetchPlan): boolean {
     if (under === undefined) return true;
     const present = this.shards.get(under.holder)?.present;
     return (
       present !== undefined &&
       present.term === under.term &&
       present.epoch === under.epoch &&
-      this.pulses.fresh(under.holder, under.term, under.epoch)
+      this.pulses.isFresh(under.holder, under.term, under.epoch)
     );
   }
 
   /** Whether an import is worthwhile: the prefill time saved against the time the link takes for the blocks. */
-  public pays(from: string, to: string, blocks: number): boolean {
+  public isWorthwhile(from: string, to: string, blocks: number): boolean {
     const gain = blocks * this.settings.prefillMicrosecondsPerBlock;
     const cost = this.settings.importFixedMicroseconds + blocks * this.speeds.blockMicroseconds(from, to);
     return gain > cost * this.settings.margin;
@@ -122,7 +122,7 @@
     fill: string,
     placed: PlacedRequest,
     keys: readonly BlockKey[],
-    lookUp: LookUp,
+    lookUp: LookupResult,
   ): Promise<FetchPlan> {
     const shard = this.shards.get(placed.engine);
     const head = shard?.present;
@@ -132,10 +132,10 @@
       head === undefined ||
       head.bootEpoch !== placed.bootEpoch ||
       head.weights !== placed.weights ||
-      !this.pulses.fresh(placed.engine, head.term, head.epoch)
+      !this.pulses.isFresh(placed.engine, head.term, head.epoch)
     )
       return noFetch;
-    const newKeys = HashChains.named(keys, fill);
+    const newKeys = HashChains.withFillNames(keys, fill);
     const cached = shard.names(keys.map(({ physical }) => physical));
     const importSource = this.bestSource(placed.engine, cached.length, lookUp);
     const imported = importSource === undefined ? [] : newKeys.slice(cached.length, importSource.matched);
@@ -178,17 +178,17 @@
       ...noFetch,
       target: { store: store?.address ?? '', keys: names },
       source,
-      under: head,
-      began: fills.flatMap(({ register }) => register ?? []),
-      attested: fills.map(({ holder, name, bootEpoch, weights }) => ({
+      shardHead: head,
+      startNotes: fills.flatMap(({ register }) => register ?? []),
+      firstEventNotes: fills.map(({ holder, name, bootEpoch, weights }) => ({
         kind: 'attest',
         holder,
         fill: name,
         bootEpoch,
         weights,
       })),
-      abandoned: fills.map(({ holder, name }) => ({ kind: 'abandon', holder, fill: name })),
-      notSent: fills.map(({ holder, name }) => ({ kind: 'notSent', holder, fill: name })),
+      noResponseNotes: fills.map(({ holder, name }) => ({ kind: 'abandon', holder, fill: name })),
+      notSentNotes: fills.map(({ holder, name }) => ({ kind: 'notSent', holder, fill: name })),
     };
   }
 
@@ -243,11 +243,13 @@
     };
   }
 
-  private bestSource(engine: string, matched: number, lookUp: LookUp): ImportSource | undefined {
+  private bestSource(engine: string, matched: number, lookUp: LookupResult): ImportSource | undefined {
     if (!this.settings.imports || lookUp.kind === 'miss') return undefined;
     const worthwhile = lookUp.found.filter(
       (item) =>
-        item.holder !== engine && item.matched > matched && this.pays(item.holder, engine, item.matched - matched),
+        item.holder !== engine &&
+        item.matched > matched &&
+        this.isWorthwhile(item.holder, engine, item.matched - matched),
     );
     const cost = (item: ImportSource): number =>
       (item.matched - matched) *
--- a/source/edge-proxy/fetch/linkSpeeds.ts
+++ b/source/edge-proxy/cache-imports/linkSpeeds.ts
@@ -11,7 +11,7 @@
     return this.perBlock.get(`${from}>${to}`) ?? this.initialMicroseconds;
   }
 
-  public measured(from: string, to: string, microsecondsPerBlock: number): void {
+  public addMeasurement(from: string, to: string, microsecondsPerBlock: number): void {
     const pair = `${from}>${to}`;
     const before = this.perBlock.get(pair);
     if (before === undefined && this.perBlock.size >= this.maxPairs) this.perBlock.clear();
@@ -24,7 +24,7 @@
   }
 
   /** Called periodically: moves slow pairs towards the initial value, or they would never be used and measured again. */
-  public fade(): void {
+  public decay(): void {
     for (const [pair, value] of this.perBlock)
       if (value > this.initialMicroseconds) this.perBlock.set(pair, Math.max(this.initialMicroseconds, value * 0.98));
   }
--- a/source/edge-proxy/fetch/partMoves.ts
+++ b/source/edge-proxy/cache-imports/partImports.ts
@@ -1,14 +1,14 @@
-import type { Pool, Service } from '../../shared/blueprint/types';
-import type { LookUp } from '../../shared/directory/lookup';
+import type { Pool, Service } from '../../shared/configuration/types';
+import type { LookupResult } from '../../shared/directory/lookup';
 import type { PartKey } from '../../shared/directory/promptParts';
 import type { EngineView } from '../placement/engineView';
 import type { LinkSpeeds } from './linkSpeeds';
 
-export type MoveSettings = Readonly<{
+export type PartImportSettings = Readonly<{
   imports: boolean;
   /** Whether a source is named if no holder is known to cache the parts, and whether a fallback source is named if the engine does. */
-  guesses: boolean;
-  spares: boolean;
+  guessesSources: boolean;
+  namesFallbacks: boolean;
   /** Fixed cost of an import, whether the source has the parts or not. */
   setupMicroseconds: number;
   /** Assumed link speed if the configuration states none. */
@@ -17,29 +17,29 @@
   /** Factor by which an import between zones takes longer. */
   zoneFactor: number;
   /** Cost of prefilling a thousand tokens again beyond the prefill time itself, which an import saves. */
-  rereadMicrosecondsPerThousand: number;
+  repeatedPrefillMicrosecondsPerThousand: number;
   /** How often, per mille, a holder has evicted the parts by the time they are requested, so that they are prefilled again. */
-  engineDropsPerMille: number;
-  storeDropsPerMille: number;
+  engineEvictionsPerMille: number;
+  storeEvictionsPerMille: number;
 }>;
 
-export const MoveSettings = {
+export const PartImportSettings = {
   usual: {
     imports: true,
-    guesses: true,
-    spares: true,
+    guessesSources: true,
+    namesFallbacks: true,
     setupMicroseconds: 2_000,
     linkBytesPerSecond: 12_500_000_000,
     tokenBytes: 163_840,
     zoneFactor: 2,
-    rereadMicrosecondsPerThousand: 60_000,
-    engineDropsPerMille: 150,
-    storeDropsPerMille: 20,
-  } satisfies MoveSettings,
+    repeatedPrefillMicrosecondsPerThousand: 60_000,
+    engineEvictionsPerMille: 150,
+    storeEvictionsPerMille: 20,
+  } satisfies PartImportSettings,
 } as const;
 
 /** A worthwhile import: the parts from `at` up to `matched` are copied from the holder. */
-export type Move = Readonly<{
+export type PartImport = Readonly<{
   holder: string;
   address: string;
   bootEpoch: string;
@@ -56,12 +56,12 @@
 };
 
 /** Decides whether parts are imported from another holder or prefilled, and from which holder. Any doubt means a full prefill. */
-export class PartMoves {
+export class PartImports {
   /** `ratios`: measured import time between two holders relative to the expected time, per mille. */
   public constructor(
     private readonly view: EngineView,
     private readonly ratios: LinkSpeeds,
-    public readonly settings: MoveSettings,
+    public readonly settings: PartImportSettings,
   ) {}
 
   public best(
@@ -69,19 +69,19 @@
     pool: Pool,
     keys: readonly PartKey[],
     matched: number,
-    lookUp: LookUp,
-  ): Move | undefined {
+    lookUp: LookupResult,
+  ): PartImport | undefined {
     if (!this.settings.imports || lookUp.kind === 'miss') return undefined;
-    let best: Readonly<{ move: Move; gain: number }> | undefined;
+    let best: Readonly<{ move: PartImport; gain: number }> | undefined;
     for (const found of lookUp.found) {
       if (found.holder === engine.name || found.matched <= matched) continue;
       const address = this.view.addressOf(found.holder);
       if (address === undefined) continue;
       const tokens = tokensIn(keys, matched, found.matched);
-      const microseconds = this.moveMicroseconds(found.holder, engine, pool, tokens);
-      const rereadMicroseconds = (tokens * this.settings.rereadMicrosecondsPerThousand) / 1000;
+      const microseconds = this.importMicroseconds(found.holder, engine, pool, tokens);
+      const rereadMicroseconds = (tokens * this.settings.repeatedPrefillMicrosecondsPerThousand) / 1000;
       const savedMicroseconds = (tokens * 1000) / engine.tokensPerMillisecond + rereadMicroseconds;
-      const gain = (savedMicroseconds * (1000 - this.dropsPerMille(found.holder))) / 1000 - microseconds;
+      const gain = (savedMicroseconds * (1000 - this.evictionsPerMille(found.holder))) / 1000 - microseconds;
       if (gain <= 0) continue;
       if (best !== undefined && best.gain >= gain) continue;
       const { holder, bootEpoch } = found;
@@ -94,7 +94,7 @@
   }
 
   /** Expected import time of a number of tokens between two engines of the pool in one zone, without congestion. */
-  public usualMicroseconds(pool: Service, tokens: number): number {
+  public expectedMicroseconds(pool: Service, tokens: number): number {
     const shape = pool.kind === 'pool' ? pool.shape : undefined;
     const bytes = tokens * (shape?.tokenBytes || this.settings.tokenBytes);
     return (
@@ -104,14 +104,14 @@
   }
 
   /** Records the time that the import of a request took. */
-  public measured(engine: string, move: Move, microseconds: number): void {
+  public recordDuration(engine: string, move: PartImport, microseconds: number): void {
     const { setupMicroseconds } = this.settings;
     const expected = setupMicroseconds + (move.microseconds - setupMicroseconds) / this.ratio(move.holder, engine);
-    this.ratios.measured(move.holder, engine, Math.min(30_000, Math.max(500, (microseconds * 1000) / expected)));
+    this.ratios.addMeasurement(move.holder, engine, Math.min(30_000, Math.max(500, (microseconds * 1000) / expected)));
   }
 
-  private dropsPerMille(holder: string): number {
-    const { engineDropsPerMille, storeDropsPerMille } = this.settings;
+  private evictionsPerMille(holder: string): number {
+    const { engineEvictionsPerMille: engineDropsPerMille, storeEvictionsPerMille: storeDropsPerMille } = this.settings;
     return this.view.storeShape(holder) === undefined ? engineDropsPerMille : storeDropsPerMille;
   }
 
@@ -119,7 +119,7 @@
     return this.ratios.blockMicroseconds(from, to) / 1000;
   }
 
-  private moveMicroseconds(
+  private importMicroseconds(
     holder: string,
     engine: Readonly<{ name: string; zone: string }>,
     pool: Pool,
--- a/source/edge-proxy/fetch/partsPlanner.ts
+++ b/source/edge-proxy/cache-imports/partsPlanner.ts
@@ -1,6 +1,6 @@
-import type { LookUp } from '../../shared/directory/lookup';
+import type { LookupResult } from '../../shared/directory/lookup';
 import type { PartKey } from '../../shared/directory/promptParts';
-import type { ShardBook } from '../../shared/directory/shardBook';
+import type { ShardCatalog } from '../../shared/directory/shardCatalog';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import type { DemandView } from '../demand/demandView';
@@ -10,7 +10,7 @@
 import { Salts } from '../placement/salts';
 import type { PrefillSpeeds } from '../placement/prefillSpeeds';
 import { noFetch, type FetchPlan } from './fetchPlanner';
-import type { PartMoves } from './partMoves';
+import type { PartImports } from './partImports';
 
 /**
  * Plans the cache instructions of a request whose prompt has named parts. The parts are cached under a salt that contains the trust
@@ -25,8 +25,8 @@
 
   public constructor(
     private readonly view: EngineView,
-    private readonly shards: ShardBook,
-    private readonly moves: PartMoves,
+    private readonly shards: ShardCatalog,
+    private readonly moves: PartImports,
     private readonly speeds: PrefillSpeeds,
     private readonly metrics: Metrics,
     private readonly demand: DemandView,
@@ -36,7 +36,7 @@
     placed: PlacedRequest,
     { service, resolvedWith: under }: ResolvedRequest,
     keys: PromptKeys,
-    lookUp: LookUp,
+    lookUp: LookupResult,
   ): FetchPlan {
     const salt = keys.salt(placed.weights);
     const parts = keys.parts(placed.weights);
@@ -82,11 +82,11 @@
     placed: PlacedRequest,
     parts: readonly PartKey[],
     store: Store | undefined,
-    lookUp: LookUp,
+    lookUp: LookupResult,
   ): FetchPlan['source'] {
     const isCached = placed.cachedParts >= parts.length - 1;
-    if (!(isCached ? this.moves.settings.spares : this.moves.settings.guesses)) return undefined;
-    const holder = isCached ? this.spare(placed, parts, store, lookUp) : this.unknown(placed, store);
+    if (!(isCached ? this.moves.settings.namesFallbacks : this.moves.settings.guessesSources)) return undefined;
+    const holder = isCached ? this.fallbackSource(placed, parts, store, lookUp) : this.guessedSource(placed, store);
     const address = holder === undefined ? undefined : this.view.addressOf(holder);
     if (address === undefined || holder === undefined || holder === placed.engine) return undefined;
     this.metrics.count('postdrum_imports_total', { from: isCached ? 'spare' : 'guess' });
@@ -94,7 +94,7 @@
     return { holder, address, bootEpoch: '', at, keys: parts.slice(at, -1).map(({ name }) => name) };
   }
 
-  private unknown({ defaultEngine: home, engine }: PlacedRequest, store: Store | undefined): string | undefined {
+  private guessedSource({ defaultEngine: home, engine }: PlacedRequest, store: Store | undefined): string | undefined {
     // The store is preferred if nothing is known about it: it survives a restart of all daemons and may have any earlier prefix.
     const usesStore =
       store !== undefined && (home === undefined || home === engine || this.shards.get(store.name) === undefined);
@@ -106,11 +106,11 @@
    * an engine evicts the least recently used parts when it needs room, and the event about that may arrive after the request was
    * sent. The engine does not import parts that it still has.
    */
-  private spare(
+  private fallbackSource(
     { engine }: PlacedRequest,
     parts: readonly PartKey[],
     store: Store | undefined,
-    lookUp: LookUp,
+    lookUp: LookupResult,
   ): string | undefined {
     if (store !== undefined && this.holdsShared(store, parts)) return store.name;
     const others = lookUp.kind === 'miss' ? [] : lookUp.found;
@@ -127,11 +127,11 @@
     { name }: Store,
     keys: PromptKeys,
     { cachedParts: matched }: PlacedRequest,
-    lookUp: LookUp,
+    lookUp: LookupResult,
     salts: () => ReadonlySet<string>,
   ): boolean {
     const { settings } = this.demand;
-    const fillLimitTokens = ((this.view.storeShape(name)?.keptTokens ?? 0) * settings.storeRoomPerMille) / 1000;
+    const fillLimitTokens = ((this.view.storeShape(name)?.keptTokens ?? 0) * settings.storeFillLimitPerMille) / 1000;
     if (!settings.isOn || fillLimitTokens === 0 || this.cachedTokens(name, salts()) < fillLimitTokens) return true;
     const isAskedAgain = matched > 0 || (lookUp.kind !== 'miss' && lookUp.found.length > 0);
     const fills = isAskedAgain || this.demand.isWanted(keys.prefix());
@@ -160,7 +160,7 @@
   private holdsShared({ name }: Store, parts: readonly PartKey[]): boolean {
     const shard = this.shards.get(name);
     const shared = parts.slice(0, -1).map(({ physical }) => physical);
-    return shard !== undefined && shard.matched(shared) === shared.length;
+    return shard !== undefined && shard.matchedPrefix(shared) === shared.length;
   }
 
   private kindOf(holder: string): string {
--- a/source/edge-proxy/door/callerWords.ts
+++ b/source/edge-proxy/client-api/clientApiFormat.ts
@@ -3,40 +3,40 @@
 import type { ProxyRequest } from '../pipeline/request';
 
 /** Method, target and headers of a client's request as received, with header names in lower case. */
-export type CallerHead = Readonly<{
+export type ClientRequestHead = Readonly<{
   method: string;
   target: string;
   headers: Readonly<Record<string, string>>;
 }>;
 
 /** A request as parsed from its head; the server adds the body and the arrival time. */
-export type HeadOrder = Omit<ProxyRequest, 'body' | 'arrivedMicroseconds'>;
+export type ParsedRequestHead = Omit<ProxyRequest, 'body' | 'arrivedMicroseconds'>;
 
 /** What a request head asks for: a request to proxy, a built-in page, or nothing that can be served. */
-export type CallerRead =
-  | Readonly<{ kind: 'order'; order: HeadOrder }>
+export type ParsedClientRequest =
+  | Readonly<{ kind: 'order'; order: ParsedRequestHead }>
   /** A page that the proxy itself serves. */
   | Readonly<{ kind: 'page'; page: 'health' | 'metrics' }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>;
 
 /** The HTTP response for a refusal. */
-export type CallerRefusal = Readonly<{ status: number; headers: Readonly<Record<string, string>>; body: string }>;
+export type RefusalResponse = Readonly<{ status: number; headers: Readonly<Record<string, string>>; body: string }>;
 
 /** Format of the HTTP API for clients: how requests are parsed and refusals are written. Pure functions. */
-export interface CallerWords {
-  readonly read: (head: CallerHead, random: Random) => CallerRead;
-  readonly refusal: (refusal: Refusal) => CallerRefusal;
+export interface ClientApiFormat {
+  readonly parseHead: (head: ClientRequestHead, random: Random) => ParsedClientRequest;
+  readonly refusalResponse: (refusal: Refusal) => RefusalResponse;
   /** Whether bodies are kept as bytes; otherwise they are decoded as UTF-8 text. */
-  readonly rawBodies: boolean;
+  readonly hasBinaryBodies: boolean;
   /** Whether the API key is checked before the body is read. */
-  readonly keyFirst: boolean;
+  readonly checksKeyBeforeBody: boolean;
 }
 
 const bearerToken = (header: string): string => (header.startsWith('Bearer ') ? header.slice(7).trim() : '');
 
 /** The native HTTP API of the proxy. */
-export const ChatCallerWords: CallerWords = {
-  read: ({ method, target, headers }, random) => {
+export const ChatClientApiFormat: ClientApiFormat = {
+  parseHead: ({ method, target, headers }, random) => {
     const path = target.split('?', 1)[0] ?? '/';
     if (method === 'GET' && path === '/-/health') return { kind: 'page', page: 'health' };
     if (method === 'GET' && path === '/-/metrics') return { kind: 'page', page: 'metrics' };
@@ -51,7 +51,7 @@
       },
     };
   },
-  refusal: (refusal) => ({
+  refusalResponse: (refusal) => ({
     status: refusal.status,
     headers: {
       ...Refusals.headers(refusal),
@@ -62,6 +62,6 @@
     },
     body: Refusals.body(refusal),
   }),
-  rawBodies: false,
-  keyFirst: true,
+  hasBinaryBodies: false,
+  checksKeyBeforeBody: true,
 };
--- a/source/edge-proxy/door/callersDoor.ts
+++ b/source/edge-proxy/client-api/clientServer.ts
@@ -1,28 +1,28 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { CallerLimits } from '../../shared/blueprint/types';
+import type { ClientLimits } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
-import { Bodies } from '../../shared/http/bodies';
+import { RequestBodies } from '../../shared/http/requestBodies';
 import type { HttpLimits } from '../../shared/http/httpLimits';
 import { HttpServer, type DrainPlan } from '../../shared/http/httpServer';
 import { Replies } from '../../shared/http/replies';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { EdgeProxy } from '../edgeProxy';
 import type { ResponseSink } from '../pipeline/request';
-import { ChatCallerWords, type CallerWords } from './callerWords';
-import { DoorLimits } from './doorLimits';
+import { ChatClientApiFormat, type ClientApiFormat } from './clientApiFormat';
+import { ClientServerLimits } from './clientServerLimits';
 
 /** The listening HTTP server for clients. */
-export type CallersDoor = Readonly<{
+export type ClientServer = Readonly<{
   address: string;
   drain: (plan?: DrainPlan) => Promise<void>;
   close: () => Promise<void>;
 }>;
 
-export type DoorOptions = Readonly<{
-  words: CallerWords;
+export type ClientServerOptions = Readonly<{
+  apiFormat: ClientApiFormat;
   /** The operators' limits on clients; they may change while the server runs. */
-  limits: () => CallerLimits | undefined;
+  limits: () => ClientLimits | undefined;
 }>;
 
 /** Writes the response to one HTTP request of a client. */
@@ -33,7 +33,7 @@
 
   public constructor(
     private readonly response: ServerResponse,
-    private readonly words: CallerWords,
+    private readonly apiFormat: ClientApiFormat,
     private readonly connectionHeaders: () => Readonly<Record<string, string>>,
   ) {
     response.on('close', () => {
@@ -82,7 +82,7 @@
 
   public readonly refuse = (refusal: Refusal): void => {
     this.bodyStarted = true;
-    const { status, headers, body } = this.words.refusal(refusal);
+    const { status, headers, body } = this.apiFormat.refusalResponse(refusal);
     Replies.text(this.response, status, body, { ...headers, ...this.connectionHeaders() });
   };
 }
@@ -104,12 +104,12 @@
 
   public constructor(
     private readonly proxy: EdgeProxy,
-    private readonly limits: DoorLimits,
-    private readonly words: CallerWords,
+    private readonly limits: ClientServerLimits,
+    private readonly apiFormat: ClientApiFormat,
     private readonly clock: Clock,
     private readonly random: Random,
   ) {
-    this.server = new HttpServer(() => limits.http());
+    this.server = new HttpServer(() => limits.httpLimits());
     this.server.server.on('request', (request: IncomingMessage, response: ServerResponse) => {
       // Failures while handling a request already end as a refusal or a cut response; this only closes the connection.
       this.handle(request, response).catch(() => response.destroy());
@@ -123,14 +123,14 @@
 
   /** Whether a request with this time limit that arrives now may still be running when the shutdown ends. */
   private mayOutlastShutdown(limitMicroseconds: number | undefined): boolean {
-    const lastOrders = this.shutdown?.plan.lastOrders;
+    const lastOrders = this.shutdown?.plan.lateRequests;
     if (this.shutdown === undefined || lastOrders === undefined || limitMicroseconds === undefined) return false;
     const elapsed = this.clock.nowMicroseconds() - this.shutdown.startedMicroseconds;
     return elapsed > lastOrders.afterMicroseconds && elapsed + limitMicroseconds > lastOrders.endMicroseconds;
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { proxy, words, clock } = this;
+    const { proxy, apiFormat: words, clock } = this;
     const arrivedMicroseconds = clock.nowMicroseconds();
     const sink = new HttpResponseSink(response, words, () => this.connectionHeaders(response));
     const refuse = (refusal: Refusal, drainsBody = true): void => {
@@ -140,20 +140,20 @@
       if (drainsBody && !request.complete) response.shouldKeepAlive = true;
       sink.refuse(refusal);
     };
-    if (this.server.crowded(request))
+    if (this.server.isPipelineFull(request))
       return refuse(Refusals.make(429, 'notRun', 'holdingFull', 'Too many orders wait on this conn.', 1));
-    const parsed = words.read(
+    const parsed = words.parseHead(
       { method: request.method ?? 'POST', target: request.url ?? '/', headers: headersOf(request) },
       this.random,
     );
     if (parsed.kind === 'page') return this.servePage(parsed.page, response);
     if (parsed.kind === 'refuse') return refuse(parsed.refusal);
-    if (words.keyFirst) {
+    if (words.checksKeyBeforeBody) {
       const tenant = proxy.identifier.tenantOf(parsed.order.key);
       if (tenant.kind === 'refuse') return refuse(tenant.refusal);
     }
     const maxBytes = this.limits.bodyBytes();
-    const body = await Bodies.bytes(request, maxBytes);
+    const body = await RequestBodies.readBytes(request, maxBytes);
     if (body.kind === 'tooLarge')
       return refuse(Refusals.make(413, 'notRun', 'tooLarge', `A body has at most ${maxBytes} bytes.`));
     if (body.kind === 'broken') {
@@ -167,7 +167,7 @@
     await proxy.handle(
       {
         ...parsed.order,
-        body: words.rawBodies ? body.bytes : body.bytes.toString('utf8'),
+        body: words.hasBinaryBodies ? body.bytes : body.bytes.toString('utf8'),
         // A client's own deadline runs while it writes its body, so it counts from the arrival of the head.
         arrivedMicroseconds:
           parsed.order.limitMicroseconds === undefined ? clock.nowMicroseconds() : arrivedMicroseconds,
@@ -189,12 +189,12 @@
   private servePage(page: 'health' | 'metrics', response: ServerResponse): void {
     const { proxy } = this;
     if (page === 'health') Replies.json(response, proxy.fresh() ? 200 : 503, { fresh: proxy.fresh() });
-    else Replies.text(response, 200, proxy.metrics.page());
+    else Replies.text(response, 200, proxy.metrics.render());
   }
 }
 
 /** The HTTP server that accepts requests of clients. */
-export const CallersDoor = {
+export const ClientServer = {
   open: async (
     proxy: EdgeProxy,
     address: string,
@@ -202,10 +202,10 @@
     maxBodySize: number,
     clock: Clock,
     random: Random,
-    options: Partial<DoorOptions> = {},
-  ): Promise<CallersDoor> => {
-    const serverLimits = new DoorLimits(limits, maxBodySize, options.limits ?? (() => undefined));
-    const listener = new RequestListener(proxy, serverLimits, options.words ?? ChatCallerWords, clock, random);
+    options: Partial<ClientServerOptions> = {},
+  ): Promise<ClientServer> => {
+    const serverLimits = new ClientServerLimits(limits, maxBodySize, options.limits ?? (() => undefined));
+    const listener = new RequestListener(proxy, serverLimits, options.apiFormat ?? ChatClientApiFormat, clock, random);
     const { server } = listener;
     await server.listen(address);
     return {
--- a/source/edge-proxy/door/doorLimits.ts
+++ b/source/edge-proxy/client-api/clientServerLimits.ts
@@ -1,24 +1,24 @@
-import type { CallerLimits } from '../../shared/blueprint/types';
+import type { ClientLimits } from '../../shared/configuration/types';
 import type { HttpLimits } from '../../shared/http/httpLimits';
 
 /** Added to the announced idle timeout, so that client and server never close a connection at the same moment. */
 const idleMarginMicroseconds = 1_000_000;
 
 /** Limits on clients: the operators' where they set them, else the defaults of the program. */
-export class DoorLimits {
-  private appliedLimits: CallerLimits | undefined;
+export class ClientServerLimits {
+  private appliedLimits: ClientLimits | undefined;
   private effective: HttpLimits;
 
   public constructor(
     private readonly defaults: HttpLimits,
     private readonly defaultBodyBytes: number,
-    private readonly operatorLimits: () => CallerLimits | undefined,
+    private readonly operatorLimits: () => ClientLimits | undefined,
   ) {
     this.effective = defaults;
   }
 
   /** Returns the same object until the operators' limits change. */
-  public http(): HttpLimits {
+  public httpLimits(): HttpLimits {
     const limits = this.operatorLimits();
     if (limits !== this.appliedLimits) {
       this.appliedLimits = limits;
--- a/source/edge-proxy/door/readinessDoor.ts
+++ b/source/edge-proxy/client-api/readinessServer.ts
@@ -4,7 +4,7 @@
 import { Replies } from '../../shared/http/replies';
 
 /** The listening readiness server. */
-export type ReadinessDoor = Readonly<{ address: string; close: () => Promise<void> }>;
+export type ReadinessServer = Readonly<{ address: string; close: () => Promise<void> }>;
 
 /** Small limits: only a few load balancers poll this server, each of them often. */
 const limits: HttpLimits = {
@@ -16,8 +16,8 @@
 };
 
 /** HTTP server that tells load balancers by status code alone whether to route clients to this proxy. */
-export const ReadinessDoor = {
-  open: async (address: string, path: string, ready: () => boolean): Promise<ReadinessDoor> => {
+export const ReadinessServer = {
+  open: async (address: string, path: string, ready: () => boolean): Promise<ReadinessServer> => {
     const server = new HttpServer(() => limits);
     server.server.on('request', (request: IncomingMessage, response: ServerResponse) => {
       const isReadinessCheck = request.method === 'GET' && request.url?.split('?', 1)[0] === path;
--- a/source/edge-proxy/demand/demandView.ts
+++ b/source/edge-proxy/demand/demandView.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '../../shared/effects/clock/clock';
-import { CopyPlaces, type CopyPlacesSettings } from '../../shared/demand/copyPlaces';
+import { CopyPlacement, type CopyPlacementSettings } from '../../shared/demand/copyPlacement';
 import { HeavyHitters } from '../../shared/demand/heavyHitters';
-import { DemandLimits, PrefixDemand, type DemandFact, type Wanted } from '../../shared/demand/prefixDemand';
+import { DemandLimits, PrefixDemand, type DemandEntry, type RankedPrefix } from '../../shared/demand/prefixDemand';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, MemberStates, type MemberFact } from '../../shared/news/factTypes';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipKeys, MemberStates, type MemberEntry } from '../../shared/gossip/entryTypes';
 
-export type DemandSettings = CopyPlacesSettings &
+export type DemandSettings = CopyPlacementSettings &
   Readonly<{
     /** If off, no demand is counted or published, and no decision depends on demand. */
     isOn: boolean;
@@ -18,9 +18,9 @@
      * A cache store that is fuller than this, in per mille of its memory, is sent only prefixes that are in demand or requested again.
      * 0: it is sent every prefix.
      */
-    storeRoomPerMille: number;
+    storeFillLimitPerMille: number;
     /** Least number of recent requests, at all proxies together, that make a prefix count as in demand. */
-    leastCount: number;
+    minCount: number;
   }>;
 
 export const DemandSettings = {
@@ -31,23 +31,23 @@
     copiesPerMille: 1_500,
     mostCopies: 16,
     copyMicrosecondsPerThousand: 10_000,
-    storeRoomPerMille: 600,
-    leastCount: 2,
+    storeFillLimitPerMille: 600,
+    minCount: 2,
   } satisfies DemandSettings,
   off: (settings: DemandSettings): DemandSettings => ({ ...settings, isOn: false }),
   /** Placement and copies follow the demand, but stores are sent every prefix that is prefilled. */
-  fillingStores: (settings: DemandSettings): DemandSettings => ({ ...settings, storeRoomPerMille: 0 }),
+  withUnlimitedStoreFill: (settings: DemandSettings): DemandSettings => ({ ...settings, storeFillLimitPerMille: 0 }),
 } as const;
 
 type FleetDemand = Readonly<{
-  mark: string;
+  version: string;
   atMicroseconds: number;
-  wanted: readonly Wanted[];
-  byName: ReadonlyMap<string, Wanted>;
+  wanted: readonly RankedPrefix[];
+  byName: ReadonlyMap<string, RankedPrefix>;
 }>;
-type Assignment = Readonly<{ of: readonly Wanted[]; places: ReadonlyMap<string, readonly string[]> }>;
+type Assignment = Readonly<{ of: readonly RankedPrefix[]; places: ReadonlyMap<string, readonly string[]> }>;
 
-const noDemand: FleetDemand = { mark: '', atMicroseconds: -Infinity, wanted: [], byName: new Map() };
+const noDemand: FleetDemand = { version: '', atMicroseconds: -Infinity, wanted: [], byName: new Map() };
 
 /** Shortest time between two rankings, and between two publications: gossip about demand arrives continuously. */
 const refreshMicroseconds = 1_000_000;
@@ -70,7 +70,7 @@
   private publishedMicroseconds = -Infinity;
 
   public constructor(
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
     private readonly clock: Clock,
     public readonly settings: DemandSettings,
   ) {
@@ -78,44 +78,44 @@
   }
 
   /** Counts an accepted request that shares this prefix with others. */
-  public saw(prefix: string): void {
-    if (this.settings.isOn && prefix !== '') this.counts.saw(prefix, this.clock.nowMicroseconds());
+  public countRequest(prefix: string): void {
+    if (this.settings.isOn && prefix !== '') this.counts.record(prefix, this.clock.nowMicroseconds());
   }
 
   /** The counts to publish to the fleet; none if the last ones are less than a second old. */
-  public telling(): Readonly<{ demand?: Omit<DemandFact, 'agent'> }> {
+  public countsToPublish(): Readonly<{ demand?: Omit<DemandEntry, 'agent'> }> {
     if (!this.settings.isOn) return {};
     const now = this.clock.nowMicroseconds();
     if (now - this.publishedMicroseconds < refreshMicroseconds) return {};
     this.publishedMicroseconds = now;
     const prefixes = this.counts
-      .top(DemandLimits.perFact, now)
+      .top(DemandLimits.maxPrefixesPerEntry, now)
       .map(({ name, count }) => [name, Math.round(count)] as const)
       .filter(([, count]) => count > 0);
     return { demand: { total: Math.round(this.counts.total(now)), prefixes } };
   }
 
   /** The prefixes by falling demand; the same ranking at every proxy that has received the same counts. */
-  public wanted(): readonly Wanted[] {
+  public ranking(): readonly RankedPrefix[] {
     return this.current().wanted;
   }
 
   public isWanted(prefix: string): boolean {
-    return (this.current().byName.get(prefix)?.count ?? 0) >= this.settings.leastCount;
+    return (this.current().byName.get(prefix)?.count ?? 0) >= this.settings.minCount;
   }
 
   /** Those of the engines that should keep a copy of the prefix, the preferred one first. */
   public places(prefix: string, engines: readonly string[]): readonly string[] {
     const { wanted, byName } = this.current();
-    if (!byName.has(prefix)) return CopyPlaces.usual(prefix, engines);
+    if (!byName.has(prefix)) return CopyPlacement.defaultPlacement(prefix, engines);
     const names = engines.join(' ');
     const known = this.assignments.get(names);
     const places = known?.of === wanted ? known.places : this.assign(wanted, engines, names);
-    return places.get(prefix) ?? CopyPlaces.usual(prefix, engines);
+    return places.get(prefix) ?? CopyPlacement.defaultPlacement(prefix, engines);
   }
 
   private assign(
-    wanted: readonly Wanted[],
+    wanted: readonly RankedPrefix[],
     engines: readonly string[],
     names: string,
   ): ReadonlyMap<string, readonly string[]> {
@@ -123,7 +123,7 @@
     // up most of the demand.
     const topPrefixes = wanted.slice(0, Math.max(minAssignedPrefixes, Math.floor(maxWeighedPairs / engines.length)));
     // The engines are sorted so that the same engines in another order lead to the same places.
-    const places = CopyPlaces.assign(topPrefixes, [...engines].sort(), this.settings, (prefix, engine) =>
+    const places = CopyPlacement.assign(topPrefixes, [...engines].sort(), this.settings, (prefix, engine) =>
       this.weight(prefix, engine, engines.length),
     );
     // Several assignments are cached because the set of engines reserved for short requests changes back and forth.
@@ -145,7 +145,7 @@
     this.weights.delete(prefix);
     this.weights.set(prefix, byEngine);
     const [oldest] = this.weights.keys();
-    if (this.weights.size > 2 * DemandLimits.ranked && oldest !== undefined) this.weights.delete(oldest);
+    if (this.weights.size > 2 * DemandLimits.maxRankedPrefixes && oldest !== undefined) this.weights.delete(oldest);
     return weight;
   }
 
@@ -153,17 +153,17 @@
     if (!this.settings.isOn) return noDemand;
     const mark = `${this.facts.changesOf('demand')}/${this.facts.changesOf('member')}`;
     const now = this.clock.nowMicroseconds();
-    if (this.fleetDemand.mark === mark || now - this.fleetDemand.atMicroseconds < refreshMicroseconds)
+    if (this.fleetDemand.version === mark || now - this.fleetDemand.atMicroseconds < refreshMicroseconds)
       return this.fleetDemand;
     const published = this.facts.withPrefix('demand/').flatMap(({ value }) => {
-      if (!PrefixDemand.isFact(value)) return [];
-      const member = this.facts.value<MemberFact>(FactKeys.member(value.agent));
+      if (!PrefixDemand.isEntry(value)) return [];
+      const member = this.facts.value<MemberEntry>(GossipKeys.member(value.agent));
       // Only the counts of present members are used: the requests of an absent one go to other proxies by now, and are counted there.
       return member !== undefined && MemberStates.isPresent(member) ? [value] : [];
     });
-    const wanted = PrefixDemand.ranked(published);
+    const wanted = PrefixDemand.rank(published);
     this.fleetDemand = {
-      mark,
+      version: mark,
       atMicroseconds: now,
       wanted,
       byName: new Map(wanted.map((item) => [item.name, item])),
--- a/source/edge-proxy/edgeProxy.ts
+++ b/source/edge-proxy/edgeProxy.ts
@@ -1,10 +1,10 @@
-import { ownWords } from '../shared/back-end/ownWords';
+import { nativeCodec } from '../shared/back-end/nativeCodec';
 import type { BackEndSender } from '../shared/back-end/protocol';
-import type { BackEndWords } from '../shared/back-end/words';
-import { ownDialect, type Dialect } from '../shared/blueprint/dialect';
+import type { BackEndCodec } from '../shared/back-end/backEndCodec';
+import { nativeConfigurationFormat, type ConfigurationFormat } from '../shared/configuration/configurationFormat';
 import type { NamedKey } from '../shared/directory/hashChain';
-import { ShardBook } from '../shared/directory/shardBook';
-import type { GrantAnswer } from '../shared/directory/shardDirectory';
+import { ShardCatalog } from '../shared/directory/shardCatalog';
+import type { FillGrantAnswer } from '../shared/directory/shardDirectory';
 import { Clocks } from '../shared/effects/clock/clock';
 import { Ticker } from '../shared/effects/clock/ticker';
 import type { Effects } from '../shared/effects/effects';
@@ -13,31 +13,31 @@
 import { FleetTransport } from '../shared/fleet/fleetTransport';
 import { Freshness } from '../shared/freshness/freshness';
 import { Logs, type Log } from '../shared/log/log';
-import { StandstillWatch } from '../shared/log/standstillWatch';
+import { StallMonitor } from '../shared/log/stallMonitor';
 import { Metrics } from '../shared/metrics/metrics';
 import { SettingsChanges } from '../shared/settings/settingsChange';
-import { FactBook, type FactVersion } from '../shared/news/facts';
-import type { LoadFact } from '../shared/news/factTypes';
-import { NewsExchange } from '../shared/news/newsExchange';
-import { Pulses } from '../shared/news/pulses';
-import { FleetPace } from '../shared/pace/fleetPace';
+import { GossipStore, type EntryVersion } from '../shared/gossip/gossipStore';
+import type { LoadEntry } from '../shared/gossip/entryTypes';
+import { GossipExchange } from '../shared/gossip/gossipExchange';
+import { HolderHeartbeats } from '../shared/gossip/holderHeartbeats';
+import { IntervalScaling } from '../shared/flow-control/intervalScaling';
 import type { Refusal } from '../shared/verdict/verdict';
-import { WeightsClocks } from '../shared/weights/weightsClocks';
+import { WeightsDeadlines } from '../shared/weights/weightsDeadlines';
 import { DemandSettings, DemandView } from './demand/demandView';
-import { FeedWatch } from './feeding/feedWatch';
-import { Feeders } from './feeding/feeders';
-import { NotePost } from './feeding/notePost';
-import { ProxyFacts } from './feeding/proxyFacts';
-import { ReceivedLoads } from './feeding/receivedLoads';
-import { SeedContacts } from './feeding/seedContacts';
+import { SubscriptionMonitor } from './agent-subscription/subscriptionMonitor';
+import { AgentSelector } from './agent-subscription/agentSelector';
+import { NoteSender } from './agent-subscription/noteSender';
+import { ProxyFacts } from './agent-subscription/proxyFacts';
+import { ReceivedLoads } from './agent-subscription/receivedLoads';
+import { SeedSelector } from './agent-subscription/seedSelector';
 import { StalenessGuard } from './identification/stalenessGuard';
 import { IdentificationPolicies, RequestIdentifier } from './identification/requestIdentifier';
-import { FetchPlanner } from './fetch/fetchPlanner';
-import { LinkSpeeds } from './fetch/linkSpeeds';
-import { MoveSettings, PartMoves } from './fetch/partMoves';
-import { PartsPlanner } from './fetch/partsPlanner';
-import { TakeDesk } from './holding/takeDesk';
-import { TakePolicies } from './holding/takePolicy';
+import { FetchPlanner } from './cache-imports/fetchPlanner';
+import { LinkSpeeds } from './cache-imports/linkSpeeds';
+import { PartImportSettings, PartImports } from './cache-imports/partImports';
+import { PartsPlanner } from './cache-imports/partsPlanner';
+import { AdmissionQueue } from './admission/admissionQueue';
+import { AdmissionPolicies } from './admission/admissionPolicies';
 import { OutlierDetector } from './outliers/outlierDetector';
 import { OutlierSettings } from './outliers/outlierSettings';
 import type { ResponseSink, ProxyRequest } from './pipeline/request';
@@ -53,8 +53,8 @@
 import { placementNamed, type PlacementName } from './placement/placements';
 import { PrefillSpeeds } from './placement/prefillSpeeds';
 import { CostPlacer } from './placement/costPlacer';
-import { RetryBudget, type BudgetSettings } from './sends/retryBudget';
-import { SendPolicy } from './sends/sendPolicy';
+import { RetryBudget, type RetryBudgetSettings } from './attempts/retryBudget';
+import { SendPolicy } from './attempts/sendPolicy';
 
 export type ProxySettings = Readonly<{
   name: string;
@@ -104,8 +104,8 @@
   workPlacement: PlacementCostSettings;
   lanes: ReservedEngineSettings;
   /** How long a request waits for the answer of the scheduler before its proxy places it alone. */
-  deskMicroseconds: number;
-  moves: MoveSettings;
+  schedulerMicroseconds: number;
+  partImports: PartImportSettings;
   /** When an engine is ejected because its responses fail. */
   outliers: OutlierSettings;
   /** How long a prefilled part counts as cached before the events of its holder confirm it. */
@@ -155,12 +155,12 @@
   unsentIsFree: false,
   cutsOldWeights: true,
   silentMicroseconds: 900_000,
-  weightsCutMicroseconds: WeightsClocks.cutMicroseconds,
+  weightsCutMicroseconds: WeightsDeadlines.cutMicroseconds,
   roomPerMille: 1000,
   workPlacement: PlacementCostSettings.usual,
   lanes: ReservedEngineSettings.usual,
-  deskMicroseconds: 60_000,
-  moves: MoveSettings.usual,
+  schedulerMicroseconds: 60_000,
+  partImports: PartImportSettings.usual,
   outliers: OutlierSettings.usual,
   recentMicroseconds: 3_000_000,
   demand: DemandSettings.usual,
@@ -181,7 +181,7 @@
 ] as const satisfies readonly (keyof ProxySettings)[];
 
 /** The protocols of a proxy; the native ones by default. */
-export type ProxyWords = Readonly<{ backEnds: BackEndWords; dialect: Dialect }>;
+export type ProxyProtocols = Readonly<{ backEnds: BackEndCodec; dialect: ConfigurationFormat }>;
 
 /** The data plane: accepts requests while its configuration is known to be current, places them, and sends each at most once. */
 export class EdgeProxy {
@@ -190,30 +190,30 @@
   public readonly identifier: RequestIdentifier;
   private readonly effects: Effects;
   private readonly fleet = new FleetName();
-  private readonly facts = new FactBook();
-  private readonly shards = new ShardBook();
-  private readonly fence: StalenessGuard;
-  private readonly pulses: Pulses;
+  private readonly facts = new GossipStore();
+  private readonly shards = new ShardCatalog();
+  private readonly stalenessGuard: StalenessGuard;
+  private readonly pulses: HolderHeartbeats;
   private readonly view: EngineView;
   private readonly demand: DemandView;
-  private readonly desk: TakeDesk;
+  private readonly queue: AdmissionQueue;
   private readonly sends: SendPolicy;
   private readonly pipeline: Pipeline;
-  private readonly exchange: NewsExchange;
+  private readonly exchange: GossipExchange;
   private readonly lanes: ReservedEngines;
   private readonly speeds: LinkSpeeds;
   private readonly readSpeeds: PrefillSpeeds;
-  private readonly feeders: Feeders;
-  private readonly feedWatch: FeedWatch;
-  private readonly standstills: StandstillWatch;
-  private readonly seedContacts: SeedContacts;
-  private readonly own: ProxyFacts;
+  private readonly feeders: AgentSelector;
+  private readonly feedWatch: SubscriptionMonitor;
+  private readonly standstills: StallMonitor;
+  private readonly seedContacts: SeedSelector;
+  private readonly ownFacts: ProxyFacts;
   private readonly receivedLoads: ReceivedLoads;
   private readonly budgets = new Map<string, RetryBudget>();
   private readonly tickers: readonly Ticker[];
   private readonly log: Log;
-  private readonly notice = Logs.part('proxy:notice');
-  private readonly notes: NotePost;
+  private readonly notice = Logs.channel('proxy:notice');
+  private readonly notes: NoteSender;
   private updateTookMicroseconds = 0;
   /** Addresses of the agents whose answers are awaited. */
   private readonly pendingAgents = new Set<string>();
@@ -222,51 +222,51 @@
     effects: Effects,
     sender: BackEndSender,
     private settings: ProxySettings,
-    { backEnds, dialect }: ProxyWords = { backEnds: ownWords, dialect: ownDialect },
+    { backEnds, dialect }: ProxyProtocols = { backEnds: nativeCodec, dialect: nativeConfigurationFormat },
   ) {
     const { clock, random } = effects;
     this.effects = { ...effects, transport: new FleetTransport(effects.transport, () => this.fleet.name) };
-    this.log = Logs.part(`proxy:${settings.name}`);
+    this.log = Logs.channel(`proxy:${settings.name}`);
     this.freshness = new Freshness(clock, dialect, settings.engineList);
-    this.pulses = new Pulses(clock);
-    this.fence = new StalenessGuard(
+    this.pulses = new HolderHeartbeats(clock);
+    this.stalenessGuard = new StalenessGuard(
       this.freshness,
       clock,
       settings.freshMicroseconds,
       settings.weightsCutMicroseconds,
       settings.denialMicroseconds,
     );
-    this.identifier = new RequestIdentifier(this.fence, settings.retryAfterSeconds);
+    this.identifier = new RequestIdentifier(this.stalenessGuard, settings.retryAfterSeconds);
     this.receivedLoads = new ReceivedLoads(settings.name);
     this.view = new EngineView(
       settings.name,
       this.freshness,
       this.facts,
-      this.fence,
+      this.stalenessGuard,
       clock,
       new EngineWork(clock, settings),
       settings.roomPerMille,
-      new OutlierDetector(settings.name, clock, settings.outliers, Logs.part(`proxy:${settings.name}:outliers`)),
+      new OutlierDetector(settings.name, clock, settings.outliers, Logs.channel(`proxy:${settings.name}:outliers`)),
       () => this.receivedLoads.others,
     );
     this.demand = new DemandView(this.facts, clock, settings.demand);
     const readSpeeds = new PrefillSpeeds();
     // The initial value is 1000 because these are ratios of the measured import time to the expected one, in per mille.
-    const moves = new PartMoves(this.view, new LinkSpeeds(1000, 4096), settings.moves);
+    const moves = new PartImports(this.view, new LinkSpeeds(1000, 4096), settings.partImports);
     this.readSpeeds = readSpeeds;
     this.lanes = new ReservedEngines(clock, settings.lanes);
     const desk = new SchedulerClient(
       this.effects.transport,
       clock,
       () => this.view.others.listHolder()?.address,
-      settings.deskMicroseconds,
+      settings.schedulerMicroseconds,
       this.metrics,
-      Logs.part('desk'),
+      Logs.channel('desk'),
     );
     this.speeds = new LinkSpeeds(settings.importMicrosecondsPerBlock, 4096);
-    this.feedWatch = new FeedWatch(clock, this.metrics, this.notice);
-    this.standstills = new StandstillWatch(clock, this.notice);
-    this.exchange = new NewsExchange(
+    this.feedWatch = new SubscriptionMonitor(clock, this.metrics, this.notice);
+    this.standstills = new StallMonitor(clock, this.notice);
+    this.exchange = new GossipExchange(
       {
         fleet: this.fleet,
         facts: this.facts,
@@ -275,19 +275,19 @@
         pulses: this.pulses,
       },
       this.effects,
-      (document) => this.feedWatch.received(document),
+      (document) => this.feedWatch.recordDocument(document),
     );
-    this.feeders = new Feeders(settings, clock, () => this.view.others.agents());
-    this.seedContacts = new SeedContacts(clock, this.fleet, settings);
-    this.own = new ProxyFacts(
+    this.feeders = new AgentSelector(settings, clock, () => this.view.others.agents());
+    this.seedContacts = new SeedSelector(clock, this.fleet, settings);
+    this.ownFacts = new ProxyFacts(
       settings.name,
       this.facts,
       clock,
       () => this.view.proxies(),
       () => this.feeders.agent,
     );
-    this.notes = new NotePost(clock, this.effects.transport, () => this.feeders.address, settings);
-    this.desk = new TakeDesk(
+    this.notes = new NoteSender(clock, this.effects.transport, () => this.feeders.address, settings);
+    this.queue = new AdmissionQueue(
       clock,
       this.view,
       () => this.freshness.blueprint?.classes ?? {},
@@ -306,41 +306,41 @@
     );
     this.sends = new SendPolicy({
       sender,
-      words: backEnds,
-      moves,
-      readSpeeds,
-      desk,
-      cutsOldWeights: settings.cutsOldWeights,
+      backEndFormat: backEnds,
+      importDurations: moves,
+      prefillSpeeds: readSpeeds,
+      scheduler: desk,
+      cutsResponsesOnOldWeights: settings.cutsOldWeights,
       silentMicroseconds: settings.silentMicroseconds,
       urgencyOf: ({ resolved }) => this.freshness.blueprint?.classes[resolved?.mapping.class ?? '']?.rank,
-      busySeconds: settings.busySeconds,
-      unsentIsFree: settings.unsentIsFree,
-      fence: this.fence,
+      busyRetryAfterSeconds: settings.busySeconds,
+      unreachedAttemptsAreFree: settings.unsentIsFree,
+      fence: this.stalenessGuard,
       identifier: this.identifier,
       view: this.view,
       speeds: this.speeds,
       clock,
       metrics: this.metrics,
       log: this.log,
-      logRead: Logs.isOn('reads') ? Logs.part('reads') : undefined,
+      prefillLog: Logs.isOn('reads') ? Logs.channel('reads') : undefined,
       budgetOf: (service) => this.budgetOf(service),
-      holdingLeft: ({ order, resolved }) =>
-        this.desk.holdingLeft(resolved?.mapping.class ?? '', {
+      remainingQueueMicroseconds: ({ order, resolved }) =>
+        this.queue.remainingQueueMicroseconds(resolved?.mapping.class ?? '', {
           arrivedMicroseconds: order.arrivedMicroseconds,
           limitMicroseconds: RequestLimits.of(order, resolved?.mapping),
         }),
-      tell: (notes) => this.notes.tell(notes),
-      mostSends: settings.mostSends,
-      stillGood: (fetch) => planner.stillGood(fetch),
+      publishNotes: (notes) => this.notes.send(notes),
+      maxAttempts: settings.mostSends,
+      isPlanValid: (fetch) => planner.isStillValid(fetch),
       seenAgeMicroseconds: (engine) => this.pulses.ageMicroseconds(engine),
     });
-    const traceLog = Logs.isOn('requests') ? Logs.part('requests') : undefined;
+    const traceLog = Logs.isOn('requests') ? Logs.channel('requests') : undefined;
     this.pipeline = new Pipeline(
       [
         IdentificationPolicies.identifyTenant(this.identifier),
         IdentificationPolicies.resolveMapping(this.identifier),
-        TakePolicies.take(this.desk, this.identifier, (service) => this.budgetOf(service)),
-        PlacementPolicies.computeKeys((prefix) => this.demand.saw(prefix)),
+        AdmissionPolicies.take(this.queue, this.identifier, (service) => this.budgetOf(service)),
+        PlacementPolicies.computeKeys((prefix) => this.demand.countRequest(prefix)),
         PlacementPolicies.place({
           view: this.view,
           shards: this.shards,
@@ -368,25 +368,25 @@
       this.log,
       (start) => (traceLog === undefined ? undefined : new RequestTrace(clock, traceLog, start)),
     );
-    const failed = (error: unknown): void => this.log(`A periodic task failed: ${Logs.text(error)}.`);
+    const failed = (error: unknown): void => this.log(`A periodic task failed: ${Logs.errorMessage(error)}.`);
     this.tickers = [
       new Ticker(
         clock,
-        () => this.standstills.planned(this.updateInterval()),
+        () => this.standstills.scheduled(this.updateInterval()),
         () => this.update(),
         failed,
       ),
       new Ticker(
         clock,
         () => 1_000_000,
-        () => Promise.resolve(this.speeds.fade()),
+        () => Promise.resolve(this.speeds.decay()),
         failed,
       ),
     ];
-    this.metrics.watch(() => [
+    this.metrics.addGauges(() => [
       ['postdrum_running_sends', {}, this.sends.count],
-      ['postdrum_held_orders', {}, this.desk.heldCount()],
-      ['postdrum_wanted_prefixes', {}, this.demand.wanted().length],
+      ['postdrum_held_orders', {}, this.queue.queuedCount()],
+      ['postdrum_wanted_prefixes', {}, this.demand.ranking().length],
       ...this.view.outliers
         .countsByState()
         .map(([state, count]) => ['postdrum_outlier_engines', { state }, count] as const),
@@ -401,19 +401,19 @@
   }
 
   public fresh(): boolean {
-    return this.fence.isFresh();
+    return this.stalenessGuard.isFresh();
   }
 
   /** Whether the proxy can serve clients: its configuration is current, and each service with mappings has a usable engine. */
-  public ready(): boolean {
+  public isReady(): boolean {
     const blueprint = this.freshness.blueprint;
-    if (blueprint === undefined || !this.fence.isFresh()) return false;
+    if (blueprint === undefined || !this.stalenessGuard.isFresh()) return false;
     const services = new Set(Object.values(blueprint.mappings).map(({ service }) => service));
     return [...services].some((service) => this.view.candidates(service).length > 0);
   }
 
   /** The largest number of daemons known to have belonged to the fleet recently, this one included. */
-  public daemons(): number {
+  public knownDaemons(): number {
     return this.view.others.everSeen();
   }
 
@@ -423,13 +423,13 @@
   }
 
   /** Counters that must be zero once all requests have ended. */
-  public remains(): Readonly<Record<string, number>> {
+  public remainingWork(): Readonly<Record<string, number>> {
     return {
       'running sends': this.sends.count,
-      'held orders': this.desk.heldCount(),
-      'places taken': this.desk.runningCount(),
+      'held orders': this.queue.queuedCount(),
+      'places taken': this.queue.runningCount(),
       'sends counted at engines': Object.keys(this.view.loads()).length,
-      'unsent notes': this.notes.waiting,
+      'unsent notes': this.notes.pendingCount,
     };
   }
 
@@ -443,17 +443,17 @@
   }
 
   /** Applies changed settings: those that may change at runtime take effect at once, the rest after a restart. */
-  public settingsAre(changed: ProxySettings): void {
-    const change = SettingsChanges.of(this.settings, changed, reloadable);
+  public applySettings(changed: ProxySettings): void {
+    const change = SettingsChanges.apply(this.settings, changed, reloadable);
     this.settings = change.settings;
-    this.fence.setBounds(
+    this.stalenessGuard.setBounds(
       this.settings.freshMicroseconds,
       this.settings.weightsCutMicroseconds,
       this.settings.denialMicroseconds,
     );
-    for (const budget of this.budgets.values()) budget.settingsAre(this.budgetSettings());
-    this.seedContacts.seedsAre(this.settings.seeds);
-    const sentence = SettingsChanges.sentence(change);
+    for (const budget of this.budgets.values()) budget.setSettings(this.budgetSettings());
+    this.seedContacts.setSeeds(this.settings.seeds);
+    const sentence = SettingsChanges.describe(change);
     if (sentence !== undefined) this.notice(sentence);
   }
 
@@ -478,18 +478,18 @@
    * information has an age, and the staleness guard has the same limits. So an agent and its proxy may be stopped in any order.
    */
   private async update(): Promise<void> {
-    this.standstills.began();
-    this.own.sayLoad({
+    this.standstills.started();
+    this.ownFacts.publishLoad({
       engines: this.view.loads(),
-      ...this.desk.loads(),
+      ...this.queue.loads(),
       work: this.view.work.sums(),
       mix: this.lanes.mixes(),
-      ...this.view.outliers.telling(),
+      ...this.view.outliers.reportToPublish(),
     });
-    this.own.sayDemand(this.demand.telling().demand);
-    const subscription = { proxy: this.settings.name, facts: this.own.own(), omits: omittedKinds };
+    this.ownFacts.publishDemand(this.demand.countsToPublish().demand);
+    const subscription = { proxy: this.settings.name, facts: this.ownFacts.ownFacts(), omits: omittedKinds };
     const isStale = this.freshness.ageMicroseconds() > staleMicroseconds;
-    const seed = this.feeders.isLost ? this.seedContacts.next() : undefined;
+    const seed = this.feeders.needsSeed ? this.seedContacts.next() : undefined;
     const asked = this.effects.clock.nowMicroseconds();
     await Promise.all([
       ...this.feeders.targets(isStale).map((address) => this.updateFrom(address, subscription)),
@@ -497,8 +497,8 @@
     ]);
     const applied = this.freshness.revision('blueprint');
     this.updateTookMicroseconds = this.effects.clock.nowMicroseconds() - asked;
-    this.feedWatch.looked(this.freshness.ageMicroseconds(), applied);
-    this.feedWatch.applies(applied, this.freshness.wanted().find(({ key }) => key === 'blueprint')?.revision);
+    this.feedWatch.checkAge(this.freshness.ageMicroseconds(), applied);
+    this.feedWatch.checkRevision(applied, this.freshness.wanted().find(({ key }) => key === 'blueprint')?.revision);
     const listed = this.freshness.engines?.engines;
     if (listed !== undefined) {
       const holders = [...Object.keys(listed), ...Object.keys(this.freshness.blueprint?.stores ?? {})];
@@ -509,8 +509,8 @@
     }
     this.view.detectOutliers();
     this.sends.recheck();
-    this.desk.recheck();
-    this.desk.serveAll();
+    this.queue.revalidateQueued();
+    this.queue.startAllWaiting();
   }
 
   /**
@@ -518,7 +518,7 @@
    * proxy has a smaller share of the requests there, and information about other proxies takes longer than this to arrive anyway.
    */
   private updateInterval(): number {
-    const usual = this.settings.feedMicroseconds * FleetPace.of(this.view.proxies(), maxIntervalFactor);
+    const usual = this.settings.feedMicroseconds * IntervalScaling.of(this.view.proxies(), maxIntervalFactor);
     return Math.max(usual, Math.min(this.updateTookMicroseconds, maxBusyPauseMicroseconds));
   }
 
@@ -531,8 +531,8 @@
     let isAnswered = false;
     const learn = (message: Message): void => {
       isAnswered = true;
-      this.feedWatch.asked(address, true, clock.nowMicroseconds() - asked);
-      this.feeders.heard(address);
+      this.feedWatch.recordRequest(address, true, clock.nowMicroseconds() - asked);
+      this.feeders.recordAnswer(address);
       this.learn(address, message, asked);
     };
     const request = { ...extra, loads: this.receivedLoads.position(address) };
@@ -540,12 +540,14 @@
     // The proxy only follows the agent: its own facts are few, and it asks many times a second.
     const exchanged = this.exchange
       .ask(address, feedAskMicroseconds, request, learn, 'following', feedAskMicroseconds * lateAnswerFactor)
-      .catch((error: unknown) => this.log(`The answer of the agent at ${address} cannot be read: ${Logs.text(error)}.`))
+      .catch((error: unknown) =>
+        this.log(`The answer of the agent at ${address} cannot be read: ${Logs.errorMessage(error)}.`),
+      )
       .finally(() => this.pendingAgents.delete(address));
     await Promise.race([exchanged, Clocks.wait(clock, feedAskMicroseconds)]);
     if (isAnswered) return;
-    this.feedWatch.asked(address, false, clock.nowMicroseconds() - asked);
-    this.feeders.unheard(address);
+    this.feedWatch.recordRequest(address, false, clock.nowMicroseconds() - asked);
+    this.feeders.recordFailure(address);
   }
 
   private learn(address: string, message: Message, askedMicroseconds: number): void {
@@ -553,24 +555,29 @@
     // The fleet is learned only from the local agent: other addresses may belong to another fleet by now.
     if (address === this.settings.agentAddress) this.fleet.learn(fleet);
     if (fleet === '' || fleet !== this.fleet.name) return;
-    const ownLoad = (version: FactVersion): LoadFact | undefined => this.own.loadSaidAs(version);
-    this.receivedLoads.take(address, message['loads'], ownLoad, askedMicroseconds);
+    const ownLoad = (version: EntryVersion): LoadEntry | undefined => this.ownFacts.publishedLoad(version);
+    this.receivedLoads.applyUpdate(address, message['loads'], ownLoad, askedMicroseconds);
   }
 
   /** Asks a seed, which answers with the name of the fleet and the agents that have contacted it recently. */
   private async askSeed(seed: string): Promise<void> {
-    const learn = (message: Message): void => this.seedContacts.heard(seed, String(message['fleet'] ?? ''));
+    const learn = (message: Message): void => this.seedContacts.recordAnswer(seed, String(message['fleet'] ?? ''));
     await this.exchange.ask(seed, this.settings.feedAskMicroseconds, {}, learn, 'following');
   }
 
-  private async grant(engine: string, fill: string, epoch: number, keys: readonly NamedKey[]): Promise<GrantAnswer> {
+  private async grant(
+    engine: string,
+    fill: string,
+    epoch: number,
+    keys: readonly NamedKey[],
+  ): Promise<FillGrantAnswer> {
     const answer = await this.effects.transport.ask(
       this.feeders.address,
       { kind: 'grant', engine, fill, epoch, keys },
       this.settings.grantMicroseconds,
     );
     return answer.kind === 'answered' && answer.message.kind === 'grantAnswer'
-      ? (answer.message['answer'] as GrantAnswer)
+      ? (answer.message['answer'] as FillGrantAnswer)
       : { kind: 'refused', reason: 'notSteward' };
   }
 
@@ -582,13 +589,13 @@
     return created;
   }
 
-  private budgetSettings(): BudgetSettings {
+  private budgetSettings(): RetryBudgetSettings {
     const { retryPerMille, retryFleetAllowance, retryAllowanceMicroseconds, retryLeastDaemons } = this.settings;
     return {
       perMille: retryPerMille,
       fleetAllowance: retryFleetAllowance,
-      allowanceMicroseconds: retryAllowanceMicroseconds,
-      leastDaemons: retryLeastDaemons,
+      allowanceIntervalMicroseconds: retryAllowanceMicroseconds,
+      minProxies: retryLeastDaemons,
     };
   }
 }
--- a/source/edge-proxy/identification/requestIdentifier.ts
+++ b/source/edge-proxy/identification/requestIdentifier.ts
@@ -1,4 +1,4 @@
-import type { Blueprint, Mapping } from '../../shared/blueprint/types';
+import type { Configuration, Route } from '../../shared/configuration/types';
 import { Identities } from '../../shared/directory/identity';
 import { Refusals, type Refusal } from '../../shared/verdict/verdict';
 import type { ProxyRequest, Policy, ResolvedRequest } from '../pipeline/request';
@@ -13,7 +13,7 @@
   sharedDomain: string;
   paths: ReadonlySet<string>;
   /** The configuration that the tables were built from. */
-  of: Blueprint;
+  of: Configuration;
   /** Tenant by API key. */
   tenants: ReadonlyMap<string, string>;
   hosts: ReadonlyMap<string, HostIndex>;
@@ -25,7 +25,7 @@
 /** The host name without the port, in lower case, as mappings spell it. */
 const normalizedHost = (host: string | undefined): string => (host ?? '').replace(/:\d+$/, '').toLowerCase();
 
-const indexHosts = (mappings: Blueprint['mappings']): ReadonlyMap<string, HostIndex> => {
+const indexHosts = (mappings: Configuration['mappings']): ReadonlyMap<string, HostIndex> => {
   const hosts = new Map<string, { whole: Map<string, string>; byPrefix: Map<string, string> }>();
   for (const [name, mapping] of Object.entries(mappings)) {
     const host = normalizedHost(mapping.host);
@@ -201,7 +201,7 @@
   private findMapping(
     { path, host }: Pick<RequestHead, 'path' | 'host'>,
     model: string,
-  ): Readonly<{ name: string; mapping: Mapping }> | undefined {
+  ): Readonly<{ name: string; mapping: Route }> | undefined {
     const index = this.currentIndex();
     if (index === undefined) return undefined;
     const requestHost = normalizedHost(host);
@@ -249,7 +249,7 @@
  * The mapping as it applies to one request: with the service chosen by traffic share and the class of its tenant. The share is
  * chosen by the request's id, so that the same request always gets the same service.
  */
-const mappingForRequest = (mapping: Mapping, requestId: string, tenantClass: string): Mapping => {
+const mappingForRequest = (mapping: Route, requestId: string, tenantClass: string): Route => {
   const service = TrafficShares.pickService(mapping, requestId);
   const className = tenantClass === '' ? mapping.class : tenantClass;
   return service === mapping.service && className === mapping.class
--- a/source/edge-proxy/identification/stalenessGuard.ts
+++ b/source/edge-proxy/identification/stalenessGuard.ts
@@ -1,7 +1,7 @@
-import type { Blueprint } from '../../shared/blueprint/types';
+import type { Configuration } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Freshness } from '../../shared/freshness/freshness';
-import { WeightsClocks } from '../../shared/weights/weightsClocks';
+import { WeightsDeadlines } from '../../shared/weights/weightsDeadlines';
 
 /** `untilChanged`: previous weights, allowed until the cutoff after the change. */
 export type WeightsPermission = 'intended' | 'untilChanged' | 'forbidden';
@@ -14,7 +14,7 @@
     /** From this age on no request is accepted; Infinity: the configuration is used however old it is. */
     private maxAgeMicroseconds: number,
     /** Time after a change of weights during which engines on the previous weights may still be used. */
-    private weightsCutoffMicroseconds: number = WeightsClocks.cutMicroseconds,
+    private weightsCutoffMicroseconds: number = WeightsDeadlines.cutMicroseconds,
     /** From this age on an unknown key or path is not denied, because a newer configuration may contain it. */
     private maxDenialAgeMicroseconds: number = Infinity,
   ) {}
@@ -41,7 +41,7 @@
   }
 
   /** The applied configuration. */
-  public get blueprint(): Blueprint | undefined {
+  public get blueprint(): Configuration | undefined {
     return this.freshness.blueprint;
   }
 
--- a/source/edge-proxy/identification/trafficShares.ts
+++ b/source/edge-proxy/identification/trafficShares.ts
@@ -1,4 +1,4 @@
-import type { Mapping } from '../../shared/blueprint/types';
+import type { Route } from '../../shared/configuration/types';
 
 /** Hashes a text to a fraction from 0 (inclusive) to 1 (exclusive), with FNV-1a over its characters. */
 const hashFraction = (text: string): number => {
@@ -12,7 +12,7 @@
 /** Splits the traffic of a mapping among services by weight. */
 export const TrafficShares = {
   /** The service for the request with this id; always the same for the same id and shares. */
-  pickService: ({ service, shares }: Mapping, requestId: string): string => {
+  pickService: ({ service, shares }: Route, requestId: string): string => {
     const total = (shares ?? []).reduce((sum, { weight }) => sum + weight, 0);
     if (shares === undefined || total <= 0) return service;
     let remaining = hashFraction(requestId) * total;
--- a/source/edge-proxy/main.ts
+++ b/source/edge-proxy/main.ts
@@ -32,7 +32,7 @@
   bodyBytes: {
     doc: 'most bytes of a body',
     format: SettingFormats.whole,
-    default: HttpLimits.usualBodyBytes,
+    default: HttpLimits.defaultBodyBytes,
     kind: 'whole',
   },
   conns: { doc: 'most conns of callers', format: SettingFormats.whole, default: 2048, kind: 'whole' },
--- a/source/edge-proxy/mechanisms.ts
+++ b/source/edge-proxy/mechanisms.ts
@@ -6,15 +6,15 @@
   /** Engines reserved for short requests. */
   lanes: (settings) => ({ ...settings, lanes: { ...settings.lanes, headroomPerMille: 0 } }),
   /** Long requests placed one after the other by a single scheduler for all proxies. */
-  desk: (settings) => ({ ...settings, deskMicroseconds: 0 }),
+  desk: (settings) => ({ ...settings, schedulerMicroseconds: 0 }),
   /** A default engine, the same for all proxies, that prefills a part no holder caches. */
   homes: (settings) => ({ ...settings, workPlacement: { ...settings.workPlacement, homeMicroseconds: 0 } }),
   /** Imports of parts from an engine or a store that is known to cache them. */
-  imports: (settings) => ({ ...settings, moves: { ...settings.moves, imports: false } }),
+  imports: (settings) => ({ ...settings, partImports: { ...settings.partImports, imports: false } }),
   /** Imports from a holder that may cache the parts although none is known to. */
-  guesses: (settings) => ({ ...settings, moves: { ...settings.moves, guesses: false } }),
+  guesses: (settings) => ({ ...settings, partImports: { ...settings.partImports, guessesSources: false } }),
   /** A fallback source in case the engine has evicted the parts that it is known to cache. */
-  spares: (settings) => ({ ...settings, moves: { ...settings.moves, spares: false } }),
+  spares: (settings) => ({ ...settings, partImports: { ...settings.partImports, namesFallbacks: false } }),
   /** Ejection of engines whose responses fail. */
   ejection: (settings) => ({ ...settings, outliers: { ...settings.outliers, ejectPerMille: 0 } }),
   /** Counting of requested prefixes, and copies of them by demand. */
--- a/source/edge-proxy/outliers/answerCounts.ts
+++ b/source/edge-proxy/outliers/answerCounts.ts
@@ -4,7 +4,7 @@
 type HalfWindows = {
   half: number;
   readonly current: [good: number, failed: number];
-  readonly before: [good: number, failed: number];
+  readonly previous: [good: number, failed: number];
 };
 
 const noAnswers: AnswerCount = { good: 0, failed: 0 };
@@ -20,7 +20,7 @@
     const halves = this.shiftToNow(engine, nowMicroseconds) ?? {
       half: this.halfOf(nowMicroseconds),
       current: [0, 0],
-      before: [0, 0],
+      previous: [0, 0],
     };
     this.engines.set(engine, halves);
     halves.current[isGood ? 0 : 1] += 1;
@@ -31,7 +31,7 @@
     const halves = this.shiftToNow(engine, nowMicroseconds);
     return halves === undefined
       ? noAnswers
-      : { good: halves.current[0] + halves.before[0], failed: halves.current[1] + halves.before[1] };
+      : { good: halves.current[0] + halves.previous[0], failed: halves.current[1] + halves.previous[1] };
   }
 
   /** Whether any engine failed within the window; a cheap check, since the result is usually no. */
@@ -65,7 +65,7 @@
     const shifted: HalfWindows = {
       half: halves.half + elapsedHalves,
       current: [0, 0],
-      before: elapsedHalves === 1 ? halves.current : [0, 0],
+      previous: elapsedHalves === 1 ? halves.current : [0, 0],
     };
     this.engines.set(engine, shifted);
     return shifted;
--- a/source/edge-proxy/outliers/ejectionBound.ts
+++ b/source/edge-proxy/outliers/ejectionLimit.ts
@@ -12,8 +12,8 @@
  * Limits how many of the engines that should be ejected really are: never more than a share of the pool, and only while the others
  * have free capacity, since an engine that answers some of its requests is better than none.
  */
-export const EjectionBound = {
-  out: (pool: readonly PoolMember[], settings: OutlierSettings): ReadonlySet<string> => {
+export const EjectionLimit = {
+  ejected: (pool: readonly PoolMember[], settings: OutlierSettings): ReadonlySet<string> => {
     const maxEjected = Math.floor((pool.length * settings.ejectPerMille) / 1000);
     const out = new Set<string>();
     // Sorted by offences and then by name, so that all proxies with the same information choose the same engines.
--- a/source/edge-proxy/outliers/outlierDetector.ts
+++ b/source/edge-proxy/outliers/outlierDetector.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Log } from '../../shared/log/log';
-import type { LoadFact } from '../../shared/news/factTypes';
+import type { LoadEntry } from '../../shared/gossip/entryTypes';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 import { AnswerCounts } from './answerCounts';
-import { EjectionBound } from './ejectionBound';
+import { EjectionLimit } from './ejectionLimit';
 import type { OutlierSettings } from './outlierSettings';
 import { OutlierStates, type OutlierEvent, type OutlierState } from './outlierStates';
 import { OutlierVerdicts, type Evidence } from './outlierVerdicts';
 
 /** Status of an engine that may receive requests: `suspected`, other engines are preferred, or `probation`; a missing entry: normal. */
-export type Standing = 'suspected' | 'probation';
+export type OutlierStatus = 'suspected' | 'probation';
 
 /** How a send to an engine ended. `silent`: it was given up without any response data from the engine. */
-export type AnswerEnd = 'good' | 'failed' | 'silent';
+export type AnswerOutcome = 'good' | 'failed' | 'silent';
 
 type ReportedCounts = Readonly<{ good: number; failed: number; reporters: number }>;
 type Reports = Readonly<{ engines: ReadonlyMap<string, ReportedCounts>; answering: ReadonlySet<string> }>;
@@ -36,7 +36,7 @@
   private readonly silentSince = new Map<string, Readonly<{ version: string; at: number }>>();
   /** When a service last had a request that is fit for probing. */
   private readonly fitAt = new Map<string, number>();
-  private reports: (Reports & Readonly<{ of: readonly LoadFact[] }>) | undefined;
+  private reports: (Reports & Readonly<{ of: readonly LoadEntry[] }>) | undefined;
   private changeCount = 0;
 
   public constructor(
@@ -59,7 +59,7 @@
   }
 
   public stateOf(engine: string): OutlierState {
-    return this.states.get(engine) ?? OutlierStates.start;
+    return this.states.get(engine) ?? OutlierStates.initial;
   }
 
   /** Number of engines in each state except good. */
@@ -72,7 +72,7 @@
   }
 
   /** A request of this proxy ended at the engine, `tookMicroseconds` after it was written. */
-  public answered(engine: string, end: AnswerEnd, tookMicroseconds = 0): void {
+  public recordAnswer(engine: string, end: AnswerOutcome, tookMicroseconds = 0): void {
     // A send that was given up early does not show that the engine is silent.
     if (end === 'silent' && tookMicroseconds < this.settings.silentMicroseconds) return;
     const atMicroseconds = this.clock.nowMicroseconds();
@@ -86,7 +86,7 @@
    * Whether the engine answers requests although its engine controller cannot reach it. Only responses from about the time of the
    * controller's report, or later, count: an older one is no newer information than the report. `version`: that of the report.
    */
-  public answersThoughSilent(engine: string, version: string): boolean {
+  public answersThoughUnreachable(engine: string, version: string): boolean {
     const now = this.clock.nowMicroseconds();
     const known = this.silentSince.get(engine);
     if (known?.version !== version) {
@@ -98,17 +98,17 @@
   }
 
   /** A connection to the engine could not be opened. It counts neither as a failed response nor as a good one. */
-  public unreached(engine: string): void {
+  public recordConnectFailure(engine: string): void {
     this.missedAt.set(engine, this.clock.nowMicroseconds());
   }
 
   /** The engine controller reaches the engine again. */
-  public heardOf(engine: string): void {
+  public recordReachable(engine: string): void {
     if (this.silentSince.size > 0) this.silentSince.delete(engine);
   }
 
   /** What this proxy publishes to the others; empty while no engine fails and the engine controllers reach all engines. */
-  public telling(): Pick<LoadFact, 'failing' | 'answering'> {
+  public reportToPublish(): Pick<LoadEntry, 'failing' | 'answering'> {
     const now = this.clock.nowMicroseconds();
     const failing = this.settings.ejectPerMille === 0 ? {} : this.counts.failing(now);
     const answering = [...this.silentSince].flatMap(([engine, { at }]) =>
@@ -121,7 +121,7 @@
   }
 
   /** Called when gossip arrives: judges the engines of each pool. Without failures it returns after a few cheap checks. */
-  public review(others: readonly LoadFact[], pools: () => readonly Pool[]): void {
+  public evaluate(others: readonly LoadEntry[], pools: () => readonly Pool[]): void {
     const atMicroseconds = this.clock.nowMicroseconds();
     const reported = this.reportsOf(others).engines;
     if (this.states.size === 0 && reported.size === 0 && !this.counts.hasFailures(atMicroseconds)) return;
@@ -158,20 +158,20 @@
    * Status of the engines of one pool that are not in the good state. `isFree`: no request of this proxy is in flight at the engine,
    * so that one on probation may receive its next.
    */
-  public standingsIn(
+  public statusesIn(
     pool: readonly EngineCapacity[],
     isFree: (name: string) => boolean,
-  ): ReadonlyMap<string, Standing | 'out'> {
+  ): ReadonlyMap<string, OutlierStatus | 'out'> {
     if (this.states.size === 0) return new Map();
     const kinds = new Map(pool.map(({ name }) => [name, this.stateOf(name)] as const));
-    const out = EjectionBound.out(
+    const out = EjectionLimit.ejected(
       pool.map((member) => {
         const { kind = 'good', offences = 0 } = kinds.get(member.name) ?? {};
         return { ...member, offences, isOut: kind === 'ejected' || kind === 'probation' };
       }),
       this.settings,
     );
-    const standings = new Map<string, Standing | 'out'>();
+    const standings = new Map<string, OutlierStatus | 'out'>();
     for (const [name, { kind }] of kinds) {
       if (kind === 'good') continue;
       // An engine that should be ejected, but whose capacity is needed, is suspected, so that the others are preferred.
@@ -202,7 +202,7 @@
   private step(engine: string, event: OutlierEvent): void {
     if (this.settings.ejectPerMille === 0) return;
     const before = this.stateOf(engine);
-    const after = OutlierStates.step(before, event, this.settings);
+    const after = OutlierStates.next(before, event, this.settings);
     if (after === before) return;
     if (after.kind === 'good' && after.offences === 0) this.states.delete(engine);
     else this.states.set(engine, after);
@@ -230,7 +230,7 @@
     return this.reports?.answering.has(engine) === true && now - missed >= this.settings.speaksMicroseconds;
   }
 
-  private reportsOf(others: readonly LoadFact[]): Reports {
+  private reportsOf(others: readonly LoadEntry[]): Reports {
     // The array itself is compared because it is replaced only when gossip changes it.
     if (this.reports?.of === others) return this.reports;
     const engines = new Map<string, ReportedCounts>();
--- a/source/edge-proxy/outliers/outlierStates.ts
+++ b/source/edge-proxy/outliers/outlierStates.ts
@@ -69,9 +69,9 @@
 };
 
 export const OutlierStates = {
-  start: { kind: 'good', offences: 0, atMicroseconds: 0 } as OutlierState,
+  initial: { kind: 'good', offences: 0, atMicroseconds: 0 } as OutlierState,
   /** The state machine of an engine. An event that does not apply returns the same object. */
-  step: (state: OutlierState, event: OutlierEvent, settings: OutlierSettings): OutlierState => {
+  next: (state: OutlierState, event: OutlierEvent, settings: OutlierSettings): OutlierState => {
     switch (event.kind) {
       case 'judged':
         return judged(state, event.verdict, event.atMicroseconds, settings);
--- a/source/edge-proxy/outliers/probes.ts
+++ b/source/edge-proxy/outliers/probes.ts
@@ -1,4 +1,4 @@
-import type { Standing } from './outlierDetector';
+import type { OutlierStatus } from './outlierDetector';
 
 /** The engines that a request may be sent to while some of them are on probation. */
 export const Probes = {
@@ -6,7 +6,7 @@
    * A request that may probe is offered only the engine on probation: if that were left to chance, probation would take longer the
    * larger the pool is.
    */
-  among: <Item extends Readonly<{ standing?: Standing }>>(
+  among: <Item extends Readonly<{ standing?: OutlierStatus }>>(
     offered: readonly Item[],
     mayProbe: boolean,
   ): readonly Item[] => {
--- a/source/edge-proxy/pipeline/pipeline.ts
+++ b/source/edge-proxy/pipeline/pipeline.ts
@@ -55,7 +55,7 @@
         index = this.indexOfPolicy(step.kind === 'hold' ? this.returns.queue : this.returns.resolve);
       }
     } catch (error) {
-      this.log(`A policy failed for a request: ${Logs.text(error)}.`);
+      this.log(`A policy failed for a request: ${Logs.errorMessage(error)}.`);
       // The verdict is `mayHaveRun` because the point of failure is unknown, except before resolution, when nothing has been sent.
       return this.refuse(
         context,
--- a/source/edge-proxy/pipeline/request.ts
+++ b/source/edge-proxy/pipeline/request.ts
@@ -1,9 +1,9 @@
-import type { AppService, Blueprint, Mapping, Pool } from '../../shared/blueprint/types';
+import type { AppService, Configuration, Route, Pool } from '../../shared/configuration/types';
 import type { PromptPart } from '../../shared/directory/promptParts';
 
-import type { LookUp } from '../../shared/directory/lookup';
+import type { LookupResult } from '../../shared/directory/lookup';
 import type { Refusal } from '../../shared/verdict/verdict';
-import type { FetchPlan } from '../fetch/fetchPlanner';
+import type { FetchPlan } from '../cache-imports/fetchPlanner';
 import type { PromptKeys } from '../placement/placementPolicies';
 
 export type { PromptPart };
@@ -60,12 +60,12 @@
 /** The mapping, tenant and service that a request was resolved to. */
 export type ResolvedRequest = Readonly<{
   mappingName: string;
-  mapping: Mapping;
+  mapping: Route;
   tenant: string;
   trustDomain: string;
   service: Pool | AppService;
   /** The configuration that it was resolved with. */
-  resolvedWith: Blueprint;
+  resolvedWith: Configuration;
 }>;
 
 /** The engine chosen for a request. */
@@ -93,7 +93,7 @@
   release?: () => void;
   /** Cache keys of the prompt. */
   keys?: PromptKeys;
-  lookUp?: LookUp;
+  lookUp?: LookupResult;
   placed?: PlacedRequest;
   fetch?: FetchPlan;
   /** Number of sends to back ends so far. */
--- a/source/edge-proxy/placement/costPlacer.ts
+++ b/source/edge-proxy/placement/costPlacer.ts
@@ -1,11 +1,11 @@
-import type { Service } from '../../shared/blueprint/types';
-import type { DeskOffer, DeskWord } from '../../shared/desk/messages';
+import type { Service } from '../../shared/configuration/types';
+import type { SchedulerOffer, SchedulerDecision } from '../../shared/scheduler/schedulerMessages';
 import type { PartKey } from '../../shared/directory/promptParts';
-import type { LookUp } from '../../shared/directory/lookup';
+import type { LookupResult } from '../../shared/directory/lookup';
 import type { Random } from '../../shared/effects/random/random';
 import type { Metrics } from '../../shared/metrics/metrics';
 import type { DemandView } from '../demand/demandView';
-import { tokensIn, type PartMoves } from '../fetch/partMoves';
+import { tokensIn, type PartImports } from '../cache-imports/partImports';
 import type { ProxyRequest, PlacedRequest, ResolvedRequest } from '../pipeline/request';
 import { PlacementCosts, type RequestNeeds, type PlacementOffer, type PlacementCostSettings } from './placementCosts';
 import type { Candidate, EngineView } from './engineView';
@@ -21,7 +21,7 @@
 export class CostPlacer {
   public constructor(
     private readonly view: EngineView,
-    private readonly moves: PartMoves,
+    private readonly moves: PartImports,
     private readonly speeds: PrefillSpeeds,
     private readonly random: Random,
     private readonly zone: string,
@@ -40,7 +40,7 @@
     order: ProxyRequest,
     { service, mapping }: ResolvedRequest,
     keys: PromptKeys,
-    lookUp: (weights: string) => LookUp,
+    lookUp: (weights: string) => LookupResult,
   ): Promise<PlacedRequest | undefined> {
     const reserved = this.lanes.of(
       mapping.service,
@@ -168,13 +168,13 @@
     demand: RequestNeeds,
     prompt: number,
     pool: Service,
-  ): Promise<DeskWord | undefined> {
+  ): Promise<SchedulerDecision | undefined> {
     if (offers.length < 2) return Promise.resolve(undefined);
     const { parts } = demand;
     return this.desk.reserve({
       order: order.id,
       prefix: sharedPrefixOf(parts),
-      offers: offers.map((offer): DeskOffer => {
+      offers: offers.map((offer): SchedulerOffer => {
         const { copyMicroseconds: copy } = offer;
         const fields = [
           offer.name,
@@ -183,7 +183,7 @@
           Math.round(
             (Math.min(offer.tokensToPrefill, unsharedTokens(parts, prompt)) * 1000) / offer.tokensPerMillisecond,
           ),
-          Math.round(this.moves.usualMicroseconds(pool, tokensIn(parts, 0, parts.length - 1))),
+          Math.round(this.moves.expectedMicroseconds(pool, tokensIn(parts, 0, parts.length - 1))),
         ] as const;
         return copy === undefined ? fields : [...fields, Math.round(copy)];
       }),
@@ -195,11 +195,15 @@
 type CachedParts = Readonly<{
   parts: readonly PartKey[];
   names: readonly string[];
-  found: LookUp | undefined;
+  found: LookupResult | undefined;
   matched: ReadonlyMap<string, number>;
 }>;
 
-const cachedPartsUnder = (keys: PromptKeys, weights: string, lookUp: (weights: string) => LookUp): CachedParts => {
+const cachedPartsUnder = (
+  keys: PromptKeys,
+  weights: string,
+  lookUp: (weights: string) => LookupResult,
+): CachedParts => {
   const parts = keys.parts(weights);
   const found = parts.length === 0 ? undefined : lookUp(weights);
   const holders = found === undefined || found.kind === 'miss' ? [] : found.found;
--- a/source/edge-proxy/placement/engineView.ts
+++ b/source/edge-proxy/placement/engineView.ts
@@ -1,12 +1,12 @@
-import type { Blueprint, Engine, EngineList, Store as StoreShape } from '../../shared/blueprint/types';
+import type { Configuration, Engine, EngineList, SharedStore as StoreShape } from '../../shared/configuration/types';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Freshness } from '../../shared/freshness/freshness';
-import type { FactBook } from '../../shared/news/facts';
-import { FactKeys, type EngineFact, type LoadFact } from '../../shared/news/factTypes';
-import { WeightsRounds } from '../../shared/weights/weightsRounds';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipKeys, type EngineEntry, type LoadEntry } from '../../shared/gossip/entryTypes';
+import { WeightsRollout } from '../../shared/weights/weightsRollout';
 import type { StalenessGuard } from '../identification/stalenessGuard';
-import type { OthersTogether } from '../feeding/receivedLoads';
-import { OutlierDetector, type Standing } from '../outliers/outlierDetector';
+import type { OtherProxiesSum } from '../agent-subscription/receivedLoads';
+import { OutlierDetector, type OutlierStatus } from '../outliers/outlierDetector';
 import { OutlierSettings } from '../outliers/outlierSettings';
 import { EngineRefusals } from './engineRefusals';
 import type { EngineWork, WorkSum } from './engineWork';
@@ -26,7 +26,7 @@
   /** Work there, of all proxies as far as known. */
   work: WorkSum;
   /** Missing: healthy. `suspected`: other engines are preferred. `probation`: it gets one request at a time, as a probe. */
-  standing?: Standing;
+  standing?: OutlierStatus;
   /** It still has the previous weights and will be given the new ones soon; it then refuses requests that it has not started. */
   changesSoon?: boolean;
 }>;
@@ -54,7 +54,7 @@
   at: number;
   mark: string;
   list: EngineList | undefined;
-  blueprint: Blueprint | undefined;
+  blueprint: Configuration | undefined;
   /** Whether the result does not depend on the time. */
   isTimeIndependent: boolean;
   engines: readonly UsableEngine[];
@@ -83,13 +83,13 @@
   public constructor(
     private readonly self: string,
     private readonly freshness: Freshness,
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
     private readonly fence: StalenessGuard,
     private readonly clock: Clock,
     public readonly work: EngineWork,
     private readonly sendLimitPerMille = 1000,
     public readonly outliers = new OutlierDetector(self, clock, OutlierSettings.usual),
-    received: () => OthersTogether | undefined = () => undefined,
+    received: () => OtherProxiesSum | undefined = () => undefined,
   ) {
     this.others = new OtherProxies(self, facts, received);
     this.own = new OwnSends(clock);
@@ -140,7 +140,7 @@
   }
 
   /** The loads of the other proxies. */
-  public otherLoads(): readonly LoadFact[] {
+  public otherLoads(): readonly LoadEntry[] {
     return this.others.current().loads;
   }
 
@@ -168,7 +168,7 @@
   public detectOutliers(): void {
     this.refusals.dropExpired();
     const others = this.others.current();
-    this.outliers.review(others.loads, () => {
+    this.outliers.evaluate(others.loads, () => {
       const daemons = [this.self, ...others.names];
       return [...this.servicesListed().values()].map((listed) => ({ names: listed.map(([name]) => name), daemons }));
     });
@@ -230,9 +230,10 @@
       const fact = this.factOf(service, name, engine);
       if (fact === undefined || fact.changing || fact.address !== address) return [];
       // An engine that its monitoring agent cannot reach may still answer requests: only the link to its control interface may be down.
-      if (fact.reachable) this.outliers.heardOf(name);
+      if (fact.reachable) this.outliers.recordReachable(name);
       else isTimeIndependent = false;
-      if (fact.reachable ? !fact.accepting : !this.outliers.answersThoughSilent(name, this.versionOf(name))) return [];
+      if (fact.reachable ? !fact.accepting : !this.outliers.answersThoughUnreachable(name, this.versionOf(name)))
+        return [];
       const permission = this.fence.weights(service, fact.weights);
       if (permission !== 'intended') isTimeIndependent = false;
       if (permission === 'untilChanged') hasPreviousWeights = true;
@@ -257,17 +258,17 @@
     const of = `${pool.weights} ${names.join(' ')}`;
     let order = this.weightOrders.get(service);
     if (order?.of !== of) {
-      order = { of, engines: WeightsRounds.order(service, pool.weights, names) };
+      order = { of, engines: WeightsRollout.order(service, pool.weights, names) };
       this.weightOrders.set(service, order);
     }
     const hasChanged = (name: string): boolean =>
-      this.facts.value<EngineFact>(FactKeys.engine(name))?.weights === pool.weights;
-    return new Set(WeightsRounds.soon(order.engines, hasChanged));
+      this.facts.value<EngineEntry>(GossipKeys.engine(name))?.weights === pool.weights;
+    return new Set(WeightsRollout.upcomingEngines(order.engines, hasChanged));
   }
 
   /** Drops ejected engines and marks those that are suspected or on probation. */
   private withoutOutliers(able: readonly Candidate[]): readonly Candidate[] {
-    const standings = this.outliers.standingsIn(able, (name) => this.ownInFlight(name) === 0);
+    const standings = this.outliers.statusesIn(able, (name) => this.ownInFlight(name) === 0);
     if (standings.size === 0) return able;
     return able.flatMap((candidate) => {
       const standing = standings.get(candidate.name);
@@ -313,7 +314,7 @@
   /** Boot epoch of an engine or store; undefined: not known, or not reachable. */
   public bootEpochOf(holder: string): string | undefined {
     const address = this.addressOf(holder);
-    const fact = this.facts.value<EngineFact>(FactKeys.engine(holder));
+    const fact = this.facts.value<EngineEntry>(GossipKeys.engine(holder));
     return address === undefined || fact === undefined || !fact.reachable || fact.address !== address
       ? undefined
       : fact.bootEpoch;
@@ -342,7 +343,7 @@
     return [...listed, ...named].flatMap(([name, address]) => {
       const bootEpoch = this.bootEpochOf(name);
       // A store without any report is used, too: a proxy that has just started knows no reports yet, and stores outlive the daemons.
-      const isUnreported = bootEpoch === undefined && this.facts.get(FactKeys.engine(name)) === undefined;
+      const isUnreported = bootEpoch === undefined && this.facts.get(GossipKeys.engine(name)) === undefined;
       return bootEpoch === undefined && !isUnreported ? [] : [{ name, address, bootEpoch: bootEpoch ?? '' }];
     });
   }
@@ -356,8 +357,8 @@
    * because each send names the instance and the weights that it is meant for, and another engine does not run it. An entry without
    * weights is not enough, because an engine without a report may have any weights.
    */
-  private factOf(service: string, name: string, engine: Engine): EngineFact | undefined {
-    const fact = this.facts.value<EngineFact>(FactKeys.engine(name));
+  private factOf(service: string, name: string, engine: Engine): EngineEntry | undefined {
+    const fact = this.facts.value<EngineEntry>(GossipKeys.engine(name));
     if (fact !== undefined || engine.weights === undefined || engine.capacity === undefined) return fact;
     const pool = this.freshness.blueprint?.services[service];
     const weights = pool?.kind === 'pool' ? engine.weights[pool.model] : undefined;
@@ -378,7 +379,7 @@
 
   /** Version of the monitoring agent's report on an engine. */
   private versionOf(engine: string): string {
-    return this.facts.get(FactKeys.engine(engine))?.version.join('.') ?? '';
+    return this.facts.get(GossipKeys.engine(engine))?.version.join('.') ?? '';
   }
 
   private listed(service: string): ListedEngines {
--- a/source/edge-proxy/placement/engineWork.ts
+++ b/source/edge-proxy/placement/engineWork.ts
@@ -160,7 +160,7 @@
   }
 
   private isExpected(state: EngineState, name: string): boolean {
-    return state.recentlyPrefilled.has(name) || FillTables.forKey(state.fills, name) !== undefined;
+    return state.recentlyPrefilled.has(name) || FillTables.findByKey(state.fills, name) !== undefined;
   }
 
   private expireRecent(state: EngineState, now: number): void {
--- a/source/edge-proxy/placement/otherProxies.ts
+++ b/source/edge-proxy/placement/otherProxies.ts
@@ -1,13 +1,13 @@
-import type { FactBook } from '../../shared/news/facts';
-import type { OthersTogether } from '../feeding/receivedLoads';
+import type { GossipStore } from '../../shared/gossip/gossipStore';
+import type { OtherProxiesSum } from '../agent-subscription/receivedLoads';
 import {
-  FactKeys,
+  GossipKeys,
   MemberStates,
-  type LoadFact,
-  type MemberFact,
-  type StewardFact,
+  type LoadEntry,
+  type MemberEntry,
+  type ControllerEntry,
   type WorkMix,
-} from '../../shared/news/factTypes';
+} from '../../shared/gossip/entryTypes';
 import type { WorkSum } from './engineWork';
 
 /** The load of all other proxies on one engine. */
@@ -19,19 +19,19 @@
   mark: string;
   /** Names of the other proxies that seem to be running, in the order of `loads`. */
   names: readonly string[];
-  loads: readonly LoadFact[];
+  loads: readonly LoadEntry[];
   engines: ReadonlyMap<string, OtherProxiesLoad>;
   mixes: ReadonlyMap<string, WorkMix>;
 }>;
 
 /** The present agents, cached by the count of changes to members. */
-type CachedAgents = Readonly<{ changes: number; present: readonly MemberFact[] }>;
+type CachedAgents = Readonly<{ changes: number; present: readonly MemberEntry[] }>;
 
 const noMix: WorkMix = [0, 0];
 const noLoad: OtherProxiesLoad = { sends: 0, work: { pendingPrefillTokens: 0, tokens: 0 } };
 
 /** Sums of the loads by engine. */
-const engineSums = (loads: readonly LoadFact[]): ReadonlyMap<string, OtherProxiesLoad> => {
+const engineSums = (loads: readonly LoadEntry[]): ReadonlyMap<string, OtherProxiesLoad> => {
   const engines = new Map<string, OtherProxiesLoad>();
   for (const load of loads)
     for (const [name, sends] of Object.entries(load.engines)) {
@@ -47,7 +47,7 @@
 };
 
 /** Sums of the mixes by pool. */
-const mixSums = (loads: readonly LoadFact[]): ReadonlyMap<string, WorkMix> => {
+const mixSums = (loads: readonly LoadEntry[]): ReadonlyMap<string, WorkMix> => {
   const mixes = new Map<string, WorkMix>();
   for (const { mix } of loads)
     for (const [service, [short, long]] of Object.entries(mix ?? {})) {
@@ -57,7 +57,7 @@
   return mixes;
 };
 
-const otherLoadsOf = (mark: string, names: readonly string[], loads: readonly LoadFact[]): OtherLoads => ({
+const otherLoadsOf = (mark: string, names: readonly string[], loads: readonly LoadEntry[]): OtherLoads => ({
   mark,
   names,
   loads,
@@ -72,9 +72,9 @@
 
   public constructor(
     private readonly self: string,
-    private readonly facts: FactBook,
+    private readonly facts: GossipStore,
     /** Sums over all other proxies as received from agents; undefined: none, and the load of each proxy is added up here. */
-    private readonly received: () => OthersTogether | undefined = () => undefined,
+    private readonly received: () => OtherProxiesSum | undefined = () => undefined,
   ) {}
 
   /** Number of proxies that seem to be running, including this one. */
@@ -98,20 +98,20 @@
   }
 
   /** Agents that seem to be running; the same array until one joins or leaves. */
-  public agents(): readonly MemberFact[] {
+  public agents(): readonly MemberEntry[] {
     const changes = this.facts.changesOf('member');
     // Cached because it is read with each feed and each request but changes seldom.
     if (this.members?.changes !== changes) {
-      const all = this.facts.withPrefix('member/').map(({ value }) => value as MemberFact);
+      const all = this.facts.withPrefix('member/').map(({ value }) => value as MemberEntry);
       this.members = { changes, present: all.filter(MemberStates.isPresent) };
     }
     return this.members.present;
   }
 
   /** The agent that reads the list of engines from the platform; undefined: not known. */
-  public listHolder(): MemberFact | undefined {
-    const holder = this.facts.value<StewardFact>(FactKeys.listDuty)?.holder;
-    return holder === undefined || holder === '' ? undefined : this.facts.value<MemberFact>(FactKeys.member(holder));
+  public listHolder(): MemberEntry | undefined {
+    const holder = this.facts.value<ControllerEntry>(GossipKeys.listLease)?.holder;
+    return holder === undefined || holder === '' ? undefined : this.facts.value<MemberEntry>(GossipKeys.member(holder));
   }
 
   /** The current sums; the same object until an update of a load or an agent arrives. */
@@ -120,7 +120,7 @@
     return received === undefined ? this.summedHere() : this.together(received);
   }
 
-  private together({ changes, names, sum }: OthersTogether): OtherLoads {
+  private together({ changes, names, sum }: OtherProxiesSum): OtherLoads {
     const mark = `together/${changes}`;
     if (this.cachedLoads?.mark !== mark) this.cachedLoads = otherLoadsOf(mark, names, [sum]);
     return this.cachedLoads;
@@ -131,13 +131,13 @@
     // Cached by version and not for a period: sums older than the last update sent a request to an engine known to be full.
     if (this.cachedLoads?.mark === mark) return this.cachedLoads;
     const agents = new Set(this.agents().map(({ name }) => name));
-    const own = FactKeys.load(this.self);
+    const own = GossipKeys.load(this.self);
     const present = this.facts.withPrefix('load/').filter(({ key, value }) => {
-      const { agent, isSilent } = value as LoadFact;
+      const { agent, isSilent } = value as LoadEntry;
       return key !== own && isSilent !== true && agents.has(agent);
     });
-    const loads = present.map(({ value }) => value as LoadFact);
-    const names = present.map(({ key }) => key.slice(FactKeys.load('').length));
+    const loads = present.map(({ value }) => value as LoadEntry);
+    const names = present.map(({ key }) => key.slice(GossipKeys.load('').length));
     this.cachedLoads = otherLoadsOf(mark, names, loads);
     return this.cachedLoads;
   }
--- a/source/edge-proxy/placement/placementPolicies.ts
+++ b/source/edge-proxy/placement/placementPolicies.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import { HashChains, type BlockKey } from '../../shared/directory/hashChain';
 import { PromptParts, type PartKey, type PromptPart } from '../../shared/directory/promptParts';
-import { LookUps, type LookUp } from '../../shared/directory/lookup';
-import type { ShardBook } from '../../shared/directory/shardBook';
+import { Lookups, type LookupResult } from '../../shared/directory/lookup';
+import type { ShardCatalog } from '../../shared/directory/shardCatalog';
 import type { Random } from '../../shared/effects/random/random';
 import type { Metrics } from '../../shared/metrics/metrics';
 import { Refusals } from '../../shared/verdict/verdict';
@@ -26,7 +26,7 @@
 /** Share of this proxy's own burst that is expected from each other proxy as well. */
 const expectedBurstShare = 0.5;
 
-const noBlocksMiss: LookUp = { kind: 'miss', reason: 'noBlocks' };
+const noBlocksMiss: LookupResult = { kind: 'miss', reason: 'noBlocks' };
 
 /** A prompt whose shared parts have fewer tokens than this is not looked up. */
 const minSharedTokens = 512;
@@ -116,7 +116,7 @@
 /** What the placement policy works with. */
 export type PlacementDependencies = Readonly<{
   view: EngineView;
-  shards: ShardBook;
+  shards: ShardCatalog;
   placement: Placement;
   random: Random;
   metrics: Metrics;
@@ -153,13 +153,13 @@
       // Only on the first send: a retry goes to an engine that is expected to answer.
       const mayProbe = view.outliers.mayProbe(service, isProbeSafe) && context.sends === 0;
       const candidates = Probes.among(available, mayProbe);
-      const lookUps = new Map<string, LookUp>();
-      const lookUp = (weights: string): LookUp => {
+      const lookUps = new Map<string, LookupResult>();
+      const lookUp = (weights: string): LookupResult => {
         const found =
           lookUps.get(weights) ??
           (keys.blocks === 0
             ? noBlocksMiss
-            : LookUps.find(shards, keys.keysFor(weights), (holder) => view.bootEpochOf(holder)));
+            : Lookups.find(shards, keys.keysFor(weights), (holder) => view.bootEpochOf(holder)));
         lookUps.set(weights, found);
         return found;
       };
@@ -189,7 +189,7 @@
 const placeByPrefix = (
   candidates: readonly Candidate[],
   keys: PromptKeys,
-  lookUp: (weights: string) => LookUp,
+  lookUp: (weights: string) => LookupResult,
   view: EngineView,
   placement: Placement,
   random: Random,
--- a/source/edge-proxy/placement/reservedEngines.ts
+++ b/source/edge-proxy/placement/reservedEngines.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../../shared/effects/clock/clock';
-import type { WorkMix } from '../../shared/news/factTypes';
+import type { WorkMix } from '../../shared/gossip/entryTypes';
 import { Rendezvous } from '../../shared/rendezvous/rendezvous';
 
 /** How many engines are reserved for short requests. */
--- a/source/edge-proxy/placement/salts.ts
+++ b/source/edge-proxy/placement/salts.ts
@@ -1,4 +1,4 @@
-import type { Blueprint, Pool } from '../../shared/blueprint/types';
+import type { Configuration, Pool } from '../../shared/configuration/types';
 import { Identities } from '../../shared/directory/identity';
 import { PromptParts } from '../../shared/directory/promptParts';
 
@@ -6,7 +6,7 @@
 const saltsByPool = new WeakMap<Pool, Map<string, string>>();
 
 /** Current salts by configuration, cached because they take a hash per tenant. */
-const currentSalts = new WeakMap<Blueprint, Map<string, ReadonlySet<string>>>();
+const currentSalts = new WeakMap<Configuration, Map<string, ReadonlySet<string>>>();
 
 /** Salts of the cache keys of prompt parts. */
 export const Salts = {
@@ -21,7 +21,7 @@
   },
 
   /** All salts that may be in use now, with the pool on `weights` and the other pools on their intended weights. */
-  allCurrent: (blueprint: Blueprint, pool: Pool, weights: string): ReadonlySet<string> => {
+  allCurrent: (blueprint: Configuration, pool: Pool, weights: string): ReadonlySet<string> => {
     const sets = currentSalts.get(blueprint) ?? new Map<string, ReadonlySet<string>>();
     currentSalts.set(blueprint, sets);
     const modelKey = `${pool.model}\u0000${weights}`;
--- a/source/edge-proxy/placement/schedulerClient.ts
+++ b/source/edge-proxy/placement/schedulerClient.ts
@@ -1,4 +1,8 @@
-import { DeskMessages, type DeskOrder, type DeskWord } from '../../shared/desk/messages';
+import {
+  SchedulerMessages,
+  type SchedulerRequest,
+  type SchedulerDecision,
+} from '../../shared/scheduler/schedulerMessages';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Transport } from '../../shared/effects/transport/transport';
 import type { Log } from '../../shared/log/log';
@@ -25,7 +29,7 @@
   ) {}
 
   /** Asks the scheduler to place a request; undefined: the proxy places it itself. */
-  public async reserve(request: DeskOrder): Promise<DeskWord | undefined> {
+  public async reserve(request: SchedulerRequest): Promise<SchedulerDecision | undefined> {
     const address = this.address();
     if (this.askMicroseconds === 0) return undefined;
     const startedMicroseconds = this.clock.nowMicroseconds();
@@ -36,7 +40,7 @@
     const answer = await this.transport.ask(address, { kind: 'reserve', order: request }, this.askMicroseconds);
     const decision =
       answer.kind === 'answered' && answer.message.kind === 'reserved' ? answer.message['word'] : undefined;
-    if (DeskMessages.isWord(decision) && decision.engine !== '') {
+    if (SchedulerMessages.isDecision(decision) && decision.engine !== '') {
       this.missed = 0;
       this.recordResult(request, 'placed', startedMicroseconds);
       return decision;
@@ -50,7 +54,7 @@
 
   /** `unknown`: the agent that is the scheduler is not known. `declined`: the agent that was asked no longer is the scheduler. */
   private recordResult(
-    { order }: DeskOrder,
+    { order }: SchedulerRequest,
     result: 'placed' | 'declined' | 'silent' | 'resting' | 'unknown',
     startedMicroseconds: number,
   ): void {
--- a/source/edge-proxy/proxyProgram.ts
+++ b/source/edge-proxy/proxyProgram.ts
@@ -1,5 +1,5 @@
-import { ConnShares } from '../shared/back-end/keptConns/connShares';
-import { KeptConnSender, type ConnBound } from '../shared/back-end/keptConns/keptConnSender';
+import { ConnectionShares } from '../shared/back-end/connection-pool/connectionShares';
+import { PooledSender, type ConnectionBounds } from '../shared/back-end/connection-pool/pooledSender';
 import type { BackEndSender } from '../shared/back-end/protocol';
 import type { Clock } from '../shared/effects/clock/clock';
 import { realClock } from '../shared/effects/clock/realClock';
@@ -9,21 +9,21 @@
 import { DrainPlans, type DrainPlan } from '../shared/http/httpServer';
 import { Logs } from '../shared/log/log';
 import { Programs } from '../shared/settings/program';
-import { CallersDoor } from './door/callersDoor';
-import { ChatCallerWords, type CallerWords } from './door/callerWords';
-import { ReadinessDoor } from './door/readinessDoor';
-import { EdgeProxy, type ProxySettings, type ProxyWords } from './edgeProxy';
+import { ClientServer } from './client-api/clientServer';
+import { ChatClientApiFormat, type ClientApiFormat } from './client-api/clientApiFormat';
+import { ReadinessServer } from './client-api/readinessServer';
+import { EdgeProxy, type ProxySettings, type ProxyProtocols } from './edgeProxy';
 
-export type ProxyParts = Readonly<{
+export type ProxyOptions = Readonly<{
   /** Default: a clock that includes the time the machine is suspended. */
   clock?: Clock;
   settings: ProxySettings;
   address: string;
   limits: HttpLimits;
   bodyBytes: number;
-  makeSender: (boundOf: (address: string) => ConnBound) => BackEndSender;
-  words?: ProxyWords;
-  callers?: CallerWords;
+  makeSender: (boundOf: (address: string) => ConnectionBounds) => BackEndSender;
+  protocols?: ProxyProtocols;
+  clientProtocol?: ClientApiFormat;
   /** Endpoint at which a load balancer asks whether it may send clients here. */
   readiness?: Readonly<{ address: string; path: string }>;
   drain?: DrainPlan;
@@ -32,7 +32,7 @@
 
 /**
  * After a stop begins, the proxy listens at least so long, so that the load balancer notices the stop, and until no new connection
- * has arrived for `quietMicroseconds`.
+ * has arrived for `weightsChangeDelayMicroseconds`.
  */
 const minDrainMicroseconds = 2_300_000;
 const quietMicroseconds = 1_200_000;
@@ -44,7 +44,7 @@
 /** File descriptors that are needed for connections to back ends and for files. */
 const otherFileDescriptors = 600;
 
-export const ProxyStops = {
+export const GracefulStops = {
   /**
    * Plan for a graceful stop behind a load balancer that notices the stop late, in a process that is killed after the grace period.
    * The proxy accepts requests until the load balancer has noticed, and keeps enough time for finishing them.
@@ -53,32 +53,32 @@
     const stopLimitMicroseconds = Math.max(graceMicroseconds - exitMarginMicroseconds, graceMicroseconds / 2);
     return {
       drain: {
-        leastMicroseconds: minDrainMicroseconds,
+        minListenMicroseconds: minDrainMicroseconds,
         quietMicroseconds,
-        mostMicroseconds: Math.max(graceMicroseconds - finishMicroseconds, graceMicroseconds / 2),
-        lateMicroseconds: 1_000_000,
-        lastOrders: { afterMicroseconds: lastRequestsMicroseconds, endMicroseconds: stopLimitMicroseconds },
+        maxListenMicroseconds: Math.max(graceMicroseconds - finishMicroseconds, graceMicroseconds / 2),
+        incompleteRequestMicroseconds: 1_000_000,
+        lateRequests: { afterMicroseconds: lastRequestsMicroseconds, endMicroseconds: stopLimitMicroseconds },
       },
       stopLimitMicroseconds,
     };
   },
 } as const;
 
-export const ProxyConns = {
+export const ConnectionLimits = {
   /** Maximum number of client connections, given the limit of file descriptors and what else the process needs. */
-  ofCallers: (files: number): number => Math.max(64, files - otherFileDescriptors),
+  forClients: (files: number): number => Math.max(64, files - otherFileDescriptors),
 } as const;
 
 export const ProxyProgram = {
   /** Runs one proxy on a real machine, from its start to its graceful stop, with the given protocols. */
-  start: async (parts: ProxyParts): Promise<EdgeProxy> => {
-    const { settings, words } = parts;
+  start: async (parts: ProxyOptions): Promise<EdgeProxy> => {
+    const { settings, protocols: words } = parts;
     const { clock = realClock } = parts;
     const transport = new TcpTransport(clock);
-    const connectionShares = new ConnShares(
+    const connectionShares = new ConnectionShares(
       () => proxy.freshness.engines,
       () => proxy.freshness.blueprint,
-      () => proxy.daemons(),
+      () => proxy.knownDaemons(),
     );
     const sender = parts.makeSender(connectionShares.of);
     const proxy: EdgeProxy = new EdgeProxy(
@@ -88,22 +88,26 @@
       ...(words === undefined ? [] : [words]),
     );
     let isStopping = false;
-    const server = await CallersDoor.open(proxy, parts.address, parts.limits, parts.bodyBytes, clock, realRandom, {
-      words: parts.callers ?? ChatCallerWords,
+    const server = await ClientServer.open(proxy, parts.address, parts.limits, parts.bodyBytes, clock, realRandom, {
+      apiFormat: parts.clientProtocol ?? ChatClientApiFormat,
       limits: () => proxy.freshness.blueprint?.limits,
     });
     const readiness =
       parts.readiness === undefined
         ? undefined
-        : await ReadinessDoor.open(parts.readiness.address, parts.readiness.path, () => !isStopping && proxy.ready());
+        : await ReadinessServer.open(
+            parts.readiness.address,
+            parts.readiness.path,
+            () => !isStopping && proxy.isReady(),
+          );
     proxy.start();
-    Logs.part('proxy:notice')(`Proxy ${settings.name} listens on ${server.address}.`);
-    Programs.onTerm(parts.stopLimitMicroseconds, async () => {
+    Logs.channel('proxy:notice')(`Proxy ${settings.name} listens on ${server.address}.`);
+    Programs.onShutdown(parts.stopLimitMicroseconds, async () => {
       isStopping = true;
       // The listener drains first, so that accepted requests finish while gossip still arrives.
       await server.drain(parts.drain ?? DrainPlans.atOnce);
       proxy.stop();
-      if (sender instanceof KeptConnSender) sender.close();
+      if (sender instanceof PooledSender) sender.close();
       await readiness?.close();
       await transport.close();
     });
--- a/source/fleet-runner/main.ts
+++ b/source/fleet-runner/main.ts
@@ -1,8 +1,8 @@
 import { existsSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
-import { Blueprints } from '../shared/blueprint/check';
-import type { Blueprint } from '../shared/blueprint/types';
+import { DocumentValidation } from '../shared/configuration/validation';
+import type { Configuration } from '../shared/configuration/types';
 import { Programs } from '../shared/settings/program';
 import { SettingFormats, Settings, type SettingSchema } from '../shared/settings/settings';
 import type { RunRecord } from '../stand-in-engine/standInEngine';
@@ -70,12 +70,12 @@
   );
   const file = String(settings['blueprint']);
   const text = readFileSync(file, 'utf8');
-  const checked = Blueprints.checkText('blueprint', text);
+  const checked = DocumentValidation.checkText('blueprint', text);
   if (checked.kind === 'faulty')
     throw new Error(
       `the blueprint is faulty: ${checked.faults.map(({ path: at, fault }) => `${at} ${fault}`).join('; ')}`,
     );
-  const blueprint = checked.value as Blueprint;
+  const blueprint = checked.value as Configuration;
   const fleetFile = JSON.parse(readFileSync(file.replace(/\.json$/, '.fleet.json'), 'utf8')) as FleetFile;
   const pool = blueprint.services[fleetFile.pool];
   if (pool?.kind !== 'pool') throw new Error('the fleet file names no pool of the blueprint');
@@ -150,7 +150,7 @@
 
 const report = (
   say: (sentence: string) => void,
-  blueprint: Blueprint,
+  blueprint: Configuration,
   fleetFile: FleetFile,
   calls: readonly CallRecord[],
   runs: readonly RunRecord[],
--- a/source/fleet-simulator/faults/backEndFaults.ts
+++ b/source/fleet-simulator/faults/backEndFaults.ts
@@ -20,7 +20,7 @@
     const { process } = trouble.fleet.backEnds.get(someEngine(trouble));
     process.freeze();
     await wait(trouble, 300_000, 4_000_000);
-    process.thaw();
+    process.unfreeze();
   },
   engineDeaf: async (trouble) => {
     const { engine } = trouble.fleet.backEnds.get(someEngine(trouble));
@@ -52,7 +52,7 @@
     mend();
   },
   storeEmptied: async (trouble) => {
-    trouble.fleet.backEnds.empty(trouble.fleet.storeName);
+    trouble.fleet.backEnds.clearCache(trouble.fleet.storeName);
     await wait(trouble, 100_000, 500_000);
   },
   eventsFaulty: async (trouble) => {
@@ -68,7 +68,7 @@
   },
   /** Fails a part of its orders, by its own 500 or by answers that break off, while its status is good. */
   engineGrey: async (trouble) => {
-    const mend = trouble.fleet.backEnds.sicken(someEngine(trouble), 'fails', between(trouble, 300, 800));
+    const mend = trouble.fleet.backEnds.injectEngineFault(someEngine(trouble), 'fails', between(trouble, 300, 800));
     await wait(trouble, 7_000_000, 12_000_000);
     mend();
   },
@@ -76,13 +76,21 @@
   engineHealthLies: async (trouble) => {
     const { fleet } = trouble;
     const isWell = fleet.world.random.fraction() < 0.5;
-    const mend = fleet.backEnds.sicken(someEngine(trouble), isWell ? 'controlSilent' : 'fails', isWell ? 0 : 1000);
+    const mend = fleet.backEnds.injectEngineFault(
+      someEngine(trouble),
+      isWell ? 'controlSilent' : 'fails',
+      isWell ? 0 : 1000,
+    );
     await wait(trouble, 7_000_000, 10_000_000);
     mend();
   },
   /** Forgets kept conns without notice: what is sent on one is reset unread. The engine is well. */
   connsForgotten: async (trouble) => {
-    const mend = trouble.fleet.backEnds.sicken(someEngine(trouble), 'forgetsConns', between(trouble, 100, 400));
+    const mend = trouble.fleet.backEnds.injectEngineFault(
+      someEngine(trouble),
+      'forgetsConns',
+      between(trouble, 100, 400),
+    );
     await wait(trouble, 7_000_000, 10_000_000);
     mend();
   },
--- a/source/fleet-simulator/faults/changeFaults.ts
+++ b/source/fleet-simulator/faults/changeFaults.ts
@@ -73,7 +73,7 @@
       .reduce<SimEdge | undefined>(
         (best, edge) =>
           best === undefined ||
-          edge.agent.stewardship.activeControllers().length > best.agent.stewardship.activeControllers().length
+          edge.agent.leaseManager.activeControllers().length > best.agent.leaseManager.activeControllers().length
             ? edge
             : best,
         undefined,
--- a/source/fleet-simulator/faults/coreFaults.ts
+++ b/source/fleet-simulator/faults/coreFaults.ts
@@ -5,15 +5,15 @@
 export const CoreFaults = {
   keeperKilled: async (trouble) => {
     const keeper = someKeeper(trouble);
-    trouble.fleet.killKeeper(keeper, false);
+    trouble.fleet.killControlNode(keeper, false);
     await wait(trouble, 100_000, 4_000_000);
-    trouble.fleet.startKeeper(keeper);
+    trouble.fleet.startControlNode(keeper);
   },
   keeperPowerLost: async (trouble) => {
     const keeper = someKeeper(trouble);
-    trouble.fleet.killKeeper(keeper, true);
+    trouble.fleet.killControlNode(keeper, true);
     await wait(trouble, 100_000, 3_000_000);
-    trouble.fleet.startKeeper(keeper);
+    trouble.fleet.startControlNode(keeper);
   },
   corePowerLostAfterTaking: async (trouble) => {
     const { fleet } = trouble;
@@ -21,53 +21,53 @@
       ...blueprint,
       tenants: { ...blueprint.tenants, late: { walled: false, keys: [`key-late-${between(trouble, 1000, 9999)}`] } },
     }));
-    for (const keeper of fleet.present()) fleet.killKeeper(keeper, true);
-    for (const keeper of Randoms.shuffled(fleet.world.random, fleet.present())) {
+    for (const keeper of fleet.remainingControlNodes()) fleet.killControlNode(keeper, true);
+    for (const keeper of Randoms.shuffled(fleet.world.random, fleet.remainingControlNodes())) {
       await wait(trouble, 10_000, 900_000);
-      fleet.startKeeper(keeper);
+      fleet.startControlNode(keeper);
     }
   },
   coreStopped: async (trouble) => {
     const { fleet } = trouble;
-    for (const keeper of fleet.present()) fleet.killKeeper(keeper, false);
+    for (const keeper of fleet.remainingControlNodes()) fleet.killControlNode(keeper, false);
     await wait(trouble, 100_000, 3_000_000);
-    for (const keeper of Randoms.shuffled(fleet.world.random, fleet.present())) {
+    for (const keeper of Randoms.shuffled(fleet.world.random, fleet.remainingControlNodes())) {
       await wait(trouble, 0, 800_000);
-      fleet.startKeeper(keeper);
+      fleet.startControlNode(keeper);
     }
   },
   keeperWiped: async (trouble) => {
     const keeper = someKeeper(trouble);
     await wipe(trouble, keeper);
     await wait(trouble, 50_000, 1_500_000);
-    trouble.fleet.startKeeper(keeper);
+    trouble.fleet.startControlNode(keeper);
     await wait(trouble, 50_000, 1_000_000);
   },
   keeperWipedOtherDown: async (trouble) => {
     const { fleet } = trouble;
-    const [wiped, away] = Randoms.shuffled(fleet.world.random, fleet.present());
+    const [wiped, away] = Randoms.shuffled(fleet.world.random, fleet.remainingControlNodes());
     if (wiped === undefined || away === undefined) return;
     await wipe(trouble, wiped);
-    fleet.killKeeper(away, false);
+    fleet.killControlNode(away, false);
     await wait(trouble, 50_000, 500_000);
-    fleet.startKeeper(wiped);
+    fleet.startControlNode(wiped);
     await wait(trouble, 500_000, 2_500_000);
-    fleet.startKeeper(away);
+    fleet.startControlNode(away);
   },
   keeperReplaced: async (trouble) => {
     const { fleet } = trouble;
-    if (fleet.keepers.length > 3) return;
+    if (fleet.controlNodes.length > 3) return;
     const gone = someKeeper(trouble);
     while (!wipedIsBack(trouble)) await wait(trouble, 100_000, 100_000);
-    fleet.killKeeper(gone, true);
+    fleet.killControlNode(gone, true);
     gone.replaced = true;
-    fleet.wiped = gone;
+    fleet.wipedControlNode = gone;
     await wait(trouble, 100_000, 1_500_000);
-    const made = fleet.addKeeper(4, gone.name);
-    fleet.wiped = made;
-    fleet.startKeeper(made);
+    const made = fleet.addControlNode(4, gone.name);
+    fleet.wipedControlNode = made;
+    fleet.startControlNode(made);
     await wait(trouble, 500_000, 3_000_000);
-    if (fleet.world.random.fraction() < 0.5) fleet.startKeeper(gone);
+    if (fleet.world.random.fraction() < 0.5) fleet.startControlNode(gone);
     await wait(trouble, 500_000, 1_000_000);
   },
   keeperSuspended: async (trouble) => {
@@ -83,7 +83,7 @@
     const keeper = someKeeper(trouble);
     keeper.disk.faults.stalled = true;
     await wait(trouble, 500_000, 5_000_000);
-    keeper.disk.release();
+    keeper.disk.endStall();
   },
   diskSlow: async (trouble) => {
     const keeper = someKeeper(trouble);
@@ -96,8 +96,8 @@
     keeper.disk.faults.syncFails = true;
     await wait(trouble, 300_000, 3_000_000);
     keeper.disk.faults.syncFails = false;
-    trouble.fleet.killKeeper(keeper, true);
-    trouble.fleet.startKeeper(keeper);
+    trouble.fleet.killControlNode(keeper, true);
+    trouble.fleet.startControlNode(keeper);
   },
   keeperCutOff: async (trouble) => {
     const ways = between(trouble, 0, 3);
@@ -107,10 +107,10 @@
   },
   coreSplit: async (trouble) => {
     const { fleet } = trouble;
-    const mends = fleet.keepers.flatMap((one) =>
-      fleet.keepers
+    const mends = fleet.controlNodes.flatMap((one) =>
+      fleet.controlNodes
         .filter((two) => one !== two && fleet.world.random.fraction() < 0.6)
-        .map((two) => fleet.network.cut(one.machine, two.machine)),
+        .map((two) => fleet.network.cutLink(one.machine, two.machine)),
     );
     await wait(trouble, 500_000, 4_000_000);
     mends.forEach((mend) => mend());
@@ -119,7 +119,7 @@
     const { fleet } = trouble;
     const machinesOf = (all: readonly Readonly<{ machine: string }>[]): readonly string[] =>
       all.map(({ machine }) => machine);
-    const mend = partBoth(fleet, machinesOf(fleet.keepers), machinesOf(fleet.edges));
+    const mend = partBoth(fleet, machinesOf(fleet.controlNodes), machinesOf(fleet.edges));
     await wait(trouble, 500_000, 5_000_000);
     mend();
   },
@@ -132,7 +132,7 @@
           key === 'engines' && outcome?.kind === 'taken' ? [outcome.revision] : [],
         ),
       );
-      for (const keeper of fleet.keepers)
+      for (const keeper of fleet.controlNodes)
         if (keeper.process.alive)
           fleet.change(keeper, {
             key: 'engines',
--- a/source/fleet-simulator/faults/edgeFaults.ts
+++ b/source/fleet-simulator/faults/edgeFaults.ts
@@ -6,7 +6,7 @@
   edgeCutOff: async (trouble) => {
     const { fleet } = trouble;
     const { machine } = someEdge(trouble);
-    const others = [...fleet.keepers, ...fleet.edges].map((other) => other.machine);
+    const others = [...fleet.controlNodes, ...fleet.edges].map((other) => other.machine);
     const ways = between(trouble, 0, 3);
     const mends = [
       ...(ways !== 1 ? [part(fleet, others, [machine])] : []),
@@ -44,7 +44,7 @@
     const { fleet } = trouble;
     const processes = [
       ...fleet.edges.flatMap(({ agentProcess, proxyProcess }) => [agentProcess, proxyProcess]),
-      ...fleet.present().map(({ process }) => process),
+      ...fleet.remainingControlNodes().map(({ process }) => process),
     ];
     for (let round = 0; round < 4; round += 1) {
       for (const process of processes) {
@@ -70,15 +70,15 @@
     const { fleet } = trouble;
     const zone = fleet.zoneOf(someKeeper(trouble).machine);
     const inZone = (machine: string): boolean => fleet.zoneOf(machine) === zone;
-    const keepers = fleet.present().filter(({ machine }) => inZone(machine));
+    const keepers = fleet.remainingControlNodes().filter(({ machine }) => inZone(machine));
     const edges = fleet.edges.filter(({ machine }) => inZone(machine));
     const backEnds = fleet.backEndMachines().filter(inZone);
-    for (const keeper of keepers) fleet.killKeeper(keeper, true);
+    for (const keeper of keepers) fleet.killControlNode(keeper, true);
     for (const edge of edges) fleet.killEdge(edge);
     for (const name of backEnds) fleet.backEnds.kill(name);
     await wait(trouble, 200_000, 5_000_000);
     const starts: readonly (() => void)[] = [
-      ...keepers.map((keeper) => () => fleet.startKeeper(keeper)),
+      ...keepers.map((keeper) => () => fleet.startControlNode(keeper)),
       ...edges.map((edge) => () => fleet.startEdge(edge)),
       ...backEnds.map((name) => () => fleet.backEnds.start(name)),
     ];
--- a/source/fleet-simulator/faults/faults.ts
+++ b/source/fleet-simulator/faults/faults.ts
@@ -28,4 +28,4 @@
 export const plannedFaultNames = Object.keys(PlannedFaults) as readonly FaultName[];
 export const isPlanned = (name: FaultName): boolean => Object.hasOwn(PlannedFaults, name);
 
-export const firstBlueprint = SimBlueprints.first;
+export const firstBlueprint = SimBlueprints.initial;
--- a/source/fleet-simulator/faults/plannedFaults.ts
+++ b/source/fleet-simulator/faults/plannedFaults.ts
@@ -1,4 +1,4 @@
-import type { Blueprint } from '../../shared/blueprint/types';
+import type { Configuration } from '../../shared/configuration/types';
 import { Randoms } from '../../shared/effects/random/random';
 import type { SimEdge } from '../machines/simFleet';
 import { between, nextWeights, until, wait, withMapping, type Fault, type Trouble } from './trouble';
@@ -18,8 +18,12 @@
 /** A proxy stopped with a warning: nobody new is handed to it, it ends what it has read, and goes. */
 const stopProxy = async (trouble: Trouble, edge: SimEdge): Promise<void> => {
   const { fleet } = trouble;
-  edge.open = false;
-  await until(trouble, () => fleet.callers.calls.every(({ proxy, over }) => proxy !== edge.name || over), 60_000_000);
+  edge.receivesTraffic = false;
+  await until(
+    trouble,
+    () => fleet.clients.requests.every(({ proxy, isFinished: over }) => proxy !== edge.name || over),
+    60_000_000,
+  );
   edge.proxy.stop();
   edge.proxyProcess.kill();
 };
@@ -27,7 +31,7 @@
 const startProxy = async (trouble: Trouble, edge: SimEdge): Promise<void> => {
   trouble.fleet.startProxy(edge);
   await until(trouble, () => edge.proxy.fresh(), 10_000_000);
-  edge.open = true;
+  edge.receivesTraffic = true;
 };
 
 const stopAgent = async (trouble: Trouble, edge: SimEdge): Promise<void> => {
@@ -77,7 +81,7 @@
   },
   /** A class goes, and its mappings go to the one that is left; then it comes back. */
   classRemoved: async (trouble) => {
-    const before = { classes: {} as Blueprint['classes'], mappings: {} as Blueprint['mappings'] };
+    const before = { classes: {} as Configuration['classes'], mappings: {} as Configuration['mappings'] };
     await trouble.intend((blueprint) => {
       Object.assign(before, { classes: blueprint.classes, mappings: blueprint.mappings });
       const short = blueprint.classes['short'];
@@ -132,13 +136,13 @@
   },
   keepersStopped: async (trouble) => {
     const { fleet } = trouble;
-    for (const keeper of Randoms.shuffled(fleet.world.random, fleet.present())) {
-      void keeper.keeper?.stop();
+    for (const keeper of Randoms.shuffled(fleet.world.random, fleet.remainingControlNodes())) {
+      void keeper.node?.stop();
       await wait(trouble, 20_000, 60_000);
       keeper.process.kill();
       await wait(trouble, 100_000, 1_500_000);
-      fleet.startKeeper(keeper);
-      await until(trouble, () => keeper.keeper?.core.votes() === true, 10_000_000);
+      fleet.startControlNode(keeper);
+      await until(trouble, () => keeper.node?.core.votes() === true, 10_000_000);
       await wait(trouble, 1_000_000, 1_500_000);
     }
   },
--- a/source/fleet-simulator/faults/scenario.ts
+++ b/source/fleet-simulator/faults/scenario.ts
@@ -1,9 +1,9 @@
-import type { Blueprint } from '../../shared/blueprint/types';
+import type { Configuration } from '../../shared/configuration/types';
 import { Randoms, type Random } from '../../shared/effects/random/random';
-import { judgeAll, type Broken, type Judgement } from '../judges/judges';
-import { remainsOf } from '../judges/remains';
-import { plainHabit, type SimHabit, type SimKind } from '../machines/simCallers';
-import { SimFleet, SimKinds, usualShape, type SimShape } from '../machines/simFleet';
+import { checkInvariants, type Violation, type CheckResult } from '../invariants/invariantCheckers';
+import { leakedResources } from '../invariants/leakedResources';
+import { plainBehaviour, type ClientBehaviour, type RequestKind } from '../machines/simClients';
+import { SimFleet, RequestKinds, defaultShape, type FleetShape } from '../machines/simFleet';
 import { noEventFaults } from '../../stand-in-engine/kvHolder';
 import { World } from '../world/world';
 import { faultNamed, firstBlueprint, isPlanned, type FaultName } from './faults';
@@ -17,11 +17,11 @@
   faults: readonly FaultName[];
   /** How the day ends: healed and rested, in the midst of a fault, or with all power lost and a next day. */
   ending: Ending;
-  shape?: SimShape;
+  shape?: FleetShape;
 }>;
 export type ScenarioOutcome = Readonly<{
   refusals: Readonly<Record<string, number>>;
-  broken: readonly Broken[];
+  broken: readonly Violation[];
   history: readonly string[];
   calls: number;
   answered: number;
@@ -49,21 +49,21 @@
   ['wall2', 'key-wall2-a'],
 ];
 
-const someKind = (random: Random): SimKind => {
+const someKind = (random: Random): RequestKind => {
   const draw = random.fraction();
-  if (draw < 0.15) return SimKinds.long(random.fraction() < 0.7 ? 'A' : 'B');
-  if (draw < 0.55) return SimKinds.short;
-  if (draw < 0.85) return SimKinds.once;
-  return draw < 0.94 ? SimKinds.spare : SimKinds.slip;
+  if (draw < 0.15) return RequestKinds.long(random.fraction() < 0.7 ? 'A' : 'B');
+  if (draw < 0.55) return RequestKinds.short;
+  if (draw < 0.85) return RequestKinds.once;
+  return draw < 0.94 ? RequestKinds.spare : RequestKinds.slip;
 };
 
 /** Most callers wait for a stream; some leave, some are slow to read or to send, some want the answer in one piece. */
-const someHabit = (random: Random): SimHabit => {
+const someHabit = (random: Random): ClientBehaviour => {
   const draw = random.fraction();
   if (draw < 0.05) return { kind: 'leaves', stream: true };
   if (draw < 0.09) return { kind: 'slowReader', stream: true };
   if (draw < 0.13) return { kind: 'slowSender', stream: true };
-  return draw < 0.25 ? { kind: 'plain', stream: false } : plainHabit;
+  return draw < 0.25 ? { kind: 'plain', stream: false } : plainBehaviour;
 };
 
 /** Callers that go on whatever happens, about ten short orders for a long one. */
@@ -72,11 +72,11 @@
   const one = (): void => {
     if (stopped) return;
     const { random } = fleet.world;
-    const edge = Randoms.pick(random, fleet.edges);
-    const [tenant, key] = Randoms.pick(random, keys) ?? ['', ''];
-    if (edge?.open === true && edge.proxyProcess.alive)
-      fleet.callers.call(fleet.handle(edge), someKind(random), tenant, key, someHabit(random));
-    fleet.world.plan(Math.floor(random.fraction() * 2 * pauseMicroseconds), one);
+    const edge = Randoms.pickOne(random, fleet.edges);
+    const [tenant, key] = Randoms.pickOne(random, keys) ?? ['', ''];
+    if (edge?.receivesTraffic === true && edge.proxyProcess.alive)
+      fleet.clients.send(fleet.handle(edge), someKind(random), tenant, key, someHabit(random));
+    fleet.world.schedule(Math.floor(random.fraction() * 2 * pauseMicroseconds), one);
   };
   one();
   return () => {
@@ -87,11 +87,11 @@
 /** One run: start, traffic, faults, healing, judging. The same order gives the same history. */
 export const runScenario = async (order: ScenarioOrder): Promise<ScenarioOutcome> => {
   const world = new World(order.seed);
-  const fleet = new SimFleet(world, order.shape ?? usualShape);
+  const fleet = new SimFleet(world, order.shape ?? defaultShape);
   await fleet.startAll();
-  fleet.backEnds.isTroubled = !order.faults.every((name) => illFaults.includes(name));
+  fleet.backEnds.hasOtherFaults = !order.faults.every((name) => illFaults.includes(name));
   const stopTraffic = traffic(fleet, fleet.shape.pauseMicroseconds);
-  let intended: Blueprint = firstBlueprint('w1', fleet.shape.patience);
+  let intended: Configuration = firstBlueprint('w1', fleet.shape.queueLimitFactor);
   let drained: readonly string[] = [];
   // Why in turn: two faults that are changes must not undo each other unseen.
   let turn: Promise<unknown> = Promise.resolve();
@@ -109,9 +109,9 @@
       let number = 0;
       const again = (): void => {
         if (world.nowMicroseconds > until) return resolve(false);
-        const alive = fleet.present().filter(({ process }) => process.alive);
-        const keeper = Randoms.pick(world.random, alive);
-        if (keeper === undefined) return void world.plan(100_000, again);
+        const alive = fleet.remainingControlNodes().filter(({ process }) => process.alive);
+        const keeper = Randoms.pickOne(world.random, alive);
+        if (keeper === undefined) return void world.schedule(100_000, again);
         if (revision < 0)
           revision = Math.max(
             0,
@@ -133,11 +133,11 @@
               revision = change.outcome.revision;
               number += 1;
             }
-            return void world.plan(50_000, again);
+            return void world.schedule(50_000, again);
           }
           if (change.outcome !== undefined || waited > 7_000_000 || !keeper.process.alive)
-            return void world.plan(50_000, again);
-          world.plan(20_000, () => look(waited + 20_000));
+            return void world.schedule(50_000, again);
+          world.schedule(20_000, () => look(waited + 20_000));
         };
         look(0);
       };
@@ -169,26 +169,26 @@
     pause: (microseconds) =>
       today(
         new Promise((resolve) => {
-          world.plan(microseconds, () => resolve());
+          world.schedule(microseconds, () => resolve());
         }),
       ),
   };
-  await world.runFor(fleet.shape.warmMicroseconds);
+  await world.runFor(fleet.shape.warmUpMicroseconds);
   let open = order.faults.length;
   for (const name of order.faults) {
-    world.plan(Math.floor(world.random.fraction() * 2_000_000), () => {
-      world.note(`${name} begins`);
+    world.schedule(Math.floor(world.random.fraction() * 2_000_000), () => {
+      world.record(`${name} begins`);
       void faultNamed(name)(trouble).then(() => {
-        world.note(`${name} ends`);
+        world.record(`${name} ends`);
         open -= 1;
       });
     });
   }
   const planned = order.ending === 'healed' && order.faults.every(isPlanned);
-  const broken: Broken[] = [];
+  const broken: Violation[] = [];
   if (order.ending === 'healed') {
     const ran = await world.runUntil(() => open === 0, 60_000_000);
-    if (!ran) broken.push({ point: 'scenario', text: 'a fault did not come to its end' });
+    if (!ran) broken.push({ invariant: 'scenario', text: 'a fault did not come to its end' });
     dayOver = true;
     heal(fleet);
   } else {
@@ -196,80 +196,89 @@
     dayOver = true;
     if (order.ending === 'onFault') {
       stopTraffic();
-      return outcome(fleet, judgeAll(fleet), [], 0);
+      return outcome(fleet, checkInvariants(fleet), [], 0);
     }
     await nextDay(fleet);
   }
   const healed = world.nowMicroseconds;
-  const from = fleet.callers.calls.length;
+  const from = fleet.clients.requests.length;
   // Why each daemon: service is back when every edge machine serves again, not the luckiest one.
   const served = (): boolean =>
     fleet.edges.every(({ name }) =>
-      fleet.callers.calls.slice(from).some(({ proxy, status, right }) => proxy === name && status === 200 && right),
+      fleet.clients.requests
+        .slice(from)
+        .some(({ proxy, status, isCorrect: right }) => proxy === name && status === 200 && right),
     );
   const back = await world.runUntil(served, serviceBackMicroseconds);
   const backAfter = world.nowMicroseconds - healed;
   if (!back)
     broken.push({
-      point: 'serviceBack',
+      invariant: 'serviceBack',
       text: `no full service ${serviceBackMicroseconds / 1_000_000} s after the machines returned`,
     });
   if (
     !(await world.runUntil(
-      () => fleet.present().every(({ keeper, process }) => process.alive && keeper?.core.votes() === true),
+      () =>
+        fleet
+          .remainingControlNodes()
+          .every(({ node: keeper, process }) => process.alive && keeper?.core.votes() === true),
       serviceBackMicroseconds,
     ))
   )
-    broken.push({ point: 'serviceBack', text: 'a keeper did not get its voice back' });
-  for (const keeper of fleet.present()) for (const key of ['blueprint', 'engines'] as const) fleet.read(keeper, key);
+    broken.push({ invariant: 'serviceBack', text: 'a keeper did not get its voice back' });
+  for (const keeper of fleet.remainingControlNodes())
+    for (const key of ['blueprint', 'engines'] as const) fleet.read(keeper, key);
   await world.runFor(1_500_000);
   // Why on and on: the clock of the old weights is judged by what is still answered when it is over.
   if (order.faults.some((name) => weightsFaults.includes(name))) await world.runFor(12_500_000);
   // Why on and on: what waits for a second send is paid for by the first sends of others.
   const plannedUntil = planned ? world.nowMicroseconds : undefined;
-  if (planned) await world.runFor(2_500_000 * fleet.shape.patience);
+  if (planned) await world.runFor(2_500_000 * fleet.shape.queueLimitFactor);
   stopTraffic();
   await world.runFor(5_000_000);
   // Why so long: an order may be answered up to its service's limit.
-  if (!(await world.runUntil(() => fleet.callers.calls.every(({ over }) => over), 25_000_000, 200_000)))
-    broken.push({ point: 'neverAnswered', text: 'an order was not answered, refused or cut 30 s after the last one' });
+  if (!(await world.runUntil(() => fleet.clients.requests.every(({ isFinished: over }) => over), 25_000_000, 200_000)))
+    broken.push({
+      invariant: 'neverAnswered',
+      text: 'an order was not answered, refused or cut 30 s after the last one',
+    });
   // Why so long: what a daemon that is gone left behind is given up after half a minute.
   await world.runFor(2_000_000);
-  await world.runUntil(() => remainsOf(fleet).length === 0, 32_000_000, 500_000);
-  broken.push(...remainsOf(fleet));
-  if (fleet.reads.length < fleet.present().length * 2)
+  await world.runUntil(() => leakedResources(fleet).length === 0, 32_000_000, 500_000);
+  broken.push(...leakedResources(fleet));
+  if (fleet.reads.length < fleet.remainingControlNodes().length * 2)
     broken.push({
-      point: 'lost',
-      text: `only ${fleet.reads.length} of ${fleet.present().length * 2} reads after healing were answered`,
+      invariant: 'lost',
+      text: `only ${fleet.reads.length} of ${fleet.remainingControlNodes().length * 2} reads after healing were answered`,
     });
-  return outcome(fleet, judgeAll(fleet, plannedUntil), broken, backAfter);
+  return outcome(fleet, checkInvariants(fleet, plannedUntil), broken, backAfter);
 };
 
 const heal = (fleet: SimFleet): void => {
   fleet.network.heal();
-  for (const keeper of fleet.present()) {
+  for (const keeper of fleet.remainingControlNodes()) {
     keeper.disk.faults.full = false;
     keeper.disk.faults.syncFails = false;
     keeper.disk.faults.slowMicroseconds = 0;
-    keeper.disk.release();
-    fleet.startKeeper(keeper);
+    keeper.disk.endStall();
+    fleet.startControlNode(keeper);
   }
   for (const name of fleet.backEndMachines()) fleet.backEnds.start(name);
   for (const edge of fleet.edges) {
     for (const process of [edge.agentProcess, edge.proxyProcess]) {
-      process.thaw();
-      process.wake();
+      process.unfreeze();
+      process.resume();
     }
     fleet.startEdge(edge);
-    edge.open = true;
+    edge.receivesTraffic = true;
   }
 };
 
 /** Everything loses power where it stands; what was synced is all that is left, and machines return in any order. */
 const nextDay = async (fleet: SimFleet): Promise<void> => {
   const { world } = fleet;
-  world.note('all power is lost');
-  for (const keeper of fleet.present()) {
+  world.record('all power is lost');
+  for (const keeper of fleet.remainingControlNodes()) {
     keeper.process.kill();
     keeper.disk.losePower();
     Object.assign(keeper.disk.faults, { full: false, stalled: false, syncFails: false, slowMicroseconds: 0 });
@@ -281,7 +290,7 @@
   }
   fleet.network.heal();
   const starts: readonly (() => void)[] = [
-    ...fleet.present().map((keeper) => () => fleet.startKeeper(keeper)),
+    ...fleet.remainingControlNodes().map((keeper) => () => fleet.startControlNode(keeper)),
     ...fleet.edges.map((edge) => () => fleet.startEdge(edge)),
     ...fleet.backEndMachines().map((name) => () => fleet.backEnds.start(name)),
   ];
@@ -289,28 +298,28 @@
     await world.runFor(Math.floor(world.random.fraction() ** 2 * 900_000));
     start();
   }
-  for (const edge of fleet.edges) edge.open = true;
-  world.note('all machines are back');
+  for (const edge of fleet.edges) edge.receivesTraffic = true;
+  world.record('all machines are back');
 };
 
 const outcome = (
   fleet: SimFleet,
-  judgement: Judgement,
-  seen: readonly Broken[],
+  judgement: CheckResult,
+  seen: readonly Violation[],
   backAfterMicroseconds: number,
 ): ScenarioOutcome => {
   const uses = fleet.backEnds.runs.flatMap(({ blocks }) => blocks);
   const made = uses.filter(({ from }) => from === 'made').length;
   const refusals: Record<string, number> = {};
-  for (const { code } of fleet.callers.calls) if (code !== '') refusals[code] = (refusals[code] ?? 0) + 1;
+  for (const { code } of fleet.clients.requests) if (code !== '') refusals[code] = (refusals[code] ?? 0) + 1;
   return {
     refusals,
-    broken: [...seen, ...judgement.broken],
-    judged: judgement.tally.judgedByPoint,
+    broken: [...seen, ...judgement.violations],
+    judged: judgement.tally.checkedByInvariant,
     skipped: judgement.tally.skippedByReason,
     history: fleet.world.history,
-    calls: fleet.callers.calls.length,
-    answered: fleet.callers.calls.filter(({ status, right }) => status === 200 && right).length,
+    calls: fleet.clients.requests.length,
+    answered: fleet.clients.requests.filter(({ status, isCorrect: right }) => status === 200 && right).length,
     avoidedPerMille: uses.length === 0 ? 0 : Math.round(((uses.length - made) * 1000) / uses.length),
     imports: uses.filter(({ from }) => from === 'imported').length,
     backAfterMicroseconds,
--- a/source/fleet-simulator/faults/trouble.ts
+++ b/source/fleet-simulator/faults/trouble.ts
@@ -1,6 +1,6 @@
-import type { Blueprint, Mapping } from '../../shared/blueprint/types';
+import type { Configuration, Route } from '../../shared/configuration/types';
 import { Randoms } from '../../shared/effects/random/random';
-import type { SimEdge, SimFleet, SimKeeper } from '../machines/simFleet';
+import type { SimEdge, SimFleet, SimControlNode } from '../machines/simFleet';
 import type { SimProcess } from '../world/simProcess';
 
 /** One way for things to go wrong. `cause` returns when the trouble has run its course; `heal` of the scenario follows. */
@@ -9,18 +9,18 @@
 export type Trouble = Readonly<{
   fleet: SimFleet;
   /** The blueprint as this run intends it; faults that are changes go through here, one after the other. */
-  intend: (alter: (blueprint: Blueprint) => Blueprint) => Promise<boolean>;
+  intend: (alter: (blueprint: Configuration) => Configuration) => Promise<boolean>;
   /** The platform's list as this run intends it: which machines are draining. */
   list: (alter: (draining: readonly string[]) => readonly string[]) => Promise<boolean>;
   /** Waits in virtual time; never comes back once the day is over. */
   pause: (microseconds: number) => Promise<void>;
 }>;
 
-export const someKeeper = ({ fleet }: Trouble): SimKeeper =>
-  fleet.present()[Randoms.below(fleet.world.random, 3)] ?? fleet.keeper(0);
+export const someKeeper = ({ fleet }: Trouble): SimControlNode =>
+  fleet.remainingControlNodes()[Randoms.below(fleet.world.random, 3)] ?? fleet.controlNode(0);
 export const someEdge = ({ fleet }: Trouble): SimEdge =>
   fleet.edge(Randoms.below(fleet.world.random, fleet.edges.length));
-export const someEngine = ({ fleet }: Trouble): string => Randoms.pick(fleet.world.random, fleet.engineNames) ?? '';
+export const someEngine = ({ fleet }: Trouble): string => Randoms.pickOne(fleet.world.random, fleet.engineNames) ?? '';
 
 export const between = ({ fleet }: Trouble, least: number, most: number): number =>
   Math.floor(least + fleet.world.random.fraction() * (most - least));
@@ -40,7 +40,7 @@
 /** Cuts all ways from some machines to others; what is returned mends them. */
 export const part = (fleet: SimFleet, from: readonly string[], to: readonly string[]): (() => void) => {
   const mends = from.flatMap((one) =>
-    to.filter((other) => other !== one).map((other) => fleet.network.cut(one, other)),
+    to.filter((other) => other !== one).map((other) => fleet.network.cutLink(one, other)),
   );
   return () => mends.forEach((mend) => mend());
 };
@@ -60,15 +60,16 @@
 };
 
 export const wipedIsBack = ({ fleet }: Trouble): boolean =>
-  fleet.wiped === undefined || (fleet.wiped.process.alive && fleet.wiped.keeper?.core.votes() === true);
+  fleet.wipedControlNode === undefined ||
+  (fleet.wipedControlNode.process.alive && fleet.wipedControlNode.node?.core.votes() === true);
 
 /** A fleet of three survives one lost disk: the next is not wiped before the last one has caught up. */
-export const wipe = async (trouble: Trouble, keeper: SimKeeper): Promise<void> => {
+export const wipe = async (trouble: Trouble, keeper: SimControlNode): Promise<void> => {
   const { fleet } = trouble;
   while (!wipedIsBack(trouble)) await wait(trouble, 100_000, 100_000);
-  fleet.killKeeper(keeper, true);
+  fleet.killControlNode(keeper, true);
   keeper.disk.wipe();
-  fleet.wiped = keeper;
+  fleet.wipedControlNode = keeper;
 };
 
 export const freezeEdge = async (trouble: Trouble, edge: SimEdge, both: boolean): Promise<void> => {
@@ -77,7 +78,7 @@
     : [trouble.fleet.world.random.fraction() < 0.5 ? edge.agentProcess : edge.proxyProcess];
   for (const process of frozen) process.freeze();
   await wait(trouble, 300_000, 6_000_000);
-  for (const process of frozen) process.thaw();
+  for (const process of frozen) process.unfreeze();
 };
 
 export const suspend = async (
@@ -87,7 +88,7 @@
 ): Promise<void> => {
   for (const process of machine) process.suspend();
   await wait(trouble, 300_000, mostMicroseconds);
-  for (const process of machine) process.wake();
+  for (const process of machine) process.resume();
 };
 
 /** All engines short of room at once: nearly every send is refused as busy. */
@@ -99,7 +100,11 @@
   };
 };
 
-export const withMapping = (blueprint: Blueprint, name: string, alter: (mapping: Mapping) => Mapping): Blueprint => {
+export const withMapping = (
+  blueprint: Configuration,
+  name: string,
+  alter: (mapping: Route) => Route,
+): Configuration => {
   const mapping = blueprint.mappings[name];
   return mapping === undefined
     ? blueprint
--- a/source/fleet-simulator/faults/worstCoreFaults.ts
+++ b/source/fleet-simulator/faults/worstCoreFaults.ts
@@ -1,5 +1,5 @@
 /** The control side on its worst days: troubles that strike the leader, meet changes at a bad moment, or follow each other closely. */
-import type { SimFleet, SimKeeper } from '../machines/simFleet';
+import type { SimFleet, SimControlNode } from '../machines/simFleet';
 import { Randoms } from '../../shared/effects/random/random';
 import {
   between,
@@ -15,15 +15,15 @@
 } from './trouble';
 
 /** Whoever leads the configuration, or any control node where nobody does. */
-const leaderOr = (trouble: Trouble): SimKeeper => {
+const leaderOr = (trouble: Trouble): SimControlNode => {
   const { fleet } = trouble;
-  const leads = ({ keeper, name, process }: SimKeeper): boolean =>
+  const leads = ({ node: keeper, name, process }: SimControlNode): boolean =>
     process.alive && keeper?.keyLeaders()['blueprint']?.owner === name;
-  return fleet.present().find(leads) ?? someKeeper(trouble);
+  return fleet.remainingControlNodes().find(leads) ?? someKeeper(trouble);
 };
 
-const othersOf = (fleet: SimFleet, keeper: SimKeeper): readonly SimKeeper[] =>
-  fleet.present().filter((other) => other !== keeper);
+const othersOf = (fleet: SimFleet, keeper: SimControlNode): readonly SimControlNode[] =>
+  fleet.remainingControlNodes().filter((other) => other !== keeper);
 
 const machinesOf = (all: readonly Readonly<{ machine: string }>[]): readonly string[] =>
   all.map(({ machine }) => machine);
@@ -36,7 +36,7 @@
   }));
 
 /** Two operators at one control node at the same moment, on the same revision. */
-const raceAt = ({ fleet }: Trouble, keeper: SimKeeper): void => {
+const raceAt = ({ fleet }: Trouble, keeper: SimControlNode): void => {
   const taken = fleet.changes.flatMap(({ key, outcome }) =>
     key === 'engines' && outcome?.kind === 'taken' ? [outcome.revision] : [],
   );
@@ -48,10 +48,10 @@
   }
 };
 
-const startInAnyOrder = async (trouble: Trouble, keepers: readonly SimKeeper[]): Promise<void> => {
+const startInAnyOrder = async (trouble: Trouble, keepers: readonly SimControlNode[]): Promise<void> => {
   for (const keeper of Randoms.shuffled(trouble.fleet.world.random, keepers)) {
     await wait(trouble, 10_000, 900_000);
-    trouble.fleet.startKeeper(keeper);
+    trouble.fleet.startControlNode(keeper);
   }
 };
 
@@ -72,19 +72,19 @@
     const { fleet } = trouble;
     for (let round = 0; round < 3; round += 1) {
       const leader = leaderOr(trouble);
-      fleet.killKeeper(leader, true);
+      fleet.killControlNode(leader, true);
       await wait(trouble, 300_000, 1_500_000);
-      fleet.startKeeper(leader);
-      await until(trouble, () => leader.keeper?.core.votes() === true, 3_000_000);
+      fleet.startControlNode(leader);
+      await until(trouble, () => leader.node?.core.votes() === true, 3_000_000);
     }
   },
   /** Two racing changes are sent to a control node the moment it is back. */
   raceMeetsReturn: async (trouble) => {
     const { fleet } = trouble;
     const keeper = leaderOr(trouble);
-    fleet.killKeeper(keeper, false);
+    fleet.killControlNode(keeper, false);
     await wait(trouble, 100_000, 3_000_000);
-    fleet.startKeeper(keeper);
+    fleet.startControlNode(keeper);
     raceAt(trouble, keeper);
     await wait(trouble, 100_000, 1_000_000);
   },
@@ -112,12 +112,12 @@
     const { fleet } = trouble;
     const cut = someKeeper(trouble);
     const mend = isolate(fleet, cut.machine, true, true);
-    fleet.killKeeper(cut, false);
-    fleet.startKeeper(cut);
+    fleet.killControlNode(cut, false);
+    fleet.startControlNode(cut);
     for (const other of othersOf(fleet, cut)) {
-      fleet.killKeeper(other, false);
+      fleet.killControlNode(other, false);
       await wait(trouble, 50_000, 400_000);
-      fleet.startKeeper(other);
+      fleet.startControlNode(other);
       await wait(trouble, 100_000, 800_000);
     }
     mend();
@@ -130,7 +130,7 @@
     await noteChange(trouble);
     mend();
     await wait(trouble, 0, 100_000);
-    for (const other of othersOf(fleet, cut)) fleet.killKeeper(other, false);
+    for (const other of othersOf(fleet, cut)) fleet.killControlNode(other, false);
     await startInAnyOrder(trouble, othersOf(fleet, cut));
   },
   /** One misses changes behind a cut; then another loses its disk and the third is dark for a while, as the cut heals. */
@@ -143,11 +143,11 @@
     const mend = isolate(fleet, behind.machine, true, true);
     await noteChange(trouble);
     await wipe(trouble, lost);
-    fleet.killKeeper(dark, true);
+    fleet.killControlNode(dark, true);
     mend();
-    fleet.startKeeper(lost);
+    fleet.startControlNode(lost);
     await wait(trouble, 200_000, 2_500_000);
-    fleet.startKeeper(dark);
+    fleet.startControlNode(dark);
     await wait(trouble, 100_000, 1_000_000);
   },
   /** All lose power some milliseconds after a change was sent, whether it is confirmed by then or not. */
@@ -155,8 +155,8 @@
     const { fleet } = trouble;
     raceAt(trouble, leaderOr(trouble));
     await wait(trouble, 5_000, 400_000);
-    for (const keeper of fleet.present()) fleet.killKeeper(keeper, true);
-    await startInAnyOrder(trouble, fleet.present());
+    for (const keeper of fleet.remainingControlNodes()) fleet.killControlNode(keeper, true);
+    await startInAnyOrder(trouble, fleet.remainingControlNodes());
   },
   /** One disk is lost right after a change is confirmed, and all others lose power at the same moment. */
   diskLostAndPowerLost: async (trouble) => {
@@ -165,14 +165,14 @@
     await noteChange(trouble);
     const lost = leaderOr(trouble);
     await wipe(trouble, lost);
-    for (const other of othersOf(fleet, lost)) fleet.killKeeper(other, true);
-    await startInAnyOrder(trouble, fleet.present());
+    for (const other of othersOf(fleet, lost)) fleet.killControlNode(other, true);
+    await startInAnyOrder(trouble, fleet.remainingControlNodes());
     await wait(trouble, 500_000, 1_500_000);
   },
   /** The edge machine that holds most engine leases, and so gave the last commands to engines, is killed. */
   leaseHolderKilled: async (trouble) => {
     const { fleet } = trouble;
-    const held = Object.values(leaderOr(trouble).keeper?.duties.grantedLeases() ?? {}).map(({ holder }) => holder);
+    const held = Object.values(leaderOr(trouble).node?.duties.grantedLeases() ?? {}).map(({ holder }) => holder);
     const edge = fleet.edges.find(({ name }) => held.includes(name)) ?? fleet.edge(0);
     fleet.killEdge(edge);
     await wait(trouble, 300_000, 3_000_000);
--- a/source/fleet-simulator/judges/setup.ts
+++ b/source/fleet-simulator/invariants/blueprintLookup.ts
@@ -1,14 +1,14 @@
-import type { Blueprint, Mapping } from '../../shared/blueprint/types';
+import type { Configuration, Route } from '../../shared/configuration/types';
 
 /**
  * A blueprint indexed by key and by path and model. It is separate from the index of the daemons so that an invariant checker
  * doesn't share their faults.
  */
-type BlueprintIndex = Readonly<{ tenantOfKey: ReadonlyMap<string, string>; mappingAt: ReadonlyMap<string, Mapping> }>;
+type BlueprintIndex = Readonly<{ tenantOfKey: ReadonlyMap<string, string>; mappingAt: ReadonlyMap<string, Route> }>;
 
-const indexes = new WeakMap<Blueprint, BlueprintIndex>();
+const indexes = new WeakMap<Configuration, BlueprintIndex>();
 
-const indexOf = (blueprint: Blueprint): BlueprintIndex => {
+const indexOf = (blueprint: Configuration): BlueprintIndex => {
   const cached = indexes.get(blueprint);
   if (cached !== undefined) return cached;
   const index: BlueprintIndex = {
@@ -24,18 +24,18 @@
 };
 
 /** The API key, path and model that a client's request names. */
-export type Called = Readonly<{ key: string; path: string; model: string }>;
+export type RequestTarget = Readonly<{ key: string; path: string; model: string }>;
 
 /** Lookups in a blueprint for the invariant checkers. */
-export const Setups = {
-  tenantOf: (blueprint: Blueprint, key: string): string | undefined => indexOf(blueprint).tenantOfKey.get(key),
+export const ConfigurationLookup = {
+  tenantOf: (blueprint: Configuration, key: string): string | undefined => indexOf(blueprint).tenantOfKey.get(key),
 
-  mappingOf: (blueprint: Blueprint, { path, model }: Called): Mapping | undefined =>
+  mappingOf: (blueprint: Configuration, { path, model }: RequestTarget): Route | undefined =>
     indexOf(blueprint).mappingAt.get(`${path} ${model}`) ?? indexOf(blueprint).mappingAt.get(`${path} `),
 
   /** Returns whether this blueprint lets a request of this client run at a back end of that service. */
-  mayRunAt: (blueprint: Blueprint, called: Called, service: string): boolean =>
-    Setups.tenantOf(blueprint, called.key) !== undefined &&
-    Setups.mappingOf(blueprint, called)?.service === service &&
+  mayRunAt: (blueprint: Configuration, called: RequestTarget, service: string): boolean =>
+    ConfigurationLookup.tenantOf(blueprint, called.key) !== undefined &&
+    ConfigurationLookup.mappingOf(blueprint, called)?.service === service &&
     Object.hasOwn(blueprint.services, service),
 } as const;
--- a/source/fleet-simulator/machines/simBackEnds.ts
+++ b/source/fleet-simulator/machines/simBackEnds.ts
@@ -1,11 +1,11 @@
 import type {
-  BackEndDoor,
+  BackEndControl,
   BackEndSender,
   Directive,
   KvEvents,
   KvList,
   EngineStatus,
-  SendHead,
+  BackEndResponseHead,
 } from '../../shared/back-end/protocol';
 import { Clocks } from '../../shared/effects/clock/clock';
 import { KvHolder, type KvBlock } from '../../stand-in-engine/kvHolder';
@@ -20,10 +20,10 @@
 import type { World } from '../world/world';
 
 /** A request that a proxy wrote to a connection, or whose connection was refused because no process listened. */
-export type Sent = Readonly<{ proxy: string; engine: string; nonce: string; atMicroseconds: number }>;
+export type SentRequest = Readonly<{ proxy: string; engine: string; nonce: string; atMicroseconds: number }>;
 
 /** A directive that an engine received, with the time at which its engine controller sent it. */
-export type Received = Readonly<{
+export type ReceivedDirective = Readonly<{
   engine: string;
   directive: Directive;
   outcome: string;
@@ -32,7 +32,7 @@
 }>;
 
 /** A request that reached an engine; `ran` is false if the engine answered that it did not run the request. */
-export type Arrival = Readonly<{
+export type RequestArrival = Readonly<{
   engine: string;
   order: string;
   nonce: string;
@@ -50,11 +50,11 @@
   /** The control interface doesn't answer, although the engine accepts requests. */
   isControlSilent: boolean;
   /** Requests per thousand that are reset unread, as on a keep-alive connection that the engine has dropped. */
-  forgetsPerMille: number;
+  droppedConnectionsPerMille: number;
 };
 
 /** A period in which an engine fails requests, doesn't answer its engine controller, or drops keep-alive connections. */
-export type Ill = {
+export type EngineFault = {
   readonly engine: string;
   readonly kind: 'fails' | 'controlSilent' | 'forgetsConns';
   readonly fromMicroseconds: number;
@@ -66,13 +66,13 @@
 /** The back ends of a simulated fleet and the connections to them. The judges check the records kept here. */
 export class SimBackEnds {
   public readonly runs: RunRecord[] = [];
-  public readonly arrivals: Arrival[] = [];
-  public readonly sends: Sent[] = [];
-  public readonly directives: Received[] = [];
-  public readonly ills: Ill[] = [];
+  public readonly arrivals: RequestArrival[] = [];
+  public readonly sends: SentRequest[] = [];
+  public readonly directives: ReceivedDirective[] = [];
+  public readonly engineFaults: EngineFault[] = [];
   /** Other faults were injected as well, so the requests that faulty engines receive cannot be judged. */
-  public isTroubled = false;
-  private readonly standing = new Map<string, BackEndState>();
+  public hasOtherFaults = false;
+  private readonly backEnds = new Map<string, BackEndState>();
 
   public constructor(
     private readonly world: World,
@@ -84,60 +84,60 @@
     const engine = new StandInEngine(settings, this.clockOf(name), this.world.random, this.kvPeersOf(name), (line) =>
       this.runs.push(line),
     );
-    this.standing.set(name, {
+    this.backEnds.set(name, {
       process,
       machine: name,
       engine,
       kv: engine.kv,
       isControlSilent: false,
-      forgetsPerMille: 0,
+      droppedConnectionsPerMille: 0,
     });
     return `${name}:1`;
   }
 
   public addStore(name: string): string {
-    this.standing.set(name, {
+    this.backEnds.set(name, {
       process: new SimProcess(this.world, name, name),
       machine: name,
       engine: undefined,
       kv: new KvHolder(this.world.random.name(), 5000, this.world.random, () => this.world.nowMicroseconds),
       isControlSilent: false,
-      forgetsPerMille: 0,
+      droppedConnectionsPerMille: 0,
     });
     return `${name}:1`;
   }
 
   public get(name: string): BackEndState {
-    const found = this.standing.get(name);
+    const found = this.backEnds.get(name);
     if (found === undefined) throw new Error(`no back end ${name}`);
     return found;
   }
 
   public engines(): readonly StandInEngine[] {
-    return [...this.standing.values()].flatMap(({ engine }) => engine ?? []);
+    return [...this.backEnds.values()].flatMap(({ engine }) => engine ?? []);
   }
 
   public kill(name: string): void {
     this.get(name).process.kill();
     this.get(name).engine?.reboot();
     this.get(name).isControlSilent = false;
-    this.get(name).forgetsPerMille = 0;
+    this.get(name).droppedConnectionsPerMille = 0;
   }
 
   /** Injects a fault into an engine and returns a function that ends it. */
-  public sicken(name: string, kind: Ill['kind'], perMille = 0): () => void {
+  public injectEngineFault(name: string, kind: EngineFault['kind'], perMille = 0): () => void {
     const backEnd = this.get(name);
-    const fault: Ill = {
+    const fault: EngineFault = {
       engine: name,
       kind,
       fromMicroseconds: this.world.nowMicroseconds,
       untilMicroseconds: Infinity,
     };
-    this.ills.push(fault);
+    this.engineFaults.push(fault);
     // Only this kind of fault is switched, because another fault of the same engine may still be active.
     const set = (isOn: boolean): void => {
       if (kind === 'controlSilent') backEnd.isControlSilent = isOn;
-      else if (kind === 'forgetsConns') backEnd.forgetsPerMille = isOn ? perMille : 0;
+      else if (kind === 'forgetsConns') backEnd.droppedConnectionsPerMille = isOn ? perMille : 0;
       else if (backEnd.engine !== undefined) backEnd.engine.failsPerMille = isOn ? perMille : 0;
     };
     set(true);
@@ -156,28 +156,28 @@
   }
 
   /** Empties the KV cache of a back end, as a reboot does. */
-  public empty(name: string): void {
+  public clearCache(name: string): void {
     this.get(name).kv.reboot(this.world.random.name());
   }
 
   /** The control interface of the back ends, as an agent calls it over the simulated network. */
-  public doorOf(agent: SimProcess): BackEndDoor {
+  public controlClientOf(agent: SimProcess): BackEndControl {
     const call = <Result>(
       address: string,
       limitMicroseconds: number,
       act: (backEnd: BackEndState) => Result,
     ): Promise<Result | undefined> =>
-      Clocks.within(
+      Clocks.withTimeout(
         agent.clock,
         limitMicroseconds,
         new Promise<Result | undefined>((resolve) => {
           const name = address.split(':', 1)[0] ?? '';
           const deliver = (result: Result | undefined): void =>
-            this.network.carry(name, agent.machine, () => agent.enter(() => resolve(result)));
-          this.network.carry(agent.machine, name, () => {
-            const backEnd = this.standing.get(name);
+            this.network.deliver(name, agent.machine, () => agent.execute(() => resolve(result)));
+          this.network.deliver(agent.machine, name, () => {
+            const backEnd = this.backEnds.get(name);
             if (backEnd === undefined || !backEnd.process.alive || backEnd.isControlSilent) deliver(undefined);
-            else backEnd.process.enter(() => deliver(act(backEnd)));
+            else backEnd.process.execute(() => deliver(act(backEnd)));
           });
         }),
       );
@@ -219,7 +219,7 @@
           this.sends.push({ proxy: proxyName, engine: name, nonce, atMicroseconds: this.world.nowMicroseconds });
         };
         const fail = (kind: 'notRun' | 'mayHaveRun', text: string, forgotten = false): void =>
-          proxy.enter(() => {
+          proxy.execute(() => {
             if (finished) return;
             finished = true;
             sink.failed({ kind, text, ...(forgotten ? { forgotten } : {}) });
@@ -230,16 +230,16 @@
           deliveries = deliveries.then(
             () =>
               new Promise<void>((resolve) => {
-                this.network.carry(
+                this.network.deliver(
                   name,
                   proxy.machine,
                   () =>
-                    proxy.enter(() => {
+                    proxy.execute(() => {
                       if (finished) return resolve();
                       void Promise.resolve(act()).then(resolve);
                     }),
                   () => {
-                    this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke'));
+                    this.world.schedule(2_000_000, () => fail('mayHaveRun', 'the link broke'));
                     cancelOnEngine();
                     resolve();
                   },
@@ -249,72 +249,75 @@
         };
         const onProxyDeath = (): void => cancelOnEngine();
         const writeRequest = (): void =>
-          proxy.enter(() => {
+          proxy.execute(() => {
             if (finished) return;
-            if (!sink.mayGo()) return fail('notRun', 'not sent');
+            if (!sink.maySend()) return fail('notRun', 'not sent');
             const leftMicroseconds = this.world.nowMicroseconds;
             recordSend();
             // The request is stalled, not lost: a cut link holds bytes back until the connection breaks.
-            this.network.carry(
+            this.network.deliver(
               proxy.machine,
               name,
               () => receiveRequest(leftMicroseconds),
-              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
+              () => this.world.schedule(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             );
           });
         // The request is written after the connection is established, which takes one round trip.
-        this.network.carry(
+        this.network.deliver(
           proxy.machine,
           name,
           () => {
-            if (this.standing.get(name)?.process.alive !== true) {
+            if (this.backEnds.get(name)?.process.alive !== true) {
               recordSend();
-              this.network.carry(
+              this.network.deliver(
                 name,
                 proxy.machine,
                 () => fail('notRun', 'conn refused'),
-                () => this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
+                () => this.world.schedule(1_000_000, () => fail('notRun', 'conn not made')),
               );
             } else
-              this.network.carry(name, proxy.machine, writeRequest, () =>
-                this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
+              this.network.deliver(name, proxy.machine, writeRequest, () =>
+                this.world.schedule(1_000_000, () => fail('notRun', 'conn not made')),
               );
           },
-          () => this.world.plan(1_000_000, () => fail('notRun', 'conn not made')),
+          () => this.world.schedule(1_000_000, () => fail('notRun', 'conn not made')),
         );
         const receiveRequest = (leftMicroseconds: number): void => {
-          const backEnd = this.standing.get(name);
+          const backEnd = this.backEnds.get(name);
           if (backEnd === undefined || !backEnd.process.alive) {
-            this.network.carry(
+            this.network.deliver(
               name,
               proxy.machine,
               () => fail('mayHaveRun', 'conn reset'),
-              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
+              () => this.world.schedule(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             );
             return;
           }
           // No random number is drawn while this fault is off, so that runs without it keep their histories.
-          if (backEnd.forgetsPerMille > 0 && this.world.random.fraction() * 1000 < backEnd.forgetsPerMille) {
-            this.network.carry(
+          if (
+            backEnd.droppedConnectionsPerMille > 0 &&
+            this.world.random.fraction() * 1000 < backEnd.droppedConnectionsPerMille
+          ) {
+            this.network.deliver(
               name,
               proxy.machine,
               () => fail('mayHaveRun', 'conn reset', true),
-              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
+              () => this.world.schedule(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             );
             return;
           }
-          proxy.whenDead(onProxyDeath);
-          backEnd.process.whenDead(() =>
-            this.network.carry(
+          proxy.onDeath(onProxyDeath);
+          backEnd.process.onDeath(() =>
+            this.network.deliver(
               name,
               proxy.machine,
               () => fail('mayHaveRun', 'conn reset'),
-              () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
+              () => this.world.schedule(2_000_000, () => fail('mayHaveRun', 'the link broke')),
             ),
           );
           const bodyDelayMicroseconds = Math.floor(this.world.random.fraction() * 400);
-          this.world.plan(bodyDelayMicroseconds, () =>
-            backEnd.process.enter(() => {
+          this.world.schedule(bodyDelayMicroseconds, () =>
+            backEnd.process.execute(() => {
               const { engine } = backEnd;
               if (cancelled || engine === undefined) return;
               const arrival = {
@@ -325,7 +328,7 @@
                 atMicroseconds: this.world.nowMicroseconds,
               };
               let ran = true;
-              const head = (status: number, headers: SendHead['headers']): void => {
+              const head = (status: number, headers: BackEndResponseHead['headers']): void => {
                 if (headers['postdrum-not-run'] !== undefined) ran = false;
                 this.arrivals.push({ ...arrival, ran });
                 deliver(() => sink.head({ status, headers, framed: true }));
@@ -334,18 +337,18 @@
                 { headers: request.headers, body },
                 {
                   head,
-                  part: (text) => deliver(() => sink.part(Buffer.from(text))),
+                  part: (text) => deliver(() => sink.chunk(Buffer.from(text))),
                   end: () =>
                     deliver(() => {
                       finished = true;
                       sink.end();
                     }),
                   cut: () =>
-                    this.network.carry(
+                    this.network.deliver(
                       name,
                       proxy.machine,
                       () => fail('mayHaveRun', 'the answer broke off'),
-                      () => this.world.plan(2_000_000, () => fail('mayHaveRun', 'the link broke')),
+                      () => this.world.schedule(2_000_000, () => fail('mayHaveRun', 'the link broke')),
                     ),
                 },
                 (act) => {
@@ -359,7 +362,7 @@
           cut: () => {
             if (finished) return;
             finished = true;
-            this.network.carry(proxy.machine, name, () => {
+            this.network.deliver(proxy.machine, name, () => {
               cancelled = true;
               cancelOnEngine();
             });
@@ -374,8 +377,8 @@
       nowMicroseconds: () => this.world.nowMicroseconds,
       steadyMicroseconds: () => this.world.nowMicroseconds,
       after: (delay, act) => {
-        const process = this.standing.get(name)?.process;
-        return this.world.plan(delay, () => (process === undefined ? act() : process.enter(act)));
+        const process = this.backEnds.get(name)?.process;
+        return this.world.schedule(delay, () => (process === undefined ? act() : process.execute(act)));
       },
     };
   }
@@ -389,20 +392,20 @@
       new Promise((resolve) => {
         const peer = address.split(':', 1)[0] ?? '';
         const finish = (result: Result): void => resolve(result);
-        this.network.carry(
+        this.network.deliver(
           name,
           peer,
           () => {
-            const backEnd = this.standing.get(peer);
+            const backEnd = this.backEnds.get(peer);
             const result = backEnd?.process.alive === true ? act(backEnd) : fallback;
-            this.network.carry(
+            this.network.deliver(
               peer,
               name,
               () => finish(result),
-              () => this.world.plan(2_000_000, () => finish(fallback)),
+              () => this.world.schedule(2_000_000, () => finish(fallback)),
             );
           },
-          () => this.world.plan(2_000_000, () => finish(fallback)),
+          () => this.world.schedule(2_000_000, () => finish(fallback)),
         );
       });
     return {
--- a/source/fleet-simulator/machines/simCallers.ts
+++ b/source/fleet-simulator/machines/simClients.ts
@@ -7,7 +7,7 @@
 import type { World } from '../world/world';
 
 /** A kind of request that simulated clients send; `parts` is the number of parts in the expected response. */
-export type SimKind = Readonly<{
+export type RequestKind = Readonly<{
   name: string;
   path: string;
   model: string;
@@ -20,12 +20,12 @@
  * How a client behaves. `leaves` disconnects at a random time; `slowSender` delays the request body and `slowReader` delays
  * each part of the response.
  */
-export type SimHabit = Readonly<{ kind: 'plain' | 'leaves' | 'slowReader' | 'slowSender'; stream: boolean }>;
+export type ClientBehaviour = Readonly<{ kind: 'plain' | 'leaves' | 'slowReader' | 'slowSender'; stream: boolean }>;
 
-export const plainHabit: SimHabit = { kind: 'plain', stream: true };
+export const plainBehaviour: ClientBehaviour = { kind: 'plain', stream: true };
 
 /** A request of a simulated client and what the client saw of its response. */
-export type SimCall = {
+export type SimRequest = {
   readonly nonce: string;
   readonly proxy: string;
   readonly kind: string;
@@ -36,18 +36,18 @@
   readonly model: string;
   readonly sentMicroseconds: number;
   /** The time at which the proxy had read the whole body. */
-  readMicroseconds: number;
+  bodyReadMicroseconds: number;
   status: number;
   verdict: string;
   code: string;
   retryAfterSeconds: number | undefined;
   text: string;
-  whole: boolean;
-  right: boolean;
-  over: boolean;
+  isComplete: boolean;
+  isCorrect: boolean;
+  isFinished: boolean;
   /** The client disconnected or, with `proxyDied`, its proxy died: the rest of the response is not judged. */
-  left: boolean;
-  daemonDied: boolean;
+  clientGone: boolean;
+  proxyDied: boolean;
   lastPartMicroseconds: number;
   endedMicroseconds: number;
 };
@@ -77,28 +77,28 @@
 };
 
 /** The clients of a simulated fleet. They record only what a client can observe. */
-export class SimCallers {
-  public readonly calls: SimCall[] = [];
-  private made = 0;
+export class SimClients {
+  public readonly requests: SimRequest[] = [];
+  private requestCount = 0;
 
   public constructor(private readonly world: World) {}
 
   /** Sends a request to a proxy; the returned record is filled in as the response arrives. */
-  public call(
+  public send(
     handle: ProxyHandle,
-    kind: SimKind,
+    kind: RequestKind,
     tenant: string,
     key: string,
-    behaviour: SimHabit = plainHabit,
-  ): SimCall {
-    this.made += 1;
+    behaviour: ClientBehaviour = plainBehaviour,
+  ): SimRequest {
+    this.requestCount += 1;
     const { world } = this;
-    const nonce = `n${world.seed}-${this.made}`;
+    const nonce = `n${world.seed}-${this.requestCount}`;
     const messages = [
       ...(kind.prefix === '' ? [] : [{ role: 'system', content: kind.prefix }]),
       { role: 'user', content: `nonce:${nonce} please` },
     ];
-    const request: SimCall = {
+    const request: SimRequest = {
       nonce,
       proxy: handle.name,
       kind: kind.name,
@@ -108,36 +108,37 @@
       path: kind.path,
       model: kind.model,
       sentMicroseconds: world.nowMicroseconds,
-      readMicroseconds: Infinity,
+      bodyReadMicroseconds: Infinity,
       status: 0,
       verdict: '',
       code: '',
       retryAfterSeconds: undefined,
       text: '',
-      whole: false,
-      right: false,
-      over: false,
-      left: false,
-      daemonDied: false,
+      isComplete: false,
+      isCorrect: false,
+      isFinished: false,
+      clientGone: false,
+      proxyDied: false,
       lastPartMicroseconds: 0,
       endedMicroseconds: 0,
     };
-    this.calls.push(request);
+    this.requests.push(request);
     const disconnectCallbacks: (() => void)[] = [];
     const textOf = behaviour.stream ? streamedText : unstreamedText;
     const finish = (whole: boolean): void => {
-      if (request.over) return;
-      request.over = true;
-      request.whole = whole;
-      request.right = textOf(request.text) === Answers.text(HashChains.canonicalPrompt(messages), kind.parts).join('');
+      if (request.isFinished) return;
+      request.isFinished = true;
+      request.isComplete = whole;
+      request.isCorrect =
+        textOf(request.text) === Answers.text(HashChains.canonicalPrompt(messages), kind.parts).join('');
       request.endedMicroseconds = world.nowMicroseconds;
     };
-    handle.process.whenDead(() => {
-      if (!request.over) request.daemonDied = true;
+    handle.process.onDeath(() => {
+      if (!request.isFinished) request.proxyDied = true;
       finish(false);
     });
     const refuse = (refusal: Refusal): void => {
-      if (request.over) return;
+      if (request.isFinished) return;
       request.status = refusal.status;
       request.verdict = refusal.verdict;
       request.code = refusal.code;
@@ -146,19 +147,19 @@
     };
     const response: ResponseSink = {
       begun: () => request.status !== 0,
-      gone: () => request.left,
-      onClientGone: (act) => void (request.left ? act() : disconnectCallbacks.push(act)),
+      gone: () => request.clientGone,
+      onClientGone: (act) => void (request.clientGone ? act() : disconnectCallbacks.push(act)),
       head: ({ status, headers }) => {
         request.status = status;
         request.verdict = headers['postdrum-verdict'] ?? '';
       },
       part: (bytes) => {
-        if (request.over) return undefined;
+        if (request.isFinished) return undefined;
         request.text += Buffer.from(bytes).toString('utf8');
         request.lastPartMicroseconds = world.nowMicroseconds;
         if (behaviour.kind !== 'slowReader') return undefined;
         return new Promise((resolve) =>
-          world.plan(Math.floor(world.random.fraction() * 150_000), () => handle.process.enter(resolve)),
+          world.schedule(Math.floor(world.random.fraction() * 150_000), () => handle.process.execute(resolve)),
         );
       },
       end: () => finish(true),
@@ -166,24 +167,24 @@
       refuse,
     };
     if (behaviour.kind === 'leaves')
-      world.plan(Math.floor(world.random.fraction() * 400_000), () => {
-        if (request.over) return;
-        request.left = true;
+      world.schedule(Math.floor(world.random.fraction() * 400_000), () => {
+        if (request.isFinished) return;
+        request.clientGone = true;
         finish(false);
-        handle.process.enter(() => disconnectCallbacks.splice(0).forEach((act) => act()));
+        handle.process.execute(() => disconnectCallbacks.splice(0).forEach((act) => act()));
       });
     const body = JSON.stringify({ model: kind.model, messages, stream: behaviour.stream, max_tokens: kind.parts });
     const bodyMicroseconds = behaviour.kind === 'slowSender' ? Math.floor(world.random.fraction() * 1_500_000) : 0;
-    world.plan(100, () =>
-      handle.process.enter(() => {
-        if (request.left) return;
+    world.schedule(100, () =>
+      handle.process.execute(() => {
+        if (request.clientGone) return;
         const { proxy } = handle;
         const identified = proxy.identifier.tenantOf(key);
         if (identified.kind === 'refuse') return refuse(identified.refusal);
-        world.plan(bodyMicroseconds, () =>
-          handle.process.enter(() => {
-            if (request.left) return;
-            request.readMicroseconds = world.nowMicroseconds;
+        world.schedule(bodyMicroseconds, () =>
+          handle.process.execute(() => {
+            if (request.clientGone) return;
+            request.bodyReadMicroseconds = world.nowMicroseconds;
             void proxy.handle(
               {
                 id: `${nonce}-${world.random.name().slice(0, 8)}`,
