--- a/source/fleet-simulator/machines/simFleet.ts
+++ b/source/fleet-simulator/machines/simFleet.ts
@@ -3,16 +3,23 @@
 import type { ChangeOrder, ChangeOutcome } from '../../core-keeper/register/messages';
 import { AgentDefaults, EdgeAgent } from '../../edge-agent/edgeAgent';
 import { EdgeProxy, ProxyDefaults, type ProxySettings } from '../../edge-proxy/edgeProxy';
-import type { Blueprint, CoreMember, DocumentKey, Engine, EngineList, Pool } from '../../shared/blueprint/types';
+import type {
+  Configuration,
+  ControlNodeMember,
+  DocumentKey,
+  Engine,
+  EngineList,
+  Pool,
+} from '../../shared/configuration/types';
 import { SimDisk } from '../world/simDisk';
 import { SimNetwork } from '../world/simNetwork';
 import { SimProcess } from '../world/simProcess';
 import type { World } from '../world/world';
 import { SimBackEnds } from './simBackEnds';
-import { SimCallers, type ProxyHandle, type SimKind } from './simCallers';
+import { SimClients, type ProxyHandle, type RequestKind } from './simClients';
 
 /** The size, speed and load of a simulated fleet. */
-export type SimShape = Readonly<{
+export type FleetShape = Readonly<{
   edges: number;
   /**
    * The number of edge machines that run an agent, counted from the first; default: all. Proxies on the other machines receive
@@ -21,55 +28,55 @@
   agents?: number;
   engines: number;
   /** Engines of a second pool, to which a mapping may be moved. */
-  spares: number;
+  spareEngines: number;
   capacity: number;
   mostBlocks: number;
   /** Factor on the default limits of the time that requests may wait in the queue. */
-  patience: number;
+  queueLimitFactor: number;
   /** The time that an engine takes for one part of a response. */
   partMicroseconds: number;
   /** The mean time between two client requests. */
   pauseMicroseconds: number;
   /** Duration of the traffic before the first fault, in which the retry budget for second sends is earned. */
-  warmMicroseconds: number;
+  warmUpMicroseconds: number;
   proxy: Partial<ProxySettings>;
 }>;
 
 /** The fleet of most scenarios. */
-export const usualShape: SimShape = {
+export const defaultShape: FleetShape = {
   edges: 4,
   engines: 4,
-  spares: 2,
+  spareEngines: 2,
   capacity: 6,
   mostBlocks: 60,
-  patience: 1,
+  queueLimitFactor: 1,
   partMicroseconds: 15_000,
   pauseMicroseconds: 12_000,
-  warmMicroseconds: 800_000,
+  warmUpMicroseconds: 800_000,
   proxy: {},
 };
 
 /** So little capacity that requests queue, though all can be served because they may wait longer. */
-export const crowdedShape: SimShape = {
-  ...usualShape,
+export const congestedShape: FleetShape = {
+  ...defaultShape,
   capacity: 3,
-  patience: 4,
+  queueLimitFactor: 4,
   // Responses take longer because the load that other proxies report is useful only if responses outlast its propagation.
   partMicroseconds: 200_000,
   pauseMicroseconds: 130_000,
-  warmMicroseconds: 12_000_000,
+  warmUpMicroseconds: 12_000_000,
 };
 
 /** A simulated control node with its machine, disk and process. */
-export type SimKeeper = {
+export type SimControlNode = {
   readonly name: string;
-  readonly member: CoreMember;
+  readonly member: ControlNodeMember;
   readonly machine: string;
   readonly disk: SimDisk;
   replaces: string;
   replaced: boolean;
   process: SimProcess;
-  keeper: ControlNode | undefined;
+  node: ControlNode | undefined;
   /** The number of times that the process exited after a disk failure. */
   exits: number;
 };
@@ -83,7 +90,7 @@
   agent: EdgeAgent;
   proxy: EdgeProxy;
   /** Whether the platform routes clients to this machine. */
-  open: boolean;
+  receivesTraffic: boolean;
 };
 
 /** A change that an operator requested, with the outcome that the operator received. */
@@ -129,7 +136,7 @@
 
 /** The blueprints that simulated fleets start with. */
 export const SimBlueprints = {
-  first: (weights = 'w1', queueLimitFactor = 1): Blueprint => ({
+  initial: (weights = 'w1', queueLimitFactor = 1): Configuration => ({
     classes: {
       long: {
         rank: 1,
@@ -170,8 +177,8 @@
 const prefixText = (name: string): string => `Long shared rulebook ${name}. `.repeat(100).slice(0, blockCharacters * 8);
 
 /** The kinds of requests that simulated clients send, one for each mapping of the first blueprint. */
-export const SimKinds = {
-  long: (name = 'A'): SimKind => ({
+export const RequestKinds = {
+  long: (name = 'A'): RequestKind => ({
     name: 'long',
     path: '/v1/chat/completions',
     model: 'long',
@@ -186,7 +193,7 @@
     prefix: '',
     parts: 3,
     resumable: true,
-  } satisfies SimKind,
+  } satisfies RequestKind,
   once: {
     name: 'once',
     path: '/v1/chat/completions',
@@ -194,7 +201,7 @@
     prefix: '',
     parts: 3,
     resumable: false,
-  } satisfies SimKind,
+  } satisfies RequestKind,
   spare: {
     name: 'spare',
     path: '/v1/chat/completions',
@@ -202,8 +209,8 @@
     prefix: prefixText('S').slice(0, blockCharacters * 3),
     parts: 3,
     resumable: false,
-  } satisfies SimKind,
-  slip: { name: 'slip', path: '/slips/print', model: '', prefix: '', parts: 2, resumable: false } satisfies SimKind,
+  } satisfies RequestKind,
+  slip: { name: 'slip', path: '/slips/print', model: '', prefix: '', parts: 2, resumable: false } satisfies RequestKind,
 } as const;
 
 const zones = ['harbour', 'hill', 'river'] as const;
@@ -212,10 +219,10 @@
 export class SimFleet {
   public readonly network: SimNetwork;
   public readonly backEnds: SimBackEnds;
-  public readonly callers: SimCallers;
+  public readonly clients: SimClients;
   public readonly changes: OperatorChange[] = [];
   public readonly reads: OperatorRead[] = [];
-  public readonly keepers: SimKeeper[] = [];
+  public readonly controlNodes: SimControlNode[] = [];
   public readonly edges: SimEdge[] = [];
   /** Engines of the first pool; most faults are for these. */
   public readonly engineNames: readonly string[];
@@ -223,14 +230,14 @@
   public readonly appName: string;
   public readonly storeName: string;
   /** The control node whose disk was wiped last, if any. */
-  public wiped: SimKeeper | undefined;
+  public wipedControlNode: SimControlNode | undefined;
   /** The `fleet` setting of the agents. */
-  public statedFleet = '';
+  public fleetSetting = '';
   private changeCount = 0;
 
   public constructor(
     public readonly world: World,
-    public readonly shape: SimShape = usualShape,
+    public readonly shape: FleetShape = defaultShape,
     /** The first octet of the fleet's addresses. Two fleets of one world share a network and need distinct addresses. */
     private readonly addressPrefix = '10',
     network?: SimNetwork,
@@ -239,9 +246,12 @@
     this.storeName = `${addressPrefix}.4.0.1`;
     this.appName = `${addressPrefix}.3.2.1`;
     this.backEnds = new SimBackEnds(world, this.network);
-    this.callers = new SimCallers(world);
+    this.clients = new SimClients(world);
     this.engineNames = Array.from({ length: shape.engines }, (_, index) => `${this.addressPrefix}.3.0.${index + 1}`);
-    this.spareNames = Array.from({ length: shape.spares }, (_, index) => `${this.addressPrefix}.3.1.${index + 1}`);
+    this.spareNames = Array.from(
+      { length: shape.spareEngines },
+      (_, index) => `${this.addressPrefix}.3.1.${index + 1}`,
+    );
     for (const name of [...this.engineNames, ...this.spareNames, this.appName])
       this.backEnds.addEngine(name, {
         name,
@@ -257,7 +267,7 @@
         checksTerms: Number(name.split('.')[3]) % 2 === 1,
       });
     this.backEnds.addStore(this.storeName);
-    for (const number of [1, 2, 3]) this.addKeeper(number);
+    for (const number of [1, 2, 3]) this.addControlNode(number);
     for (let number = 1; number <= shape.edges; number += 1) this.edges.push(this.makeEdge(number));
   }
 
@@ -266,9 +276,9 @@
   }
 
   /** Adds a control node, which is not started yet. */
-  public addKeeper(number: number, replaces = ''): SimKeeper {
+  public addControlNode(number: number, replaces = ''): SimControlNode {
     const machine = `${this.addressPrefix}.1.0.${number}`;
-    const created: SimKeeper = {
+    const created: SimControlNode = {
       name: `keeper-${number}`,
       member: { address: `${machine}:1`, operatorsAddress: `${machine}:2`, zone: '' },
       machine,
@@ -276,32 +286,32 @@
       replaces,
       replaced: false,
       process: new SimProcess(this.world, `keeper-${number}`, machine),
-      keeper: undefined,
+      node: undefined,
       exits: 0,
     };
     created.process.alive = false;
-    this.keepers.push(created);
+    this.controlNodes.push(created);
     return created;
   }
 
   /** The control nodes that were not replaced after the permanent loss of their machines. */
-  public present(): readonly SimKeeper[] {
-    return this.keepers.filter(({ replaced }) => !replaced);
+  public remainingControlNodes(): readonly SimControlNode[] {
+    return this.controlNodes.filter(({ replaced }) => !replaced);
   }
 
-  public startKeeper(controlNode: SimKeeper): void {
+  public startControlNode(controlNode: SimControlNode): void {
     if (controlNode.process.alive) return;
     const process = new SimProcess(this.world, controlNode.name, controlNode.machine, this.randomDrift());
     controlNode.process = process;
     const effects = { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) };
-    const created = new ControlNode(effects, controlNode.disk.of(process), {
+    const created = new ControlNode(effects, controlNode.disk.diskFor(process), {
       ...ControlNodeDefaults,
       name: controlNode.name,
       member: controlNode.member,
       seeds: this.seeds,
       replaces: controlNode.replaces,
     });
-    controlNode.keeper = created;
+    controlNode.node = created;
     created.events.on('broken', () => {
       controlNode.exits += 1;
       process.kill();
@@ -315,7 +325,7 @@
   }
 
   /** Kills the process of a control node; with `losesPower`, its disk loses power as well. */
-  public killKeeper(controlNode: SimKeeper, losesPower: boolean): void {
+  public killControlNode(controlNode: SimControlNode, losesPower: boolean): void {
     controlNode.process.kill();
     if (losesPower) controlNode.disk.losePower();
   }
@@ -368,14 +378,14 @@
     return found;
   }
 
-  public keeper(index: number): SimKeeper {
-    const found = this.keepers[index];
+  public controlNode(index: number): SimControlNode {
+    const found = this.controlNodes[index];
     if (found === undefined) throw new Error(`no keeper ${index}`);
     return found;
   }
 
   /** The machine, kind and service of every back end, by label. */
-  public places(): Readonly<Record<string, Placement>> {
+  public backEndPlacements(): Readonly<Record<string, Placement>> {
     const engines = (
       names: readonly string[],
       label: string,
@@ -394,7 +404,7 @@
 
   /** The service of the back end on a machine. */
   public serviceOf(machine: string): string {
-    return Object.values(this.places()).find((placement) => placement.machine === machine)?.service ?? '';
+    return Object.values(this.backEndPlacements()).find((placement) => placement.machine === machine)?.service ?? '';
   }
 
   /** The zone of a machine; there are three zones. */
@@ -403,12 +413,12 @@
   }
 
   public backEndMachines(): readonly string[] {
-    return Object.values(this.places()).map(({ machine }) => machine);
+    return Object.values(this.backEndPlacements()).map(({ machine }) => machine);
   }
 
   public machines(): readonly string[] {
     return [
-      ...this.keepers.map(({ machine }) => machine),
+      ...this.controlNodes.map(({ machine }) => machine),
       ...this.edges.map(({ machine }) => machine),
       ...this.backEndMachines(),
     ];
@@ -417,7 +427,7 @@
   public engineList(draining: readonly string[] = [], excluded: readonly string[] = []): EngineList {
     return {
       engines: Object.fromEntries(
-        Object.entries(this.places())
+        Object.entries(this.backEndPlacements())
           .filter(([, { machine }]) => !excluded.includes(machine))
           .map(([label, { machine, kind, service }]) => [
             label,
@@ -434,7 +444,10 @@
   }
 
   /** Requests a change from one control node as an operator and records the outcome that the operator receives. */
-  public change(controlNode: SimKeeper, request: Omit<ChangeOrder, 'id'> & Readonly<{ id?: string }>): OperatorChange {
+  public change(
+    controlNode: SimControlNode,
+    request: Omit<ChangeOrder, 'id'> & Readonly<{ id?: string }>,
+  ): OperatorChange {
     this.changeCount += 1;
     const id = request.id ?? `change-${this.changeCount}`;
     const created: OperatorChange = {
@@ -446,9 +459,9 @@
       answeredMicroseconds: Infinity,
     };
     this.changes.push(created);
-    const running = controlNode.keeper;
-    this.world.plan(200, () =>
-      controlNode.process.enter(() => {
+    const running = controlNode.node;
+    this.world.schedule(200, () =>
+      controlNode.process.execute(() => {
         if (running === undefined) return;
         void running.change({ ...request, id }).then((outcome) => {
           if (!controlNode.process.alive) return;
@@ -461,11 +474,11 @@
   }
 
   /** Reads a document from one control node as an operator and records the result. */
-  public read(controlNode: SimKeeper, key: DocumentKey): void {
+  public read(controlNode: SimControlNode, key: DocumentKey): void {
     const askedMicroseconds = this.world.nowMicroseconds;
-    controlNode.process.enter(
+    controlNode.process.execute(
       () =>
-        void controlNode.keeper?.read(key).then((outcome) => {
+        void controlNode.node?.read(key).then((outcome) => {
           if (outcome.kind === 'read' && controlNode.process.alive)
             this.reads.push({
               key,
@@ -482,7 +495,7 @@
    * Retries a change through the control nodes in turn until one accepts it; each attempt has an id of its own. Returns
    * undefined if the change is refused for good or the time limit passes.
    */
-  public async take(
+  public async changeUntilAccepted(
     key: DocumentKey,
     value: unknown,
     limitMicroseconds = 15_000_000,
@@ -490,7 +503,7 @@
     const deadlineMicroseconds = this.world.nowMicroseconds + limitMicroseconds;
     let revision = 0;
     for (let attempt = 0; this.world.nowMicroseconds < deadlineMicroseconds; attempt += 1) {
-      const controlNode = this.keeper(attempt % this.keepers.length);
+      const controlNode = this.controlNode(attempt % this.controlNodes.length);
       if (!controlNode.process.alive) {
         await this.world.runFor(20_000);
         continue;
@@ -507,11 +520,14 @@
   }
 
   /** Starts all machines, writes the first blueprint and engine list, and waits until every proxy and agent has them. */
-  public async startAll(blueprint: Blueprint = SimBlueprints.first('w1', this.shape.patience)): Promise<void> {
-    for (const controlNode of this.keepers) this.startKeeper(controlNode);
+  public async startAll(
+    blueprint: Configuration = SimBlueprints.initial('w1', this.shape.queueLimitFactor),
+  ): Promise<void> {
+    for (const controlNode of this.controlNodes) this.startControlNode(controlNode);
     for (const edge of this.edges) this.startEdge(edge);
-    if ((await this.take('blueprint', blueprint)) === undefined) throw new Error('the first blueprint was not taken');
-    if ((await this.take('engines', this.engineList())) === undefined)
+    if ((await this.changeUntilAccepted('blueprint', blueprint)) === undefined)
+      throw new Error('the first blueprint was not taken');
+    if ((await this.changeUntilAccepted('engines', this.engineList())) === undefined)
       throw new Error('the first engine list was not taken');
     const serving = await this.world.runUntil(
       () =>
@@ -538,13 +554,13 @@
     const { process: proxyProcess, proxy } = this.makeProxy(name, machine);
     agentProcess.alive = false;
     proxyProcess.alive = false;
-    return { name, machine, agentProcess, proxyProcess, agent, proxy, open: true };
+    return { name, machine, agentProcess, proxyProcess, agent, proxy, receivesTraffic: true };
   }
 
   private makeAgent(name: string, machine: string): Readonly<{ process: SimProcess; agent: EdgeAgent }> {
     const process = new SimProcess(this.world, `${name}-agent`, machine, this.randomDrift());
     const effects = { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) };
-    const agent = new EdgeAgent(effects, this.backEnds.doorOf(process), {
+    const agent = new EdgeAgent(effects, this.backEnds.controlClientOf(process), {
       ...AgentDefaults,
       name,
       zone: '',
@@ -552,7 +568,7 @@
       proxyAddress: `${machine}:2`,
       pagesAddress: `${machine}:3`,
       seeds: this.seeds,
-      fleet: this.statedFleet,
+      fleet: this.fleetSetting,
     });
     return { process, agent };
   }
--- a/source/fleet-simulator/main.ts
+++ b/source/fleet-simulator/main.ts
@@ -3,7 +3,7 @@
 import { SettingFormats, Settings, type SettingSchema } from '../shared/settings/settings';
 import { faultNames, isFaultName, plannedFaultNames, worstCoreFaultNames, type FaultName } from './faults/faults';
 import { endings, runScenario, type Ending } from './faults/scenario';
-import { crowdedShape, usualShape } from './machines/simFleet';
+import { congestedShape, defaultShape } from './machines/simFleet';
 
 const schema: SettingSchema = {
   seed: { doc: 'first seed', format: SettingFormats.whole, default: 1, kind: 'whole' },
@@ -59,7 +59,7 @@
     const unknown = named.filter((name) => !isFaultName(name));
     if (unknown.length > 0) throw new Error(`no such fault: ${unknown.join(', ')}; known are ${faultNames.join(', ')}`);
     const first = Number(settings['seed']);
-    const shape = settings['shape'] === 'crowded' ? crowdedShape : usualShape;
+    const shape = settings['shape'] === 'crowded' ? congestedShape : defaultShape;
     const [judged, skipped, refusals] = [1, 2, 3].map(() => new Map<string, number>()) as [Counts, Counts, Counts];
     let failed = 0;
     let calls = 0;
@@ -80,8 +80,8 @@
       if (outcome.broken.length === 0) continue;
       failed += 1;
       process.stdout.write(`seed ${seed}, faults ${faults.join(',')}: ${outcome.broken.length} broken\n`);
-      for (const { point, text: sentence } of outcome.broken.slice(0, 5))
-        process.stdout.write(`  ${point}: ${sentence}\n`);
+      for (const { invariant, text: sentence } of outcome.broken.slice(0, 5))
+        process.stdout.write(`  ${invariant}: ${sentence}\n`);
       for (const line of outcome.history) process.stdout.write(`    ${line}\n`);
     }
     process.stdout.write(
--- a/source/fleet-simulator/world/simDisk.ts
+++ b/source/fleet-simulator/world/simDisk.ts
@@ -51,17 +51,17 @@
   }
 
   /** Ends a stall and starts the operations that it delayed. */
-  public release(): void {
+  public endStall(): void {
     this.faults.stalled = false;
     for (const operation of this.stalledOperations.splice(0)) operation();
   }
 
   /** Returns the disk as one process sees it. Processes of one machine share the files; results are delivered inside the process. */
-  public of(process: SimProcess): Disk {
+  public diskFor(process: SimProcess): Disk {
     const submit = <Result>(operation: () => Result): Promise<Result> =>
       new Promise((resolve, reject) => {
         const start = (): void => {
-          this.world.plan(60 + this.faults.slowMicroseconds, () => {
+          this.world.schedule(60 + this.faults.slowMicroseconds, () => {
             // Runs outside the process because a write already submitted to the disk happens even if the process has died.
             let outcome: Readonly<{ value: Result }> | Readonly<{ error: unknown }>;
             try {
@@ -69,7 +69,7 @@
             } catch (error) {
               outcome = { error };
             }
-            process.enter(() => ('value' in outcome ? resolve(outcome.value) : reject(outcome.error as Error)));
+            process.execute(() => ('value' in outcome ? resolve(outcome.value) : reject(outcome.error as Error)));
           });
         };
         if (this.faults.stalled) this.stalledOperations.push(start);
--- a/source/fleet-simulator/world/simNetwork.ts
+++ b/source/fleet-simulator/world/simNetwork.ts
@@ -1,4 +1,4 @@
-import type { Answer, Handler, Listener, Message, Transport } from '../../shared/effects/transport/transport';
+import type { RequestOutcome, Handler, Listener, Message, Transport } from '../../shared/effects/transport/transport';
 import { Payloads } from '../../shared/effects/transport/payloads';
 import { SimProcess } from './simProcess';
 import type { World } from './world';
@@ -26,7 +26,7 @@
   public constructor(private readonly world: World) {}
 
   /** Cuts the link in one direction. The returned function restores it, unless another fault cuts it, too. */
-  public cut(from: string, to: string): () => void {
+  public cutLink(from: string, to: string): () => void {
     const link = `${from}>${to}`;
     this.cuts.set(link, (this.cuts.get(link) ?? 0) + 1);
     let restored = false;
@@ -60,11 +60,11 @@
     return () => void this.slow.delete(`${from}>${to}`);
   }
 
-  public open(from: string, to: string): boolean {
+  public isOpen(from: string, to: string): boolean {
     return from === to || !this.cuts.has(`${from}>${to}`);
   }
 
-  public latency(from: string, to: string): number {
+  public latencyMicroseconds(from: string, to: string): number {
     const base = from === to ? 40 : 200;
     return (
       base + Math.floor(this.world.random.fraction() * (from === to ? 60 : 900)) + (this.slow.get(`${from}>${to}`) ?? 0)
@@ -72,15 +72,15 @@
   }
 
   /** Delivers one message from machine to machine. It is lost if the link is cut when it is sent or when it arrives. */
-  public carry(from: string, to: string, arrive: () => void, lost: () => void = () => undefined, bytes = 0): void {
-    if (!this.open(from, to)) return lost();
-    if (from !== to) this.bytesOut.set(from, this.bytesFrom(from) + bytes);
-    const delay = this.latency(from, to) + this.transmissionMicroseconds(from, to, bytes);
-    this.world.plan(delay, () => (this.open(from, to) ? arrive() : lost()));
+  public deliver(from: string, to: string, arrive: () => void, lost: () => void = () => undefined, bytes = 0): void {
+    if (!this.isOpen(from, to)) return lost();
+    if (from !== to) this.bytesOut.set(from, this.bytesSentBy(from) + bytes);
+    const delay = this.latencyMicroseconds(from, to) + this.transmissionMicroseconds(from, to, bytes);
+    this.world.schedule(delay, () => (this.isOpen(from, to) ? arrive() : lost()));
   }
 
   /** Returns the bytes that a machine has sent to other machines since the start. */
-  public bytesFrom(machine: string): number {
+  public bytesSentBy(machine: string): number {
     return this.bytesOut.get(machine) ?? 0;
   }
 
@@ -95,13 +95,13 @@
   }
 
   /** Reassigns an address to the process that listens at another one, as when a machine gets a new owner. */
-  public handOver(address: string, to: string): void {
+  public reassignAddress(address: string, to: string): void {
     const found = this.listenerAt(to);
     if (found !== undefined) this.listening.set(address, found);
   }
 
   /** Lets a process that isn't part of the fleet listen at an address. */
-  public squat(address: string, handler: Handler): void {
+  public occupyAddress(address: string, handler: Handler): void {
     this.listening.set(address, { process: new SimProcess(this.world, address, address), handler });
   }
 
@@ -126,49 +126,54 @@
     const close = (): void => {
       if (this.listening.get(address) === own) this.listening.delete(address);
     };
-    process.whenDead(close);
+    process.onDeath(close);
     return Promise.resolve({ address, close: () => Promise.resolve(close()) });
   }
 
-  private ask(sender: SimProcess, address: string, message: Message, limitMicroseconds: number): Promise<Answer> {
+  private ask(
+    sender: SimProcess,
+    address: string,
+    message: Message,
+    limitMicroseconds: number,
+  ): Promise<RequestOutcome> {
     return new Promise((resolve) => {
       let settled = false;
-      const settle = (answer: Answer): void => {
+      const settle = (answer: RequestOutcome): void => {
         if (settled) return;
         settled = true;
         cancel();
         resolve(answer);
       };
       const cancel = sender.clock.after(limitMicroseconds, () => settle({ kind: 'silent', reason: 'limit passed' }));
-      const packed = Payloads.ofAsk(message);
+      const packed = Payloads.encodeRequest(message);
       this.messages += 1;
       this.bytes += packed.length;
       const machine = this.machineOf(address);
       if (this.refused.has(`${sender.machine}>${machine}`)) return;
       const silent = (reason: string): void =>
-        this.carry(machine, sender.machine, () => sender.enter(() => settle({ kind: 'silent', reason })));
+        this.deliver(machine, sender.machine, () => sender.execute(() => settle({ kind: 'silent', reason })));
       const arrive = (): void => {
         const found = this.listenerAt(address);
         if (found === undefined) return silent('conn refused');
-        found.process.whenDead(() => silent('conn closed'));
-        found.process.enter(() => {
-          const request = Payloads.read(packed);
+        found.process.onDeath(() => silent('conn closed'));
+        found.process.execute(() => {
+          const request = Payloads.decode(packed);
           found.handler(request).then(
             (answer) => {
               if (!found.process.alive) return;
-              const packedAnswer = Payloads.ofAnswer(answer, request);
+              const packedAnswer = Payloads.encodeResponse(answer, request);
               this.bytes += packedAnswer.length;
               const arrive = (): void =>
-                sender.enter(() => {
-                  settle({ kind: 'answered', message: Payloads.read(packedAnswer) });
+                sender.execute(() => {
+                  settle({ kind: 'answered', message: Payloads.decode(packedAnswer) });
                 });
-              this.carry(found.process.machine, sender.machine, arrive, undefined, packedAnswer.length);
+              this.deliver(found.process.machine, sender.machine, arrive, undefined, packedAnswer.length);
             },
             () => silent('conn closed'),
           );
         });
       };
-      this.carry(sender.machine, machine, arrive, undefined, packed.length);
+      this.deliver(sender.machine, machine, arrive, undefined, packed.length);
     });
   }
 
--- a/source/fleet-simulator/world/simProcess.ts
+++ b/source/fleet-simulator/world/simProcess.ts
@@ -47,13 +47,13 @@
   };
 
   /** Runs a callback in this process, on its processor if it has one. */
-  public enter(callback: () => void): void {
+  public execute(callback: () => void): void {
     if (this.processor === undefined) this.perform(callback);
     else if (this.alive) this.processor.run(() => this.perform(callback));
   }
 
   /** Calls back when the process dies, at once if it is dead already. */
-  public whenDead(callback: () => void): void {
+  public onDeath(callback: () => void): void {
     if (this.alive) this.deathCallbacks.push(callback);
     else callback();
   }
@@ -69,7 +69,7 @@
     this.frozen = true;
   }
 
-  public thaw(): void {
+  public unfreeze(): void {
     this.frozen = false;
     this.runQueued();
   }
@@ -79,7 +79,7 @@
     this.suspendedAtMicroseconds ??= this.world.nowMicroseconds;
   }
 
-  public wake(): void {
+  public resume(): void {
     if (this.suspendedAtMicroseconds === undefined) return;
     this.suspendedMicroseconds += this.world.nowMicroseconds - this.suspendedAtMicroseconds;
     this.suspendedAtMicroseconds = undefined;
@@ -106,12 +106,14 @@
     let cancelled = false;
     let cancel: Cancel = () => undefined;
     const schedule = (): void => {
-      cancel = this.world.plan((dueMicroseconds - this.monotonic()) / (1 + this.driftPartsPerMillion / 1_000_000), () =>
-        this.enter(() => {
-          if (cancelled) return;
-          if (this.monotonic() + 1 < dueMicroseconds) schedule();
-          else callback();
-        }),
+      cancel = this.world.schedule(
+        (dueMicroseconds - this.monotonic()) / (1 + this.driftPartsPerMillion / 1_000_000),
+        () =>
+          this.execute(() => {
+            if (cancelled) return;
+            if (this.monotonic() + 1 < dueMicroseconds) schedule();
+            else callback();
+          }),
       );
     };
     schedule();
@@ -126,6 +128,6 @@
     const queued = this.queued;
     this.queued = [];
     // Schedules one event for each callback, so that the queued ones run one by one in order, as in a resumed process.
-    for (const callback of queued) this.world.plan(0, () => this.enter(callback));
+    for (const callback of queued) this.world.schedule(0, () => this.execute(callback));
   }
 }
--- a/source/fleet-simulator/world/simProcessor.ts
+++ b/source/fleet-simulator/world/simProcessor.ts
@@ -8,7 +8,7 @@
   public constructor(
     private readonly world: World,
     /** The time that one task takes. A task handles one message or one timer. */
-    public actMicroseconds: number,
+    public taskMicroseconds: number,
   ) {}
 
   /** The number of tasks that have not run yet. */
@@ -19,9 +19,9 @@
   /** Runs the task after all tasks queued before it, and after the time that it takes itself. */
   public run(task: () => void): void {
     const start = Math.max(this.world.nowMicroseconds, this.busyUntilMicroseconds);
-    this.busyUntilMicroseconds = start + this.actMicroseconds;
+    this.busyUntilMicroseconds = start + this.taskMicroseconds;
     this.queuedTasks += 1;
-    this.world.plan(this.busyUntilMicroseconds - this.world.nowMicroseconds, () => {
+    this.world.schedule(this.busyUntilMicroseconds - this.world.nowMicroseconds, () => {
       this.queuedTasks -= 1;
       task();
     });
--- a/source/fleet-simulator/world/world.ts
+++ b/source/fleet-simulator/world/world.ts
@@ -73,7 +73,7 @@
   }
 
   /** Schedules a callback after a virtual delay. The returned function cancels it. */
-  public plan(delayMicroseconds: number, callback: () => void): Cancel {
+  public schedule(delayMicroseconds: number, callback: () => void): Cancel {
     this.scheduledCount += 1;
     const item: ScheduledEvent = {
       atMicroseconds: this.now + Math.max(0, Math.round(delayMicroseconds)),
@@ -87,14 +87,14 @@
   }
 
   /** Adds a line with the virtual time to the history of the run. */
-  public note(sentence: string): void {
+  public record(sentence: string): void {
     this.history.push(`${(this.now / 1_000_000).toFixed(3)} s: ${sentence}`);
   }
 
   public readonly clock: Clock = {
     nowMicroseconds: () => this.now,
     steadyMicroseconds: () => this.now,
-    after: (delay, callback) => this.plan(delay, callback),
+    after: (delay, callback) => this.schedule(delay, callback),
   };
 
   /** Runs all events that are due within this time. Promises settle between two events. */
--- a/source/measure/hollow/countingTransport.ts
+++ b/source/measure/hollow/countingTransport.ts
@@ -1,5 +1,5 @@
 import { pack } from 'msgpackr';
-import type { Answer, Handler, Listener, Message, Transport } from '../../shared/effects/transport/transport';
+import type { RequestOutcome, Handler, Listener, Message, Transport } from '../../shared/effects/transport/transport';
 
 /** What went over the links of many daemons, both ways, by kind of message. */
 export class Traffic {
@@ -33,7 +33,11 @@
     private readonly traffic: Traffic,
   ) {}
 
-  public readonly ask = async (address: string, message: Message, limitMicroseconds: number): Promise<Answer> => {
+  public readonly ask = async (
+    address: string,
+    message: Message,
+    limitMicroseconds: number,
+  ): Promise<RequestOutcome> => {
     const answer = await this.inner.ask(address, message, limitMicroseconds);
     if (this.traffic.counting) {
       this.traffic.add(message.kind, pack(message).length);
--- a/source/measure/hollow/hollowAgents.ts
+++ b/source/measure/hollow/hollowAgents.ts
@@ -1,5 +1,5 @@
 import { AgentDefaults, EdgeAgent, type AgentSettings } from '../../edge-agent/edgeAgent';
-import type { BackEndDoor } from '../../shared/back-end/protocol';
+import type { BackEndControl } from '../../shared/back-end/protocol';
 import { Clocks, type Clock } from '../../shared/effects/clock/clock';
 import type { Effects } from '../../shared/effects/effects';
 import { Made, weights } from './made';
@@ -37,7 +37,7 @@
     }),
 
   /** Engines of which nothing is heard but that they are there. */
-  door: (clock: Clock): BackEndDoor => ({
+  door: (clock: Clock): BackEndControl => ({
     traits: { drains: false, holdsEvents: true, derivedNames: true, storesHaveStatus: false },
     status: () =>
       Promise.resolve({
--- a/source/measure/hollow/hollowCore.ts
+++ b/source/measure/hollow/hollowCore.ts
@@ -23,7 +23,7 @@
       const process = new SimProcess(this.world, `core-${index + 1}`, machine);
       return new ControlNode(
         { clock: process.clock, random: this.world.random, transport: this.network.transportOf(process) },
-        new SimDisk(this.world).of(process),
+        new SimDisk(this.world).diskFor(process),
         {
           ...ControlNodeDefaults,
           name: `core-${index + 1}`,
--- a/source/measure/hollow/made.ts
+++ b/source/measure/hollow/made.ts
@@ -1,17 +1,17 @@
 import { createHash } from 'node:crypto';
-import type { Blueprint, EngineList, Pool } from '../../shared/blueprint/types';
+import type { Configuration, EngineList, Pool } from '../../shared/configuration/types';
 import type { NamedKey } from '../../shared/directory/hashChain';
 import type { Clock } from '../../shared/effects/clock/clock';
 import type { Random } from '../../shared/effects/random/random';
 import type { Freshness } from '../../shared/freshness/freshness';
 import {
-  FactKeys,
-  type EngineFact,
-  type LoadFact,
-  type MemberFact,
-  type StewardFact,
-} from '../../shared/news/factTypes';
-import type { Fact, FactBook } from '../../shared/news/facts';
+  GossipKeys,
+  type EngineEntry,
+  type LoadEntry,
+  type MemberEntry,
+  type ControllerEntry,
+} from '../../shared/gossip/entryTypes';
+import type { GossipEntry, GossipStore } from '../../shared/gossip/gossipStore';
 
 /** Engines for each daemon, and running sends for each proxy, as the letter has them. */
 const enginesPerDaemon = 830 / 410;
@@ -49,7 +49,7 @@
 
   model: (number: number): string => `weights-of-${number}`,
 
-  member: (number: number, address = `10.2.${number >> 8}.${number & 255}:7001`): MemberFact => ({
+  member: (number: number, address = `10.2.${number >> 8}.${number & 255}:7001`): MemberEntry => ({
     name: Made.daemon(number),
     zone: Made.zone(number),
     address,
@@ -59,7 +59,7 @@
     state: 'alive',
   }),
 
-  engineFact: (number: number): EngineFact => ({
+  engineFact: (number: number): EngineEntry => ({
     engine: Made.engine(number),
     kind: 'engine',
     address: `10.3.${number >> 8}.${number & 255}:8000`,
@@ -73,7 +73,7 @@
   }),
 
   /** What one proxy runs: so many sends, each at some engine. */
-  load: (number: number, engines: number, random: Random): LoadFact => {
+  load: (number: number, engines: number, random: Random): LoadEntry => {
     const sends = new Map<string, number>();
     for (let send = 0; send < runningPerProxy; send += 1) {
       const engine = Made.engine(1 + Math.floor(random.fraction() * engines));
@@ -92,34 +92,34 @@
   },
 
   /** All that a daemon of a fleet of this size knows of daemons, engines, stewards and loads. */
-  facts: (daemons: number, engines: number, random: Random): readonly Fact[] => [
+  facts: (daemons: number, engines: number, random: Random): readonly GossipEntry[] => [
     ...numbered(daemons, (number) => ({
-      key: FactKeys.member(Made.daemon(number)),
+      key: GossipKeys.member(Made.daemon(number)),
       version: [1, 0] as const,
       value: Made.member(number),
     })),
     ...numbered(daemons, (number) => ({
-      key: FactKeys.load(Made.daemon(number)),
+      key: GossipKeys.load(Made.daemon(number)),
       version: [1, 1] as const,
       value: Made.load(number, engines, random),
     })),
     ...numbered(engines, (number) => ({
-      key: FactKeys.engine(Made.engine(number)),
+      key: GossipKeys.engine(Made.engine(number)),
       version: [1, 1] as const,
       value: Made.engineFact(number),
     })),
     ...numbered(engines, (number) => ({
-      key: FactKeys.steward(Made.engine(number)),
+      key: GossipKeys.controller(Made.engine(number)),
       version: [1, 1] as const,
       value: {
         engine: Made.engine(number),
         holder: Made.daemon(1 + (number % daemons)),
         term: 1,
-      } satisfies StewardFact,
+      } satisfies ControllerEntry,
     })),
   ],
 
-  fill: (book: FactBook, facts: readonly Fact[]): void => {
+  fill: (book: GossipStore, facts: readonly GossipEntry[]): void => {
     for (const fact of facts) book.put(fact);
   },
 
@@ -140,7 +140,7 @@
     ),
   }),
 
-  blueprint: (services: number, tenants: number, mappings: number): Blueprint => ({
+  blueprint: (services: number, tenants: number, mappings: number): Configuration => ({
     classes: {
       long: { rank: 1, sharePerMille: 500, lends: true, holdingMost: 512, holdingLimitMicroseconds: 2_000_000 },
       short: { rank: 0, sharePerMille: 500, lends: true, holdingMost: 512, holdingLimitMicroseconds: 1_500_000 },
@@ -172,12 +172,13 @@
   give: (freshness: Freshness, clock: Clock, key: 'blueprint' | 'engines', text: string, revision = 1): void => {
     const digest = createHash('sha256').update(text).digest('hex').slice(0, 32);
     const since = { weights, previous: null, ageMicroseconds: 60_000_000 };
-    const services = key === 'blueprint' ? Object.keys((JSON.parse(text) as Blueprint).services) : [];
-    freshness.hear(
+    const services = key === 'blueprint' ? Object.keys((JSON.parse(text) as Configuration).services) : [];
+    freshness.applyStatement(
       { key, revision, digest, ageMicroseconds: 0, weights: Object.fromEntries(services.map((name) => [name, since])) },
       clock.nowMicroseconds(),
     );
-    if (!freshness.give({ key, revision, digest, text })) throw new Error(`a made-up document is not taken: ${key}`);
+    if (!freshness.applyBody({ key, revision, digest, text }))
+      throw new Error(`a made-up document is not taken: ${key}`);
   },
 
   /** The core says once more that what is in force is current. */
@@ -186,7 +187,7 @@
       const applied = freshness.applied(key);
       if (applied === undefined) continue;
       const { revision, digest } = applied;
-      freshness.hear({ key, revision, digest, ageMicroseconds: 0, weights: {} }, clock.nowMicroseconds());
+      freshness.applyStatement({ key, revision, digest, ageMicroseconds: 0, weights: {} }, clock.nowMicroseconds());
     }
   },
 
--- a/source/measure/measurements/ballots.ts
+++ b/source/measure/measurements/ballots.ts
@@ -62,7 +62,7 @@
     let unheard = 0;
     const all = (messageOf: (agent: number, seedAddress: string) => Message, apart: number): Promise<void> => {
       for (const [agent, { transport }] of agents.entries())
-        world.plan(Math.floor((apart * agent) / agents.length), () => {
+        world.schedule(Math.floor((apart * agent) / agents.length), () => {
           for (const address of core.seeds)
             void transport.ask(address, messageOf(agent, address), 1_000_000).then((answer) => {
               if (answer.kind !== 'answered' || !Granted.all(answer.message)) unheard += 1;
--- a/source/measure/measurements/blueprint.ts
+++ b/source/measure/measurements/blueprint.ts
@@ -1,5 +1,5 @@
 import { deflateRawSync } from 'node:zlib';
-import { Blueprints } from '../../shared/blueprint/check';
+import { DocumentValidation } from '../../shared/configuration/validation';
 import { realClock } from '../../shared/effects/clock/realClock';
 import { Freshness } from '../../shared/freshness/freshness';
 import { Costs } from '../hollow/costs';
@@ -36,7 +36,7 @@
     // Why another text each time: a daemon remembers the last few that it checked.
     let revision = 1;
     const making = await Costs.each((turn) => documentOf(turn + 10_000));
-    const checked = await Costs.each((turn) => Blueprints.checkText('blueprint', documentOf(turn + 20_000)));
+    const checked = await Costs.each((turn) => DocumentValidation.checkText('blueprint', documentOf(turn + 20_000)));
     const given = await Costs.each((turn) => {
       revision += 1;
       Made.give(freshness, realClock, 'blueprint', documentOf(turn + 30_000), revision);
--- a/source/measure/measurements/events.ts
+++ b/source/measure/measurements/events.ts
@@ -1,6 +1,6 @@
 import { pack, unpack } from 'msgpackr';
-import { ShardBook } from '../../shared/directory/shardBook';
-import { ShardNews, type ShardChange } from '../../shared/directory/shardNews';
+import { ShardCatalog } from '../../shared/directory/shardCatalog';
+import { ShardIndex, type ShardChange } from '../../shared/directory/shardIndex';
 import { Costs } from '../hollow/costs';
 import { Made } from '../hollow/made';
 import type { Measurement } from './measurement';
@@ -28,14 +28,14 @@
   take: async (eventsPerSecond, seed) => {
     const holders = Math.max(1, Math.round(eventsPerSecond / perHolder));
     const batch = Math.round(perHolder * exchangeSeconds);
-    const giver = new ShardBook();
-    const taker = new ShardBook();
+    const giver = new ShardCatalog();
+    const taker = new ShardCatalog();
     for (let holder = 1; holder <= holders; holder += 1) {
       const name = Made.engine(holder);
-      const shard = new ShardNews({ holder: name, term: 1, epoch: 1, bootEpoch: 'boot', weights: '', version: 0 });
+      const shard = new ShardIndex({ holder: name, term: 1, epoch: 1, bootEpoch: 'boot', weights: '', version: 0 });
       for (let number = 1; number <= keptBlocks; number += 1) shard.put(Made.block(holder + seed * 1000, number));
       giver.set(name, shard);
-      taker.apply(unpack(pack(shard.since(undefined))) as ShardChange);
+      taker.apply(unpack(pack(shard.changesSince(undefined))) as ShardChange);
     }
     const spent = { bytes: 0, give: 0, take: 0 };
     const rounds = Math.max(4, Math.ceil(400 / holders));
@@ -54,7 +54,7 @@
           else shard?.remove(key.physical);
       }
       const marks = taker.marks();
-      const changes = giver.since(marks, Number.MAX_SAFE_INTEGER);
+      const changes = giver.changesSince(marks, Number.MAX_SAFE_INTEGER);
       const packed = pack(changes);
       spent.give += Costs.processorMicroseconds() - begun;
       spent.bytes += packed.length;
--- a/source/measure/measurements/exchange.ts
+++ b/source/measure/measurements/exchange.ts
@@ -1,17 +1,17 @@
 import { pack, unpack } from 'msgpackr';
 import { AgentDefaults } from '../../edge-agent/edgeAgent';
 import type { Effects } from '../../shared/effects/effects';
-import type { Answer, Message } from '../../shared/effects/transport/transport';
+import type { RequestOutcome, Message } from '../../shared/effects/transport/transport';
 import { seededRandom } from '../../shared/effects/random/random';
-import { ShardBook } from '../../shared/directory/shardBook';
+import { ShardCatalog } from '../../shared/directory/shardCatalog';
 import type { Clock } from '../../shared/effects/clock/clock';
 import { realClock } from '../../shared/effects/clock/realClock';
 import { FleetName } from '../../shared/fleet/fleetName';
 import { Freshness } from '../../shared/freshness/freshness';
-import { FactKeys } from '../../shared/news/factTypes';
-import { FactBook } from '../../shared/news/facts';
-import { NewsExchange } from '../../shared/news/newsExchange';
-import { Pulses } from '../../shared/news/pulses';
+import { GossipKeys } from '../../shared/gossip/entryTypes';
+import { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipExchange } from '../../shared/gossip/gossipExchange';
+import { HolderHeartbeats } from '../../shared/gossip/holderHeartbeats';
 import { Costs } from '../hollow/costs';
 import { Made } from '../hollow/made';
 import type { Measurement } from './measurement';
@@ -32,21 +32,21 @@
 /** Versions of one figure's changes begin here, and take the same room whatever was exchanged before. */
 const versionsPerFigure = 1_000_000;
 
-type Side = Readonly<{ facts: FactBook; exchange: NewsExchange }>;
+type Side = Readonly<{ facts: GossipStore; exchange: GossipExchange }>;
 
 const sideOf = (daemons: number, seed: number, effects: Effects): Side => {
-  const facts = new FactBook();
+  const facts = new GossipStore();
   Made.fill(facts, Made.facts(daemons, Made.engines(daemons), seededRandom(seed)));
   const freshness = new Freshness(standingClock);
   Made.give(freshness, standingClock, 'blueprint', JSON.stringify(Made.blueprint(23, 10, 23)));
   const parts = {
     fleet: new FleetName('measured'),
     facts,
-    shards: new ShardBook(),
+    shards: new ShardCatalog(),
     freshness,
-    pulses: new Pulses(standingClock),
+    pulses: new HolderHeartbeats(standingClock),
   };
-  return { facts, exchange: new NewsExchange(parts, effects) };
+  return { facts, exchange: new GossipExchange(parts, effects) };
 };
 
 export const exchange: Measurement = {
@@ -76,7 +76,7 @@
     const random = seededRandom(seed);
     const engines = Made.engines(daemons);
     const before = Costs.heldBytes();
-    const kept = new FactBook();
+    const kept = new GossipStore();
     Made.fill(kept, unpack(pack(Made.facts(daemons, engines, random))) as never);
     const factBytes = Costs.heldBytes() - before;
     let bytes = 0;
@@ -87,10 +87,10 @@
       return unpack(packed) as Message;
     };
     const transport = {
-      ask: (_address: string, message: Message): Promise<Answer> => {
+      ask: (_address: string, message: Message): Promise<RequestOutcome> => {
         const heard = carry({ fleet: 'measured', ...message });
         const far = sides[1]?.exchange;
-        const answer = heard.kind === 'news' ? far?.answer(heard) : far?.more(heard);
+        const answer = heard.kind === 'news' ? far?.answer(heard) : far?.answerPush(heard);
         if (answer === undefined) return Promise.resolve({ kind: 'silent', reason: 'nobody' });
         return Promise.resolve({ kind: 'answered', message: carry({ fleet: 'measured', ...answer }) });
       },
@@ -110,7 +110,7 @@
       version += 1;
       for (let index = 0; index < count; index += 1) {
         const value = loads[version % 4]?.[index];
-        far.facts.put({ key: FactKeys.load(Made.daemon(index + 1)), version: [1, version], value });
+        far.facts.put({ key: GossipKeys.load(Made.daemon(index + 1)), version: [1, version], value });
       }
     };
     const beating = Math.max(1, Math.round((engines * AgentDefaults.newsMicroseconds) / beatMicroseconds));
@@ -119,7 +119,7 @@
       for (let index = 0; index < beating; index += 1) {
         const number = 1 + ((version * beating + index) % engines);
         const value = { engine: Made.engine(number), holder: Made.daemon(1 + (number % daemons)), term: 1 };
-        far.facts.put({ key: FactKeys.steward(value.engine), version: [1, version], value });
+        far.facts.put({ key: GossipKeys.controller(value.engine), version: [1, version], value });
       }
     };
     const cost = async (before: () => void): Promise<readonly [bytes: number, processor: number]> => {
--- a/source/measure/measurements/keptBlocks.ts
+++ b/source/measure/measurements/keptBlocks.ts
@@ -1,7 +1,7 @@
 import { pack, unpack } from 'msgpackr';
-import { LookUps } from '../../shared/directory/lookup';
-import { ShardBook } from '../../shared/directory/shardBook';
-import { ShardNews, type ShardChange } from '../../shared/directory/shardNews';
+import { Lookups } from '../../shared/directory/lookup';
+import { ShardCatalog } from '../../shared/directory/shardCatalog';
+import { ShardIndex, type ShardChange } from '../../shared/directory/shardIndex';
 import { seededRandom } from '../../shared/effects/random/random';
 import { Costs } from '../hollow/costs';
 import { Made } from '../hollow/made';
@@ -11,8 +11,8 @@
 const blocksPerHolder = 28_900;
 const partsAsked = 4;
 
-const shardOf = (holder: number, blocks: number): ShardNews => {
-  const shard = new ShardNews({
+const shardOf = (holder: number, blocks: number): ShardIndex => {
+  const shard = new ShardIndex({
     holder: Made.engine(holder),
     term: 1,
     epoch: 1,
@@ -41,13 +41,13 @@
   },
   take: async (blocks, seed) => {
     const random = seededRandom(seed);
-    const book = new ShardBook();
+    const book = new ShardCatalog();
     let frameBytes = 0;
     let applyProcessor = 0;
     const before = Costs.heldBytes();
     for (let from = 0, holder = 1; from < blocks; from += blocksPerHolder, holder += 1) {
       const shard = shardOf(holder + seed * 1000, Math.min(blocksPerHolder, blocks - from));
-      const packed = pack(shard.since(undefined));
+      const packed = pack(shard.changesSince(undefined));
       frameBytes += packed.length;
       const begun = Costs.processorMicroseconds();
       book.apply(unpack(packed) as ShardChange);
@@ -59,7 +59,7 @@
       const holder = seed * 1000 + 1 + Math.floor(random.fraction() * holders);
       const first = 1 + Math.floor(random.fraction() * 90);
       const keys = Array.from({ length: partsAsked }, (_, at) => Made.block(holder, first + at));
-      return LookUps.find(book, keys, () => 'boot');
+      return Lookups.find(book, keys, () => 'boot');
     });
     return { heldBytes, frameBytes, applyProcessor, lookUpProcessor };
   },
--- a/source/measure/measurements/membership.ts
+++ b/source/measure/measurements/membership.ts
@@ -3,11 +3,11 @@
 import { LeaseHolder } from '../../edge-agent/leases/leaseHolder';
 import { LeaseCandidacy, LeaseSubjects } from '../../edge-agent/leases/leaseCandidacy';
 import type { ControlLink } from '../../edge-agent/control-link/controlLink';
-import { ShardBook } from '../../shared/directory/shardBook';
-import { ShardNews } from '../../shared/directory/shardNews';
+import { ShardCatalog } from '../../shared/directory/shardCatalog';
+import { ShardIndex } from '../../shared/directory/shardIndex';
 import { realClock } from '../../shared/effects/clock/realClock';
 import { seededRandom } from '../../shared/effects/random/random';
-import { FactBook } from '../../shared/news/facts';
+import { GossipStore } from '../../shared/gossip/gossipStore';
 import { Costs } from '../hollow/costs';
 import { Made } from '../hollow/made';
 import type { Measurement } from './measurement';
@@ -34,7 +34,7 @@
   take: async (daemons, seed) => {
     const random = seededRandom(seed);
     const engines = Made.engines(daemons);
-    const facts = new FactBook();
+    const facts = new GossipStore();
     Made.fill(facts, Made.facts(daemons, engines, random));
     const number = 1 + Math.floor(random.fraction() * daemons);
     const self = Made.member(number);
@@ -54,10 +54,10 @@
     const line = new LeaseCandidacy(self.name, duties, members, facts, realClock, AgentDefaults);
     const subjects = Array.from({ length: engines }, (_, index) => LeaseSubjects.engine(Made.engine(index + 1)));
     const own = subjects.filter(({ factKey }) => facts.value<{ holder: string }>(factKey)?.holder === self.name);
-    const shards = new ShardBook();
+    const shards = new ShardCatalog();
     const holders = subjects.map(({ name }) => name);
     for (const holder of holders)
-      shards.set(holder, new ShardNews({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 }));
+      shards.set(holder, new ShardIndex({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 }));
     return {
       newsTurn: await Costs.each(() => {
         members.refuteSuspicion();
--- a/source/measure/measurements/news.ts
+++ b/source/measure/measurements/news.ts
@@ -3,7 +3,7 @@
 import { Clocks } from '../../shared/effects/clock/clock';
 import { seededRandom } from '../../shared/effects/random/random';
 import { TcpTransport } from '../../shared/effects/transport/tcpTransport';
-import { FactKeys } from '../../shared/news/factTypes';
+import { GossipKeys } from '../../shared/gossip/entryTypes';
 import { Costs } from '../hollow/costs';
 import { CountingTransport, Traffic } from '../hollow/countingTransport';
 import { HollowAgents } from '../hollow/hollowAgents';
@@ -80,7 +80,7 @@
       for (const [other, at] of addresses.entries())
         if (other !== index)
           agent.facts.put({
-            key: FactKeys.member(Made.daemon(other + 1)),
+            key: GossipKeys.member(Made.daemon(other + 1)),
             version: [1, 0],
             value: Made.member(other + 1, at),
           });
@@ -94,7 +94,7 @@
         const next = (version.get(index) ?? 1) + 1;
         version.set(index, next);
         const value = Made.load(index + 1, engines, random);
-        agent.facts.put({ key: FactKeys.load(Made.daemon(index + 1)), version: [1, next], value });
+        agent.facts.put({ key: GossipKeys.load(Made.daemon(index + 1)), version: [1, next], value });
       }
     };
     try {
--- a/source/measure/measurements/placement.ts
+++ b/source/measure/measurements/placement.ts
@@ -1,8 +1,8 @@
 import { pack, unpack } from 'msgpackr';
-import { WorkDesk } from '../../edge-agent/desk/workDesk';
+import { RequestScheduler } from '../../edge-agent/scheduler/requestScheduler';
 import { StalenessGuard } from '../../edge-proxy/identification/stalenessGuard';
-import { LinkSpeeds } from '../../edge-proxy/fetch/linkSpeeds';
-import { MoveSettings, PartMoves } from '../../edge-proxy/fetch/partMoves';
+import { LinkSpeeds } from '../../edge-proxy/cache-imports/linkSpeeds';
+import { PartImportSettings, PartImports } from '../../edge-proxy/cache-imports/partImports';
 import type { ProxyRequest, ResolvedRequest } from '../../edge-proxy/pipeline/request';
 import { PlacementCostSettings } from '../../edge-proxy/placement/placementCosts';
 import { SchedulerClient } from '../../edge-proxy/placement/schedulerClient';
@@ -14,15 +14,15 @@
 import { PromptKeys } from '../../edge-proxy/placement/placementPolicies';
 import { PrefillSpeeds } from '../../edge-proxy/placement/prefillSpeeds';
 import { CostPlacer } from '../../edge-proxy/placement/costPlacer';
-import { DeskMessages } from '../../shared/desk/messages';
-import { LookUps } from '../../shared/directory/lookup';
-import { ShardBook } from '../../shared/directory/shardBook';
-import { ShardNews } from '../../shared/directory/shardNews';
+import { SchedulerMessages } from '../../shared/scheduler/schedulerMessages';
+import { Lookups } from '../../shared/directory/lookup';
+import { ShardCatalog } from '../../shared/directory/shardCatalog';
+import { ShardIndex } from '../../shared/directory/shardIndex';
 import type { Clock } from '../../shared/effects/clock/clock';
 import { seededRandom } from '../../shared/effects/random/random';
-import type { Answer, Message } from '../../shared/effects/transport/transport';
+import type { RequestOutcome, Message } from '../../shared/effects/transport/transport';
 import { Freshness } from '../../shared/freshness/freshness';
-import { FactBook } from '../../shared/news/facts';
+import { GossipStore } from '../../shared/gossip/gossipStore';
 import { Costs } from '../hollow/costs';
 import { Made } from '../hollow/made';
 import type { Measurement, Taken } from './measurement';
@@ -54,7 +54,7 @@
   let now = 1_000_000;
   const clock: Clock = { nowMicroseconds: () => now, steadyMicroseconds: () => now, after: () => () => undefined };
   const daemons = Made.daemonsOf(engines);
-  const facts = new FactBook();
+  const facts = new GossipStore();
   Made.fill(facts, Made.facts(daemons, engines, random));
   facts.put({ key: 'duty/list', version: [1, 1], value: { engine: 'list', holder: Made.daemon(1), term: 1 } });
   const freshness = new Freshness(clock, undefined, 'listed');
@@ -63,7 +63,7 @@
   const work = new EngineWork(clock, { recentMicroseconds: 3_000_000 });
   const fence = new StalenessGuard(freshness, clock, Infinity);
   const view = new EngineView(Made.daemon(1), freshness, facts, fence, clock, work);
-  const shards = new ShardBook();
+  const shards = new ShardCatalog();
   const text = freshness.blueprint;
   const service = text?.services[Made.service(1)];
   const mapping = text?.mappings['mapping-1'];
@@ -78,7 +78,7 @@
   };
   for (let number = 1; number <= engines; number += 1) {
     const holder = Made.engine(number);
-    const shard = new ShardNews({ holder, term: 1, epoch: 1, bootEpoch: `boot-${number}`, weights: '', version: 0 });
+    const shard = new ShardIndex({ holder, term: 1, epoch: 1, bootEpoch: `boot-${number}`, weights: '', version: 0 });
     for (let block = 0; block < blocksPerHolder; block += 1) {
       const turn = Math.floor(random.fraction() * 200);
       const own = text.services[Made.service(1 + (number % services))] ?? service;
@@ -87,14 +87,14 @@
     }
     shards.set(holder, shard);
   }
-  const desk = new WorkDesk(clock);
+  const desk = new RequestScheduler(clock);
   const used = { desk: 0, bytes: 0, asks: 0 };
   const transport = {
-    ask: (_address: string, message: Message): Promise<Answer> => {
+    ask: (_address: string, message: Message): Promise<RequestOutcome> => {
       const begun = Costs.processorMicroseconds();
       const packed = pack(message);
       const order = (unpack(packed) as Message)['order'];
-      const word = DeskMessages.isOrder(order) ? desk.reserve(order) : undefined;
+      const word = SchedulerMessages.isRequest(order) ? desk.reserve(order) : undefined;
       used.desk += Costs.processorMicroseconds() - begun;
       used.bytes += packed.length;
       used.asks += 1;
@@ -106,7 +106,7 @@
   const speeds = new PrefillSpeeds();
   const placer = new CostPlacer(
     view,
-    new PartMoves(view, new LinkSpeeds(1000, 4096), MoveSettings.usual),
+    new PartImports(view, new LinkSpeeds(1000, 4096), PartImportSettings.usual),
     speeds,
     random,
     Made.zone(1),
@@ -130,7 +130,7 @@
     return view.candidates(Made.service(1));
   });
   const lookUp = await Costs.each((turn) =>
-    LookUps.find(shards, new PromptKeys(resolved, orderOf(turn)).parts('w1'), (holder) => view.bootEpochOf(holder)),
+    Lookups.find(shards, new PromptKeys(resolved, orderOf(turn)).parts('w1'), (holder) => view.bootEpochOf(holder)),
   );
   used.asks = used.bytes = used.desk = 0;
   let placed = 0;
@@ -139,10 +139,10 @@
     now += 170;
     const order = orderOf(turn);
     const keys = new PromptKeys(resolved, order);
-    const found = new Map<string, ReturnType<typeof LookUps.find>>();
+    const found = new Map<string, ReturnType<typeof Lookups.find>>();
     const chosen = await placer.place(view.candidates(Made.service(1)), order, resolved, keys, (weights) => {
       const known =
-        found.get(weights) ?? LookUps.find(shards, keys.parts(weights), (holder) => view.bootEpochOf(holder));
+        found.get(weights) ?? Lookups.find(shards, keys.parts(weights), (holder) => view.bootEpochOf(holder));
       found.set(weights, known);
       return known;
     });
--- a/source/measure/measurements/proxyPath.ts
+++ b/source/measure/measurements/proxyPath.ts
@@ -2,13 +2,13 @@
 import type { ResponseSink, ProxyRequest } from '../../edge-proxy/pipeline/request';
 import { World } from '../../fleet-simulator/world/world';
 import { BackEndHeaders, type BackEndSender } from '../../shared/back-end/protocol';
-import { ShardBook } from '../../shared/directory/shardBook';
-import type { Answer, Message } from '../../shared/effects/transport/transport';
+import { ShardCatalog } from '../../shared/directory/shardCatalog';
+import type { RequestOutcome, Message } from '../../shared/effects/transport/transport';
 import { FleetName } from '../../shared/fleet/fleetName';
 import { Freshness } from '../../shared/freshness/freshness';
-import { FactBook } from '../../shared/news/facts';
-import { NewsExchange } from '../../shared/news/newsExchange';
-import { Pulses } from '../../shared/news/pulses';
+import { GossipStore } from '../../shared/gossip/gossipStore';
+import { GossipExchange } from '../../shared/gossip/gossipExchange';
+import { HolderHeartbeats } from '../../shared/gossip/holderHeartbeats';
 import { Costs } from '../hollow/costs';
 import { Made, weights } from '../hollow/made';
 import type { Measurement } from './measurement';
@@ -24,7 +24,7 @@
   send: ({ headers }, sink) => {
     let cut = false;
     queueMicrotask(() => {
-      if (cut || !sink.mayGo()) return sink.failed({ kind: 'notRun', text: 'cut' });
+      if (cut || !sink.maySend()) return sink.failed({ kind: 'notRun', text: 'cut' });
       sink.head({
         status: 200,
         headers: {
@@ -34,8 +34,8 @@
         },
         framed: true,
       });
-      for (let part = 0; part < partsOfAnswer; part += 1) void sink.part(event);
-      void sink.part(last);
+      for (let part = 0; part < partsOfAnswer; part += 1) void sink.chunk(event);
+      void sink.chunk(last);
       sink.end();
     });
     return { cut: () => void (cut = true) };
@@ -62,7 +62,7 @@
     const world = new World(seed);
     const { clock, random } = world;
     const daemons = Made.daemonsOf(engines);
-    const facts = new FactBook();
+    const facts = new GossipStore();
     Made.fill(facts, Made.facts(daemons, engines, random));
     const freshness = new Freshness(clock, undefined, 'listed');
     Made.give(freshness, clock, 'blueprint', JSON.stringify(Made.blueprint(models, 100, models)));
@@ -70,20 +70,20 @@
     const parts = {
       fleet: new FleetName('measured'),
       facts,
-      shards: new ShardBook(),
+      shards: new ShardCatalog(),
       freshness,
-      pulses: new Pulses(clock),
+      pulses: new HolderHeartbeats(clock),
     };
     const transport = {
-      ask: (_address: string, message: Message): Promise<Answer> => {
-        const answer = message.kind === 'news' ? agent.answer(message) : agent.more(message);
+      ask: (_address: string, message: Message): Promise<RequestOutcome> => {
+        const answer = message.kind === 'news' ? agent.answer(message) : agent.answerPush(message);
         return Promise.resolve({ kind: 'answered', message: { fleet: 'measured', ...answer } });
       },
       listen: () => Promise.reject(new Error('nobody listens here')),
       close: () => Promise.resolve(),
     };
     const effects = { clock, random, transport };
-    const agent = new NewsExchange(parts, effects);
+    const agent = new GossipExchange(parts, effects);
     const before = Costs.heldBytes();
     const proxy = new EdgeProxy(effects, sender, {
       ...ProxyDefaults,
@@ -95,12 +95,12 @@
     const confirm = (): void => {
       if (!current) return;
       Made.confirm(freshness, clock);
-      world.plan(200_000, confirm);
+      world.schedule(200_000, confirm);
     };
     confirm();
     proxy.start();
     await world.runFor(2_000_000);
-    if (!proxy.ready()) throw new Error('the proxy is not ready');
+    if (!proxy.isReady()) throw new Error('the proxy is not ready');
     const heldBytes = Costs.heldBytes() - before;
     const fed = async (): Promise<number> => {
       const begun = Costs.processorMicroseconds();
@@ -122,7 +122,7 @@
           version: [1, version],
           value: loads[version % 4]?.[number - 1],
         });
-      world.plan(60_000, change);
+      world.schedule(60_000, change);
     };
     change();
     const feedBusy = await fed();
--- a/source/postdrum/checking/blueprintCheck.ts
+++ b/source/postdrum/checking/fleetCheck.ts
@@ -1,6 +1,6 @@
-import type { Blueprint, EngineList, Mapping, Pool } from '../../shared/blueprint/types';
-import type { AgentStatus } from '../reaching/fleetReach';
-import type { EngineFact } from '../../shared/news/factTypes';
+import type { Configuration, EngineList, Route, Pool } from '../../shared/configuration/types';
+import type { AgentStatus } from '../client/fleetClient';
+import type { EngineEntry } from '../../shared/gossip/entryTypes';
 
 /** A problem that an intended configuration would have on the fleet. */
 export type Finding = Readonly<{ path: string; finding: string }>;
@@ -12,7 +12,7 @@
   partial: boolean;
 }>;
 
-const emptyConfiguration: Blueprint = { classes: {}, tenants: {}, services: {}, mappings: {} };
+const emptyConfiguration: Configuration = { classes: {}, tenants: {}, services: {}, mappings: {} };
 
 const compare = <Piece>(
   what: string,
@@ -36,7 +36,7 @@
     )
     .join(', ');
 
-const routesTo = ({ service, shares }: Mapping, name: string): boolean =>
+const routesTo = ({ service, shares }: Route, name: string): boolean =>
   service === name || (shares ?? []).some((share) => share.service === name && share.weight > 0);
 
 const demandOf = (demand: ReadonlyMap<string, number>, service: string): number =>
@@ -44,8 +44,8 @@
 
 /** Reports services and classes that would be removed while requests run or wait in them. */
 const removedUnderLoad = (
-  before: Blueprint,
-  intended: Blueprint,
+  before: Configuration,
+  intended: Configuration,
   demand: ReadonlyMap<string, number>,
 ): readonly Finding[] =>
   [...demand].flatMap(([place, count]) => {
@@ -62,10 +62,10 @@
   });
 
 /** Checks an intended configuration against the current state of the fleet, without side effects. */
-export const BlueprintChecks = {
+export const FleetChecks = {
   run: (
-    intended: Blueprint,
-    present: Blueprint | undefined,
+    intended: Configuration,
+    present: Configuration | undefined,
     engines: EngineList,
     agents: readonly AgentStatus[],
     partial: boolean,
@@ -73,7 +73,7 @@
     const before = present ?? emptyConfiguration;
     const findings: Finding[] = [];
     const concerned: string[] = [];
-    const facts = new Map<string, EngineFact>();
+    const facts = new Map<string, EngineEntry>();
     for (const fact of agents.flatMap((agent) => agent.engines)) facts.set(fact.engine, fact);
     const inFlight = new Map<string, number>();
     /** Running and waiting requests by service and class. */
@@ -169,11 +169,11 @@
 const checkPool = (
   name: string,
   pool: Pool,
-  before: Blueprint,
+  before: Configuration,
   ready: readonly string[],
   /** Undefined if no agent reported engines. */
-  reported: ReadonlyMap<string, EngineFact> | undefined,
-  intended: Blueprint,
+  reported: ReadonlyMap<string, EngineEntry> | undefined,
+  intended: Configuration,
   concerned: string[],
   findings: Finding[],
   demandCount: number,
@@ -181,7 +181,7 @@
   // One finding covers all engines because no agent reported whether the engine controllers reach them.
   if (reported === undefined && ready.length > 0)
     findings.push({ path: `/services/${name}`, finding: 'no daemon answered, so nothing is known of its engines' });
-  const facts = reported ?? new Map<string, EngineFact>();
+  const facts = reported ?? new Map<string, EngineEntry>();
   // Engines with capacity 0 are left out: a controller that never reached its engine doesn't know its capacity.
   const known = ready.flatMap((engine) => facts.get(engine) ?? []).filter(({ capacity }) => capacity > 0);
   for (const engine of ready)
--- a/source/postdrum/reaching/fleetReach.ts
+++ b/source/postdrum/client/fleetClient.ts
@@ -1,19 +1,19 @@
 import { request } from 'undici';
-import type { CoreMember, DocumentKey, EngineList } from '../../shared/blueprint/types';
-import type { Manner } from './manner';
-import type { EngineFact, LoadFact, MemberFact, StewardFact } from '../../shared/news/factTypes';
+import type { ControlNodeMember, DocumentKey, EngineList } from '../../shared/configuration/types';
+import type { CommandLineFormat } from './commandLineFormat';
+import type { EngineEntry, LoadEntry, MemberEntry, ControllerEntry } from '../../shared/gossip/entryTypes';
 
 /** The status page of a control node. */
-export type KeeperStatus = Readonly<{
+export type ControlNodeStatus = Readonly<{
   keeper: string;
   standing: string;
   fleet: string;
   incarnation: number;
   membersRevision: number;
-  members: Readonly<Record<string, CoreMember>>;
+  members: Readonly<Record<string, ControlNodeMember>>;
   owners: Readonly<Record<string, Readonly<{ owner: string; epoch: string; revision: number }>>>;
   duties: Readonly<Record<string, Readonly<{ holder: string; term: number; leftMicroseconds: number }>>>;
-  agents: readonly MemberFact[];
+  agents: readonly MemberEntry[];
   /** Its own replica of each key; missing if the control node runs an earlier build. */
   replica?: Readonly<{
     keys: Readonly<Record<string, Readonly<{ epoch: string; revision: number; leadsForMicroseconds: number | null }>>>;
@@ -27,21 +27,21 @@
   fleet: string;
   ageMicroseconds: number | null;
   revisions: Readonly<Record<string, number>>;
-  members: readonly MemberFact[];
+  members: readonly MemberEntry[];
   /** The engine list in effect there; missing if the agent runs an earlier build. */
   listed?: EngineList['engines'];
-  engines: readonly EngineFact[];
-  stewards: readonly StewardFact[];
-  loads: readonly LoadFact[];
+  engines: readonly EngineEntry[];
+  stewards: readonly ControllerEntry[];
+  loads: readonly LoadEntry[];
   shards: readonly Readonly<{ holder: string; term: number; epoch: number; bootEpoch: string; committed: number }>[];
 }>;
 
 /** A stored document; nothing if none has been committed yet. */
-export type Document = Readonly<{ kind: 'read'; revision: number; text: string }> | Readonly<{ kind: 'nothing' }>;
+export type StoredDocument = Readonly<{ kind: 'read'; revision: number; text: string }> | Readonly<{ kind: 'nothing' }>;
 
 /** The statuses of the processes that answered, and the names of those that did not. */
 export type FleetView = Readonly<{
-  keepers: readonly KeeperStatus[];
+  keepers: readonly ControlNodeStatus[];
   agents: readonly AgentStatus[];
   silent: readonly string[];
 }>;
@@ -49,12 +49,12 @@
 /** No process answered a request. */
 export class Unreachable extends Error {}
 /** A response, a document or a file that can't be used. */
-export class OddAnswer extends Error {}
+export class UnusableInput extends Error {}
 
 const isObject = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-const isControlNodeStatus = (value: unknown): value is KeeperStatus =>
+const isControlNodeStatus = (value: unknown): value is ControlNodeStatus =>
   isObject(value) &&
   typeof value['keeper'] === 'string' &&
   isObject(value['members']) &&
@@ -71,10 +71,10 @@
 export type HttpAnswer = Readonly<{ status: number; text: string; headers: Readonly<Record<string, string>> }>;
 
 /** HTTP client of the command line; each request has a time limit. */
-export class FleetReach {
+export class FleetClient {
   public constructor(
     private readonly core: readonly string[],
-    private readonly commandLineFormat: Manner,
+    private readonly commandLineFormat: CommandLineFormat,
     private readonly limitMilliseconds = 6000,
   ) {}
 
@@ -105,7 +105,7 @@
   }
 
   /** Sends a request to each control node in turn and returns the first response other than 503. */
-  public async core1(
+  public async requestControlNode(
     path: string,
     method: 'GET' | 'PUT' | 'PATCH' = 'GET',
     body?: string,
@@ -124,23 +124,23 @@
     throw new Unreachable(`the core cannot be reached (${lastFailure})`);
   }
 
-  public async document(key: DocumentKey): Promise<Document> {
+  public async document(key: DocumentKey): Promise<StoredDocument> {
     const path = this.commandLineFormat.paths[key];
-    if (path === undefined) throw new OddAnswer(`this fleet's core keeps no document ${key}`);
-    const answer = await this.core1(path);
+    if (path === undefined) throw new UnusableInput(`this fleet's core keeps no document ${key}`);
+    const answer = await this.requestControlNode(path);
     // The content type is checked because a server without this page also answers 404, which says nothing about the document.
     if (answer.status === 404 && (answer.headers['content-type'] ?? '').startsWith('application/json'))
       return { kind: 'nothing' };
     const revision = answer.status === 200 ? this.commandLineFormat.revisionIn(answer.headers) : undefined;
     if (revision === undefined)
-      throw new OddAnswer(`the core answers in a way this version does not know (status ${answer.status})`);
+      throw new UnusableInput(`the core answers in a way this version does not know (status ${answer.status})`);
     return { kind: 'read', revision, text: answer.text };
   }
 
   /** Collects the status of all control nodes and agents that can be reached. */
   public async view(): Promise<FleetView> {
     const silent: string[] = [];
-    const controlNodes = new Map<string, KeeperStatus>();
+    const controlNodes = new Map<string, ControlNodeStatus>();
     const nodeAddresses = new Map<string, string>();
     const fetchStatus = async <Status>(
       address: string,
--- a/source/postdrum/commands/commandLine.ts
+++ b/source/postdrum/commands/commandLine.ts
@@ -1,12 +1,12 @@
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
-import { Blueprints } from '../../shared/blueprint/check';
-import type { Fault } from '../../shared/blueprint/document';
-import { isDocumentKey, type EngineList } from '../../shared/blueprint/types';
-import { BlueprintChecks } from '../checking/blueprintCheck';
-import { FleetReach, OddAnswer, Unreachable, type FleetView } from '../reaching/fleetReach';
-import type { Manner } from '../reaching/manner';
-import { Texts } from './texts';
+import { DocumentValidation } from '../../shared/configuration/validation';
+import type { Fault } from '../../shared/configuration/jsonDocument';
+import { isDocumentKey, type EngineList } from '../../shared/configuration/types';
+import { FleetChecks } from '../checking/fleetCheck';
+import { FleetClient, UnusableInput, Unreachable, type FleetView } from '../client/fleetClient';
+import type { CommandLineFormat } from '../client/commandLineFormat';
+import { Reports } from './reports';
 
 /** The parsed flags. */
 export type Flags = Readonly<{
@@ -22,29 +22,29 @@
 export type Command = Readonly<{ topic: string; verb: string | undefined; file: string | undefined; flags: Flags }>;
 
 /** Commands of one program besides the shared ones; each returns the exit code, or undefined for an unknown command. */
-export type MoreCommands = Readonly<{
-  alone: (command: Command) => Promise<number | undefined>;
-  withFleet: (command: Command, client: FleetReach) => Promise<number | undefined>;
+export type ExtraCommands = Readonly<{
+  withoutFleet: (command: Command) => Promise<number | undefined>;
+  withFleet: (command: Command, client: FleetClient) => Promise<number | undefined>;
 }>;
 
 /** Output and input of the command line. */
-export const Says = {
-  out: (text: string): void => void process.stdout.write(text.endsWith('\n') ? text : `${text}\n`),
+export const Terminal = {
+  print: (text: string): void => void process.stdout.write(text.endsWith('\n') ? text : `${text}\n`),
   fail: (sentence: string, code: number): number => {
     process.stderr.write(`postdrum: ${sentence}\n`);
     return code;
   },
-  fileText: (file: string | undefined): string => {
-    if (file === undefined) throw new OddAnswer('a file is needed');
+  readFile: (file: string | undefined): string => {
+    if (file === undefined) throw new UnusableInput('a file is needed');
     try {
       return readFileSync(file, 'utf8');
     } catch {
-      throw new OddAnswer(`the file ${file} cannot be read`);
+      throw new UnusableInput(`the file ${file} cannot be read`);
     }
   },
 } as const;
 
-const { out, fail } = Says;
+const { print: out, fail } = Terminal;
 
 const printFaults = (faults: readonly Fault[], json: boolean): number => {
   if (json) out(JSON.stringify({ findings: faults.map(({ path, fault }) => ({ path, finding: fault })) }));
@@ -53,7 +53,11 @@
 };
 
 /** The engine list that the control nodes store, or else the newest that an agent has. */
-const engineListOf = async (client: FleetReach, commandLineFormat: Manner, view: FleetView): Promise<EngineList> => {
+const engineListOf = async (
+  client: FleetClient,
+  commandLineFormat: CommandLineFormat,
+  view: FleetView,
+): Promise<EngineList> => {
   if (commandLineFormat.paths.engines === undefined) {
     const newest = [...view.agents].sort(
       (left, right) => (right.revisions['engines'] ?? 0) - (left.revisions['engines'] ?? 0),
@@ -62,45 +66,45 @@
   }
   const listed = await client.document('engines');
   if (listed.kind === 'nothing') return { engines: {} };
-  const checked = Blueprints.checkText('engines', listed.text);
-  if (checked.kind === 'faulty') throw new OddAnswer('the core holds a setup this version does not know');
+  const checked = DocumentValidation.checkText('engines', listed.text);
+  if (checked.kind === 'faulty') throw new UnusableInput('the core holds a setup this version does not know');
   return checked.value as EngineList;
 };
 
 const check = async (
-  client: FleetReach,
-  commandLineFormat: Manner,
+  client: FleetClient,
+  commandLineFormat: CommandLineFormat,
   file: string | undefined,
   json: boolean,
 ): Promise<number> => {
-  const text = Says.fileText(file);
+  const text = Terminal.readFile(file);
   const checked = commandLineFormat.read(text);
   if (checked.kind === 'faulty') return printFaults(checked.faults, json);
   const present = await client.document('blueprint');
   const before = present.kind === 'read' ? commandLineFormat.read(present.text) : undefined;
-  if (before?.kind === 'faulty') throw new OddAnswer('the core holds a setup this version does not know');
-  const faults = commandLineFormat.follows(present.kind === 'read' ? present.text : undefined, text);
+  if (before?.kind === 'faulty') throw new UnusableInput('the core holds a setup this version does not know');
+  const faults = commandLineFormat.replacementFaults(present.kind === 'read' ? present.text : undefined, text);
   if (faults.length > 0) return printFaults(faults, json);
   const view = await client.view();
-  const report = BlueprintChecks.run(
+  const report = FleetChecks.run(
     checked.value,
     before?.value,
     await engineListOf(client, commandLineFormat, view),
     view.agents,
     view.silent.length > 0 || view.agents.length === 0,
   );
-  out(json ? JSON.stringify(report) : Texts.check(report));
+  out(json ? JSON.stringify(report) : Reports.check(report));
   return report.findings.length === 0 ? 0 : 1;
 };
 
-const status = async (client: FleetReach, json: boolean): Promise<number> => {
+const status = async (client: FleetClient, json: boolean): Promise<number> => {
   const view = await client.view();
   if (view.keepers.length === 0) throw new Unreachable('no keeper answers');
-  out(json ? JSON.stringify({ ...view, partial: view.silent.length > 0 }) : Texts.status(view));
+  out(json ? JSON.stringify({ ...view, partial: view.silent.length > 0 }) : Reports.status(view));
   return 0;
 };
 
-const run = async (commandLineFormat: Manner, help: string, more: MoreCommands): Promise<number> => {
+const run = async (commandLineFormat: CommandLineFormat, help: string, more: ExtraCommands): Promise<number> => {
   const { values, positionals } = parseArgs({
     options: {
       core: { type: 'string' },
@@ -128,10 +132,10 @@
     className: values.class ?? '',
   };
   const command: Command = { topic, verb, file, flags };
-  const alone = await more.alone(command);
+  const alone = await more.withoutFleet(command);
   if (alone !== undefined) return alone;
   if (flags.core.length === 0) return fail('--core or POSTDRUM_CORE must name a keeper', 2);
-  const client = new FleetReach(flags.core, commandLineFormat);
+  const client = new FleetClient(flags.core, commandLineFormat);
   if (topic === 'status' && verb === undefined) return status(client, flags.json);
   if (!isDocumentKey(topic) || commandLineFormat.paths[topic] === undefined)
     return fail(`there is no command ${topic}; see --help`, 2);
@@ -147,7 +151,7 @@
 
 /** The operators' command line; an error is one line on stderr and an exit code other than 0. */
 export const CommandLine = {
-  run: (commandLineFormat: Manner, help: string, more: MoreCommands): void => {
+  run: (commandLineFormat: CommandLineFormat, help: string, more: ExtraCommands): void => {
     run(commandLineFormat, help, more).then(
       (code) => {
         process.exitCode = code;
@@ -159,8 +163,8 @@
   },
 
   /** No further commands: a read-only command line. */
-  looksOnly: {
-    alone: () => Promise.resolve(undefined),
+  readOnly: {
+    withoutFleet: () => Promise.resolve(undefined),
     withFleet: () => Promise.resolve(undefined),
-  } satisfies MoreCommands,
+  } satisfies ExtraCommands,
 } as const;
--- a/source/postdrum/commands/texts.ts
+++ b/source/postdrum/commands/reports.ts
@@ -1,5 +1,5 @@
-import type { CheckReport } from '../checking/blueprintCheck';
-import type { FleetView, KeeperStatus } from '../reaching/fleetReach';
+import type { CheckReport } from '../checking/fleetCheck';
+import type { FleetView, ControlNodeStatus } from '../client/fleetClient';
 
 const age = (microseconds: number | null): string =>
   microseconds === null ? 'never' : `${(microseconds / 1000).toFixed(0)} ms`;
@@ -10,7 +10,7 @@
 const silentMicroseconds = 2_000_000;
 
 /** Per key: whether it leads and since when, or how far behind the newest revision that any replica holds it is. */
-const replicaLines = ({ replica }: KeeperStatus, newest: Readonly<Record<string, number>>): readonly string[] => {
+const replicaLines = ({ replica }: ControlNodeStatus, newest: Readonly<Record<string, number>>): readonly string[] => {
   if (replica === undefined) return [];
   const keys = Object.entries(replica.keys).map(([key, { epoch, revision, leadsForMicroseconds }]) => {
     const behind = (newest[key] ?? 0) - revision;
@@ -23,7 +23,7 @@
   return silent.length === 0 ? keys : [...keys, `    hears nothing of ${silent.join(', ')}`];
 };
 
-const newestRevisions = (keepers: readonly KeeperStatus[]): Readonly<Record<string, number>> => {
+const newestRevisions = (keepers: readonly ControlNodeStatus[]): Readonly<Record<string, number>> => {
   const newest: Record<string, number> = {};
   for (const { replica } of keepers)
     for (const [key, { revision }] of Object.entries(replica?.keys ?? {}))
@@ -32,7 +32,7 @@
 };
 
 /** Human-readable output of the check and status commands. */
-export const Texts = {
+export const Reports = {
   check: ({ changes, concerned, findings, partial }: CheckReport): string =>
     [
       ...(partial ? ['partial: some of the fleet did not answer'] : []),
--- a/source/postdrum/importing/openApiImport.ts
+++ b/source/postdrum/import/openApiImport.ts
@@ -1,6 +1,6 @@
 import SwaggerParser from '@apidevtools/swagger-parser';
 import { parse } from 'yaml';
-import { Documents } from '../../shared/blueprint/document';
+import { JsonDocuments } from '../../shared/configuration/jsonDocument';
 
 export type Imported =
   | Readonly<{ kind: 'imported'; changes: readonly Readonly<{ put: string; value: unknown }>[] }>
@@ -52,7 +52,7 @@
     const changes = Object.entries(paths)
       .filter(([, item]) => methods.some((method) => item[method] !== undefined))
       .map(([path, item]) => ({
-        put: `/mappings/${Documents.escape(nameOf(path))}`,
+        put: `/mappings/${JsonDocuments.escape(nameOf(path))}`,
         // Only paths with nothing but GET are resumable; any other request that is sent again may take effect twice.
         value: {
           path,
--- a/source/postdrum/main.ts
+++ b/source/postdrum/main.ts
@@ -1,9 +1,9 @@
 import { randomUUID } from 'node:crypto';
-import { isDocumentKey, type DocumentKey } from '../shared/blueprint/types';
-import { CommandLine, Says, type Flags } from './commands/commandLine';
-import { OpenApiImports } from './importing/openApiImport';
-import { OddAnswer, Unreachable, type FleetReach } from './reaching/fleetReach';
-import { ownManner } from './reaching/manner';
+import { isDocumentKey, type DocumentKey } from '../shared/configuration/types';
+import { CommandLine, Terminal, type Flags } from './commands/commandLine';
+import { OpenApiImports } from './import/openApiImport';
+import { UnusableInput, Unreachable, type FleetClient } from './client/fleetClient';
+import { nativeCommandLineFormat } from './client/commandLineFormat';
 
 const help = `postdrum: the operators' command line
 
@@ -27,10 +27,10 @@
 Exit codes: 0 done or fine, 1 refused or findings, 2 could not be done or checked, 3 outcome unknown: ask again with the same id
 `;
 
-const { out, fail, fileText } = Says;
+const { print: out, fail, readFile: fileText } = Terminal;
 
 const change = async (
-  client: FleetReach,
+  client: FleetClient,
   key: DocumentKey,
   method: 'PUT' | 'PATCH',
   text: string,
@@ -42,7 +42,7 @@
   const headers = { 'if-match': `"${revision}"`, 'idempotency-key': id, 'content-type': 'application/json' };
   let answer;
   try {
-    answer = await client.core1(`/${key}`, method, text, headers);
+    answer = await client.requestControlNode(`/${key}`, method, text, headers);
   } catch (error) {
     if (!(error instanceof Unreachable)) throw error;
     // The outcome is unknown: a control node that stopped answering may have forwarded the change.
@@ -62,14 +62,14 @@
     return 0;
   }
   if (value.outcome !== 'refused')
-    throw new OddAnswer(`the core answers in a way this version does not know (status ${answer.status})`);
+    throw new UnusableInput(`the core answers in a way this version does not know (status ${answer.status})`);
   for (const { path, fault } of value.faults ?? [])
     process.stderr.write(`postdrum: refused: ${path === '' ? '' : `${path}: `}${fault}\n`);
   return 1;
 };
 
-CommandLine.run(ownManner, help, {
-  alone: async ({ topic, verb, file, flags }) => {
+CommandLine.run(nativeCommandLineFormat, help, {
+  withoutFleet: async ({ topic, verb, file, flags }) => {
     if (topic !== 'mapping' || verb !== 'import') return undefined;
     if (flags.service === '' || flags.className === '') return fail('--service and --class are needed', 2);
     const imported = await OpenApiImports.run(fileText(file), flags.service, flags.className);
--- a/source/shared/back-end/words.ts
+++ b/source/shared/back-end/backEndCodec.ts
@@ -1,10 +1,10 @@
-import type { CacheSource, CacheTarget, SendHead } from './protocol';
+import type { CacheSource, CacheTarget, BackEndResponseHead } from './protocol';
 
 /** Header names in lower case, with their values as received. */
 export type Headers = Readonly<Record<string, string>>;
 
 /** A request to a back end, independent of the protocol. A `BackEndCodec` maps it to the headers of one protocol. */
-export type SendMeaning = Readonly<{
+export type RequestFields = Readonly<{
   orderId: string;
   contentType: string;
   /** The client's headers that are forwarded to the back end. */
@@ -33,7 +33,7 @@
 export type NotRunReason = 'busy' | 'otherInstance' | 'otherWeights';
 
 /** Content of a response head, independent of the protocol. */
-export type HeadMeaning = Readonly<{
+export type ResponseFields = Readonly<{
   /** Id of the request that the response belongs to; undefined if the protocol does not carry it. */
   orderId: string | undefined;
   /** A successful response without the seal that every back end adds: its origin is unknown. */
@@ -50,10 +50,10 @@
 }>;
 
 /** Maps requests and response heads to the headers of one protocol and back. It is pure: names and formats, no decisions. */
-export interface BackEndWords {
-  readonly write: (meaning: SendMeaning) => Headers;
+export interface BackEndCodec {
+  readonly write: (meaning: RequestFields) => Headers;
   /** `engine`: the intended one, to tell a response of another instance from one on other weights. */
-  readonly read: (head: SendHead, model: string, engine?: string) => HeadMeaning;
+  readonly read: (head: BackEndResponseHead, model: string, engine?: string) => ResponseFields;
   /** Whether every response names the instance and the weights that produced it. */
   readonly namesInstance: boolean;
   /** Whether a response without a length is complete when its connection is closed without a reset. */
--- a/source/shared/back-end/keptConns/idleLimits.ts
+++ b/source/shared/back-end/connection-pool/idleLimits.ts
@@ -21,13 +21,13 @@
 
 /** Learns how long connections to a back end can be idle before the back end drops them without notice. */
 export const IdleLimits = {
-  start: {} as IdleLimitsState,
+  initial: {} as IdleLimitsState,
 
   /**
    * The current idle limit of an address. It grows again over time because back ends drop connections early only for a
    * while, and opening new ones is expensive.
    */
-  of: (state: IdleLimitsState, address: string, now: number, settings: IdleLimitSettings): number => {
+  limitOf: (state: IdleLimitsState, address: string, now: number, settings: IdleLimitSettings): number => {
     const learned = state[address];
     if (learned === undefined) return Infinity;
     const doubled = Math.floor((now - learned.atMicroseconds) / settings.doublingMicroseconds);
@@ -38,14 +38,14 @@
    * Records that the back end had dropped a connection that was idle for this time. The new limit is half of it because
    * the back end dropped the connection at some earlier moment.
    */
-  forgotten: (
+  recordDropped: (
     state: IdleLimitsState,
     address: string,
     idleMicroseconds: number,
     now: number,
     settings: IdleLimitSettings,
   ): IdleLimitsState => {
-    const before = IdleLimits.of(state, address, now, settings);
+    const before = IdleLimits.limitOf(state, address, now, settings);
     const limitMicroseconds = Math.max(
       settings.minDroppedIdleMicroseconds,
       Math.floor(Math.min(before, idleMicroseconds) / 2),
@@ -61,6 +61,6 @@
     settings: IdleLimitSettings,
   ): IdleLimitsState =>
     Object.fromEntries(
-      Object.entries(state).filter(([address]) => IdleLimits.of(state, address, now, settings) < maxMicroseconds),
+      Object.entries(state).filter(([address]) => IdleLimits.limitOf(state, address, now, settings) < maxMicroseconds),
     ),
 } as const;
--- a/source/shared/back-end/keptConns/keepAlive.ts
+++ b/source/shared/back-end/connection-pool/keepAlive.ts
@@ -4,7 +4,7 @@
 /** Determines from a response head whether and for how long its connection can be reused. */
 export const KeepAlive = {
   /** 0: the connection ends with this response. Undefined: it may be reused, and no timeout is stated. */
-  microseconds: (version: number, headers: Readonly<Record<string, string>>): number | undefined => {
+  timeoutMicroseconds: (version: number, headers: Readonly<Record<string, string>>): number | undefined => {
     const connectionTokens = tokens(headers['connection']);
     if (connectionTokens.includes('close') || (version === 0 && !connectionTokens.includes('keep-alive'))) return 0;
     const fields = (headers['keep-alive'] ?? '').toLowerCase();
--- a/source/shared/back-end/keptConns/keptConn.ts
+++ b/source/shared/back-end/connection-pool/pooledConnection.ts
@@ -2,8 +2,8 @@
 import { Addresses } from '../../effects/transport/tcpTransport';
 import type { Cancel, Clock } from '../../effects/clock/clock';
 import { Logs } from '../../log/log';
-import type { SendHandle, SendOrder, SendSink } from '../protocol';
-import { ResponseParser, type ResponseEvent } from './answerReader';
+import type { RequestHandle, BackEndRequest, BackEndResponseSink } from '../protocol';
+import { ResponseParser, type ResponseEvent } from './responseParser';
 import type { IdleLimitSettings } from './idleLimits';
 
 /** Limits of a single pooled connection. */
@@ -27,17 +27,17 @@
     }>;
 
 type RunningRequest = {
-  readonly sink: SendSink;
-  readonly reader: ResponseParser;
+  readonly sink: BackEndResponseSink;
+  readonly parser: ResponseParser;
   /** Reading is paused because the consumer is slow. */
   isPaused: boolean;
   /** The response is discarded; it is read to its end so that the connection can be reused. */
-  left: boolean;
+  isDiscarded: boolean;
   discardedBytes: number;
   /** How long the connection had been idle before; undefined: this is its first request. */
   readonly idleMicroseconds: number | undefined;
   readonly writtenMicroseconds: number;
-  answered: boolean;
+  hasResponseBytes: boolean;
 };
 
 /** Most bytes of a discarded response that are read in order to reuse the connection. */
@@ -53,8 +53,8 @@
   /** The back end has stated how long it keeps the connection open. */
   public isTimeoutStated = false;
   private readonly socket: net.Socket;
-  private run: RunningRequest | undefined;
-  private over = false;
+  private runningRequest: RunningRequest | undefined;
+  private isClosed = false;
   private hasCarriedRequest = false;
   private reason = 'the connection closed';
   private cancelTimer: Cancel;
@@ -82,7 +82,7 @@
     });
     this.socket.on('data', (chunk) => this.onData(chunk));
     this.socket.on('end', () => this.onSocketEnd('the connection closed'));
-    this.socket.on('error', (error) => this.onSocketEnd(Logs.text(error)));
+    this.socket.on('error', (error) => this.onSocketEnd(Logs.errorMessage(error)));
     this.socket.on('close', () => this.onSocketEnd('the connection closed'));
   }
 
@@ -92,24 +92,24 @@
   }
 
   public get closed(): boolean {
-    return this.over;
+    return this.isClosed;
   }
 
   /** Writes a request. The caller has already checked `maySend`. The handle is valid for this request only. */
-  public write(request: SendOrder, bytes: Buffer, sink: SendSink): SendHandle {
+  public write(request: BackEndRequest, bytes: Buffer, sink: BackEndResponseSink): RequestHandle {
     this.cancelTimer();
     const run: RunningRequest = {
       sink,
-      reader: new ResponseParser(request.method, this.limits.headBytes),
+      parser: new ResponseParser(request.method, this.limits.headBytes),
       isPaused: false,
-      left: false,
+      isDiscarded: false,
       discardedBytes: 0,
       idleMicroseconds: this.hasCarriedRequest ? this.idleMicroseconds : undefined,
       writtenMicroseconds: this.clock.nowMicroseconds(),
-      answered: false,
+      hasResponseBytes: false,
     };
     this.hasCarriedRequest = true;
-    this.run = run;
+    this.runningRequest = run;
     this.socket.write(bytes);
     return { cut: () => this.cut(run), leave: () => this.leave(run) };
   }
@@ -128,19 +128,19 @@
   }
 
   public destroy(reason: string): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.reason = reason;
     this.cancelTimer();
     this.socket.destroy();
-    const { run } = this;
-    this.run = undefined;
+    const { runningRequest: run } = this;
+    this.runningRequest = undefined;
     const droppedAfterMicroseconds = run === undefined ? undefined : this.idleTimeWhenDropped(run);
     this.onEnd({
       kind: 'closed',
       ...(droppedAfterMicroseconds === undefined ? {} : { droppedAfterMicroseconds }),
     });
-    if (run === undefined || run.left) return;
+    if (run === undefined || run.isDiscarded) return;
     // This is `mayHaveRun` for dropped connections too: a back end that crashes while reading the request looks the same.
     run.sink.failed({
       kind: 'mayHaveRun',
@@ -150,7 +150,11 @@
   }
 
   /** How long the connection was idle before the back end dropped it. Undefined: it ended for another reason. */
-  private idleTimeWhenDropped({ answered, idleMicroseconds, writtenMicroseconds }: RunningRequest): number | undefined {
+  private idleTimeWhenDropped({
+    hasResponseBytes: answered,
+    idleMicroseconds,
+    writtenMicroseconds,
+  }: RunningRequest): number | undefined {
     const { minDroppedIdleMicroseconds, maxResetDelayMicroseconds } = this.limits.idleLimit;
     if (answered || idleMicroseconds === undefined || idleMicroseconds < minDroppedIdleMicroseconds) return undefined;
     const sinceWritten = this.clock.nowMicroseconds() - writtenMicroseconds;
@@ -159,8 +163,8 @@
 
   private cut(run: RunningRequest): void {
     // The connection may be running another request by now.
-    if (this.run !== run) return;
-    this.run = undefined;
+    if (this.runningRequest !== run) return;
+    this.runningRequest = undefined;
     // The connection is reset so that the machine of a frozen back end discards the bytes that it has not read yet, and
     // the request never runs.
     this.socket.resetAndDestroy();
@@ -168,8 +172,8 @@
   }
 
   private leave(run: RunningRequest): void {
-    if (this.run !== run || run.left) return;
-    run.left = true;
+    if (this.runningRequest !== run || run.isDiscarded) return;
+    run.isDiscarded = true;
     if (!run.isPaused) return;
     run.isPaused = false;
     this.socket.resume();
@@ -177,37 +181,37 @@
   }
 
   private onData(chunk: Buffer): void {
-    const { run } = this;
+    const { runningRequest: run } = this;
     // Bytes received while no request is running cannot be assigned to one, and what follows them cannot be trusted.
     if (run === undefined) return this.destroy('received bytes while no request was running');
-    run.answered = true;
-    run.reader.push(chunk);
+    run.hasResponseBytes = true;
+    run.parser.push(chunk);
     if (!run.isPaused) this.deliver(run);
   }
 
   private onSocketEnd(reason: string): void {
-    if (this.over) return;
-    const { run } = this;
+    if (this.isClosed) return;
+    const { runningRequest: run } = this;
     // While reading is paused, the buffered bytes are delivered first; the end is handled when reading resumes.
     if (run === undefined || run.isPaused) return this.destroy(reason);
-    const event = reason === 'the connection closed' ? run.reader.close() : undefined;
-    if (event?.kind === 'end') this.ended(run, event);
+    const event = reason === 'the connection closed' ? run.parser.close() : undefined;
+    if (event?.kind === 'end') this.onResponseEnd(run, event);
     else this.destroy(event?.kind === 'broken' ? event.text : reason);
   }
 
   private deliver(run: RunningRequest): void {
-    while (this.run === run && !run.isPaused) {
-      const event = run.reader.next();
+    while (this.runningRequest === run && !run.isPaused) {
+      const event = run.parser.next();
       if (event === undefined) return;
       switch (event.kind) {
         case 'head':
-          if (!run.left) run.sink.head(event.head);
+          if (!run.isDiscarded) run.sink.head(event.head);
           break;
         case 'part':
           this.deliverBody(run, event.bytes);
           break;
         case 'end':
-          this.ended(run, event);
+          this.onResponseEnd(run, event);
           return;
         case 'broken':
           this.destroy(event.text);
@@ -217,35 +221,35 @@
   }
 
   private deliverBody(run: RunningRequest, bytes: Uint8Array): void {
-    if (run.left) {
+    if (run.isDiscarded) {
       run.discardedBytes += bytes.length;
       if (run.discardedBytes > maxDiscardedBytes) this.cut(run);
       return;
     }
-    const consumed = run.sink.part(bytes);
-    if (consumed === undefined || this.run !== run) return;
+    const consumed = run.sink.chunk(bytes);
+    if (consumed === undefined || this.runningRequest !== run) return;
     run.isPaused = true;
     this.socket.pause();
     const resume = (): void => {
-      if (this.run !== run || !run.isPaused) return;
+      if (this.runningRequest !== run || !run.isPaused) return;
       run.isPaused = false;
       this.socket.resume();
       this.deliver(run);
     };
-    consumed.then(resume, (error: unknown) => this.destroy(Logs.text(error)));
+    consumed.then(resume, (error: unknown) => this.destroy(Logs.errorMessage(error)));
   }
 
-  private ended(run: RunningRequest, { keepMicroseconds }: Extract<ResponseEvent, { kind: 'end' }>): void {
-    this.run = undefined;
+  private onResponseEnd(run: RunningRequest, { keepMicroseconds }: Extract<ResponseEvent, { kind: 'end' }>): void {
+    this.runningRequest = undefined;
     // The connection cannot be reused after surplus bytes, a request that is not fully written or an announced close.
     const isReusable =
       keepMicroseconds !== 0 &&
-      run.reader.left === 0 &&
+      run.parser.bufferedBytes === 0 &&
       this.socket.writableLength === 0 &&
       !this.socket.readableEnded &&
       !this.socket.destroyed;
     if (isReusable) this.onEnd({ kind: 'free', keepMicroseconds });
     else this.destroy('the connection is not reusable');
-    if (!run.left) run.sink.end();
+    if (!run.isDiscarded) run.sink.end();
   }
 }
--- a/source/shared/back-end/keptConns/keptConnSender.ts
+++ b/source/shared/back-end/connection-pool/pooledSender.ts
@@ -1,10 +1,10 @@
 import type { Clock } from '../../effects/clock/clock';
 import { Logs } from '../../log/log';
-import type { BackEndSender, SendHandle, SendOrder, SendSink } from '../protocol';
+import type { BackEndSender, RequestHandle, BackEndRequest, BackEndResponseSink } from '../protocol';
 import { IdleLimitDefaults, IdleLimits, type IdleLimitsState } from './idleLimits';
 import { KeepAlive } from './keepAlive';
-import { PooledConnection, type PooledConnectionLimits } from './keptConn';
-import { RequestBytes } from './orderBytes';
+import { PooledConnection, type PooledConnectionLimits } from './pooledConnection';
+import { RequestBytes } from './requestBytes';
 
 /** Settings of the connection pool. */
 export type ConnectionPoolSettings = PooledConnectionLimits &
@@ -20,9 +20,9 @@
   }>;
 
 /** How many connections to one address may be idle, and how many may be open in total. */
-export type ConnBound = Readonly<{ kept: number; most: number }>;
+export type ConnectionBounds = Readonly<{ maxIdle: number; maxOpen: number }>;
 
-export const KeptConnDefaults: ConnectionPoolSettings = {
+export const ConnectionPoolDefaults: ConnectionPoolSettings = {
   connectMicroseconds: 300_000,
   keepAliveProbeMicroseconds: 1_000_000,
   headBytes: 16_384,
@@ -39,30 +39,30 @@
   idle: readonly PooledConnection[];
 };
 
-const noHandle: SendHandle = { cut: () => undefined };
+const noHandle: RequestHandle = { cut: () => undefined };
 
 /**
  * A sender with a connection pool; the most recently used connection is reused first. Connections are opened on demand,
  * and at most one is opened for a request. A request is written only once: a failure after its first byte is
  * `mayHaveRun`, on a reused connection as on a new one.
  */
-export class KeptConnSender implements BackEndSender {
+export class PooledSender implements BackEndSender {
   private readonly pools = new Map<string, AddressPool>();
-  private readonly log = Logs.part('conns');
+  private readonly log = Logs.channel('conns');
   private closed = false;
-  private limits: IdleLimitsState = IdleLimits.start;
+  private idleLimits: IdleLimitsState = IdleLimits.initial;
 
   public constructor(
     private readonly clock: Clock,
-    private readonly settings: ConnectionPoolSettings = KeptConnDefaults,
-    private readonly boundOf: (address: string) => ConnBound = () => ({ kept: 16, most: 1024 }),
+    private readonly settings: ConnectionPoolSettings = ConnectionPoolDefaults,
+    private readonly boundOf: (address: string) => ConnectionBounds = () => ({ maxIdle: 16, maxOpen: 1024 }),
   ) {}
 
-  public readonly send = (request: SendOrder, sink: SendSink): SendHandle => {
+  public readonly send = (request: BackEndRequest, sink: BackEndResponseSink): RequestHandle => {
     const { address } = request;
     const idleConnection = this.takeIdle(address, request.runsOnce === true);
     if (idleConnection !== undefined) return this.writeTo(idleConnection, request, sink);
-    const { most } = this.boundOf(address);
+    const { maxOpen: most } = this.boundOf(address);
     const { conns, idle } = this.poolOf(address);
     // The oldest idle connection has been idle too long for this request, and the limit leaves no room for a new one.
     if (conns.size >= most) idle[0]?.destroy('replaced by a new connection at the limit');
@@ -102,7 +102,7 @@
 
   private takeIdle(address: string, runsOnce: boolean): PooledConnection | undefined {
     const { idleLimit } = this.settings;
-    const limit = IdleLimits.of(this.limits, address, this.clock.nowMicroseconds(), idleLimit);
+    const limit = IdleLimits.limitOf(this.idleLimits, address, this.clock.nowMicroseconds(), idleLimit);
     for (;;) {
       const pool = this.poolOf(address);
       const connection = pool.idle.at(-1);
@@ -130,13 +130,13 @@
     }
   }
 
-  private writeTo(connection: PooledConnection, request: SendOrder, sink: SendSink): SendHandle {
-    const encoded = RequestBytes.of(request);
+  private writeTo(connection: PooledConnection, request: BackEndRequest, sink: BackEndResponseSink): RequestHandle {
+    const encoded = RequestBytes.encode(request);
     let text = 'request cancelled before it was sent';
     if (encoded.kind === 'unwritable') text = encoded.text;
     // This check is the last step before the first byte, so that nothing can happen in between.
-    else if (sink.mayGo()) return connection.write(request, encoded.bytes, sink);
-    this.keep(connection, undefined);
+    else if (sink.maySend()) return connection.write(request, encoded.bytes, sink);
+    this.release(connection, undefined);
     let isCancelled = false;
     queueMicrotask(() => {
       if (!isCancelled) sink.failed({ kind: 'notRun', text });
@@ -147,8 +147,8 @@
     return { cut: cancel, leave: cancel };
   }
 
-  private connect(request: SendOrder, sink: SendSink): SendHandle {
-    let running: SendHandle | undefined;
+  private connect(request: BackEndRequest, sink: BackEndResponseSink): RequestHandle {
+    let running: RequestHandle | undefined;
     let state: 'connecting' | 'connected' | 'cancelled' = 'connecting';
     const connection: PooledConnection = new PooledConnection(
       request.address,
@@ -160,10 +160,10 @@
           running = this.writeTo(connection, request, sink);
         }
         // The connection is kept although its request was cancelled: it is open, and nothing was written to it.
-        else this.keep(connection, undefined);
+        else this.release(connection, undefined);
       },
       (end) => {
-        if (end.kind === 'free') return this.keep(connection, end.keepMicroseconds);
+        if (end.kind === 'free') return this.release(connection, end.keepMicroseconds);
         this.removeConnection(connection);
         if (end.droppedAfterMicroseconds !== undefined)
           this.lowerIdleLimit(connection.address, end.droppedAfterMicroseconds);
@@ -203,15 +203,15 @@
   private lowerIdleLimit(address: string, idleMicroseconds: number): void {
     const { idleLimit, idleMicroseconds: maxMicroseconds } = this.settings;
     const now = this.clock.nowMicroseconds();
-    const remaining = IdleLimits.removeExpired(this.limits, now, maxMicroseconds, idleLimit);
-    this.limits = IdleLimits.forgotten(remaining, address, idleMicroseconds, now, idleLimit);
+    const remaining = IdleLimits.removeExpired(this.idleLimits, now, maxMicroseconds, idleLimit);
+    this.idleLimits = IdleLimits.recordDropped(remaining, address, idleMicroseconds, now, idleLimit);
     this.log(
       `The back end at ${address} dropped a connection that was idle for ${Math.round(idleMicroseconds / 1000)} ms.`,
     );
   }
 
   /** Returns a connection without a running request to the idle ones, or closes it. */
-  private keep(connection: PooledConnection, keepAliveMicroseconds: number | undefined): void {
+  private release(connection: PooledConnection, keepAliveMicroseconds: number | undefined): void {
     const pool = this.poolOf(connection.address);
     const { marginMicroseconds, idleMicroseconds } = this.settings;
     const usableMicroseconds = KeepAlive.usableMicroseconds(
@@ -222,7 +222,7 @@
     if (
       this.closed ||
       connection.closed ||
-      pool.idle.length >= this.boundOf(connection.address).kept ||
+      pool.idle.length >= this.boundOf(connection.address).maxIdle ||
       usableMicroseconds <= 0
     ) {
       connection.destroy('the connection is not reusable');
--- a/source/shared/back-end/keptConns/orderBytes.ts
+++ b/source/shared/back-end/connection-pool/requestBytes.ts
@@ -1,4 +1,4 @@
-import type { SendOrder } from '../protocol';
+import type { BackEndRequest } from '../protocol';
 
 const tokenPattern = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 const targetPattern = /^[\x21-\x7e\x80-\xff]+$/;
@@ -19,7 +19,7 @@
 
 export const RequestBytes = {
   /** Encodes a request for HTTP/1.1. A request that could be parsed as two requests is rejected. */
-  of: (request: SendOrder): RequestBytes => {
+  encode: (request: BackEndRequest): RequestBytes => {
     if (!tokenPattern.test(request.method) || !targetPattern.test(request.path))
       return { kind: 'unwritable', text: 'invalid method or path' };
     const body = typeof request.body === 'string' ? Buffer.from(request.body, 'utf8') : request.body;
--- a/source/shared/back-end/keptConns/answerReader.ts
+++ b/source/shared/back-end/connection-pool/responseParser.ts
@@ -1,9 +1,9 @@
 import { KeepAlive } from './keepAlive';
-import type { SendHead } from '../protocol';
+import type { BackEndResponseHead } from '../protocol';
 
 /** An element of a response in the order of the bytes. */
 export type ResponseEvent =
-  | Readonly<{ kind: 'head'; head: SendHead }>
+  | Readonly<{ kind: 'head'; head: BackEndResponseHead }>
   | Readonly<{ kind: 'part'; bytes: Uint8Array }>
   /** `keepMicroseconds`: how long the connection may be idle; undefined: not stated; 0: it must not be reused. */
   | Readonly<{ kind: 'end'; keepMicroseconds: number | undefined }>
@@ -68,22 +68,22 @@
  */
 export class ResponseParser {
   private parserState: ParserState = { kind: 'head' };
-  private bytes: Buffer = Buffer.alloc(0);
+  private buffer: Buffer = Buffer.alloc(0);
   private interimHeads = 0;
   private keepMicroseconds: number | undefined;
 
   public constructor(
     private readonly method: string,
-    private readonly headBytes: number,
+    private readonly maxHeadBytes: number,
   ) {}
 
   public push(bytes: Buffer): void {
-    this.bytes = this.bytes.length === 0 ? bytes : Buffer.concat([this.bytes, bytes]);
+    this.buffer = this.buffer.length === 0 ? bytes : Buffer.concat([this.buffer, bytes]);
   }
 
   /** Number of buffered bytes. */
-  public get left(): number {
-    return this.bytes.length;
+  public get bufferedBytes(): number {
+    return this.buffer.length;
   }
 
   /** Handles the end of the connection. Must be called only when `next` returns undefined. */
@@ -106,7 +106,7 @@
           this.parserState = { kind: 'over' };
           return { kind: 'end', keepMicroseconds: this.keepMicroseconds };
         case 'untilClose':
-          return this.takeBodyBytes(this.bytes.length);
+          return this.takeBodyBytes(this.buffer.length);
         case 'counted': {
           const event = this.takeBodyBytes(parserState.left);
           if (event !== undefined) {
@@ -143,14 +143,14 @@
           break;
         }
         case 'chunkEnd': {
-          if (this.bytes.length < 2) return undefined;
-          if (this.bytes[0] !== 13 || this.bytes[1] !== 10) return this.fail('chunk is longer than its size');
-          this.bytes = this.bytes.subarray(2);
+          if (this.buffer.length < 2) return undefined;
+          if (this.buffer[0] !== 13 || this.buffer[1] !== 10) return this.fail('chunk is longer than its size');
+          this.buffer = this.buffer.subarray(2);
           this.parserState = { kind: 'chunkSize' };
           break;
         }
         case 'trailers': {
-          const line = this.takeLine(this.headBytes - parserState.bytes);
+          const line = this.takeLine(this.maxHeadBytes - parserState.bytes);
           if (line.kind === 'more') return undefined;
           if (line.kind === 'tooLong') return this.fail('trailers exceed the size limit');
           if (line.text === '') this.parserState = { kind: 'ended' };
@@ -167,7 +167,7 @@
    * or is incomplete.
    */
   private takePlainChunkSize(): number | undefined {
-    const { bytes } = this;
+    const { buffer: bytes } = this;
     let size = 0;
     for (let at = 0; at < 8; at += 1) {
       const byte = bytes[at] ?? 0;
@@ -175,7 +175,7 @@
       if (digit >= 0) size = size * 16 + digit;
       else {
         if (at === 0 || byte !== 13 || bytes[at + 1] !== 10) return undefined;
-        this.bytes = bytes.subarray(at + 2);
+        this.buffer = bytes.subarray(at + 2);
         return size;
       }
     }
@@ -183,20 +183,20 @@
   }
 
   private takeBodyBytes(maxBytes: number): Extract<ResponseEvent, { kind: 'part' }> | undefined {
-    if (this.bytes.length === 0) return undefined;
-    const bytes = this.bytes.subarray(0, maxBytes);
-    this.bytes = this.bytes.subarray(bytes.length);
+    if (this.buffer.length === 0) return undefined;
+    const bytes = this.buffer.subarray(0, maxBytes);
+    this.buffer = this.buffer.subarray(bytes.length);
     return { kind: 'part', bytes };
   }
 
   private takeLine(
     maxBytes: number,
   ): Readonly<{ kind: 'line'; text: string }> | Readonly<{ kind: 'more' }> | Readonly<{ kind: 'tooLong' }> {
-    const end = this.bytes.indexOf(lineEnd);
-    if (end > maxBytes || (end < 0 && this.bytes.length > maxBytes)) return { kind: 'tooLong' };
+    const end = this.buffer.indexOf(lineEnd);
+    if (end > maxBytes || (end < 0 && this.buffer.length > maxBytes)) return { kind: 'tooLong' };
     if (end < 0) return { kind: 'more' };
-    const text = this.bytes.toString('latin1', 0, end);
-    this.bytes = this.bytes.subarray(end + 2);
+    const text = this.buffer.toString('latin1', 0, end);
+    this.buffer = this.buffer.subarray(end + 2);
     return { kind: 'line', text };
   }
 
@@ -206,16 +206,16 @@
   }
 
   private head(): ResponseEvent | undefined {
-    const end = this.bytes.indexOf(headEnd);
-    if (end > this.headBytes || (end < 0 && this.bytes.length > this.headBytes))
+    const end = this.buffer.indexOf(headEnd);
+    if (end > this.maxHeadBytes || (end < 0 && this.buffer.length > this.maxHeadBytes))
       return this.fail('head exceeds the size limit');
     if (end < 0) {
       // An invalid start is rejected at once: garbage may never contain the end of a head, and the client is waiting.
-      const start = this.bytes.toString('latin1', 0, Math.min(5, this.bytes.length));
+      const start = this.buffer.toString('latin1', 0, Math.min(5, this.buffer.length));
       return 'HTTP/'.startsWith(start) ? undefined : this.fail('invalid status line');
     }
-    const parsed = parseHead(this.bytes.toString('latin1', 0, end));
-    this.bytes = this.bytes.subarray(end + 4);
+    const parsed = parseHead(this.buffer.toString('latin1', 0, end));
+    this.buffer = this.buffer.subarray(end + 4);
     if (parsed.kind === 'broken') return this.fail(parsed.text);
     const { status, headers, version } = parsed;
     if (status < 200) {
@@ -234,7 +234,7 @@
       return this.fail('unsupported transfer encoding');
     const empty = this.method === 'HEAD' || status === 204 || status === 304;
     const framed = empty || contentLength !== undefined || coding !== undefined;
-    this.keepMicroseconds = framed ? KeepAlive.microseconds(version, headers) : 0;
+    this.keepMicroseconds = framed ? KeepAlive.timeoutMicroseconds(version, headers) : 0;
     if (empty || contentLength === 0) this.parserState = { kind: 'ended' };
     else if (contentLength !== undefined) this.parserState = { kind: 'counted', left: contentLength };
     else this.parserState = { kind: coding === undefined ? 'untilClose' : 'chunkSize' };
--- a/source/shared/back-end/httpBackEnds.ts
+++ b/source/shared/back-end/httpBackEnds.ts
@@ -3,13 +3,13 @@
 import { Addresses } from '../effects/transport/tcpTransport';
 import { Logs } from '../log/log';
 import {
-  BackEndAnswers,
+  BackEndResponses,
   BackEndLimits,
   Paths,
-  type BackEndDoor,
+  type BackEndControl,
   type BackEndSender,
-  type SendOrder,
-  type SendSink,
+  type BackEndRequest,
+  type BackEndResponseSink,
 } from './protocol';
 
 const readJsonWithinLimit = async (body: Dispatcher.ResponseData['body']): Promise<unknown> => {
@@ -27,7 +27,7 @@
  * Client of the control endpoints of back ends, over HTTP. Every failure is reported as undefined, so that an engine
  * controller never acts on a guess.
  */
-export class HttpBackEndDoor implements BackEndDoor {
+export class HttpBackEndControl implements BackEndControl {
   private readonly agent = new Agent({
     connections: 2,
     pipelining: 1,
@@ -36,16 +36,16 @@
     connect: { timeout: 1000 },
   });
 
-  public readonly status = async (address: string, limitMicroseconds: number): ReturnType<BackEndDoor['status']> =>
-    BackEndAnswers.status(await this.get(address, Paths.status, limitMicroseconds));
+  public readonly status = async (address: string, limitMicroseconds: number): ReturnType<BackEndControl['status']> =>
+    BackEndResponses.status(await this.get(address, Paths.status, limitMicroseconds));
 
   public readonly events = async (
     address: string,
     after: number,
     bootEpoch: string,
     limitMicroseconds: number,
-  ): ReturnType<BackEndDoor['events']> =>
-    BackEndAnswers.events(
+  ): ReturnType<BackEndControl['events']> =>
+    BackEndResponses.events(
       await this.get(
         address,
         `${Paths.events}?after=${after}&epoch=${encodeURIComponent(bootEpoch)}`,
@@ -53,10 +53,10 @@
       ),
     );
 
-  public readonly list = async (address: string, limitMicroseconds: number): ReturnType<BackEndDoor['list']> =>
-    BackEndAnswers.list(await this.get(address, Paths.list, limitMicroseconds));
+  public readonly list = async (address: string, limitMicroseconds: number): ReturnType<BackEndControl['list']> =>
+    BackEndResponses.list(await this.get(address, Paths.list, limitMicroseconds));
 
-  public readonly directive: BackEndDoor['directive'] = async (address, directive, limitMicroseconds) => {
+  public readonly directive: BackEndControl['directive'] = async (address, directive, limitMicroseconds) => {
     try {
       const { statusCode, body } = await request(`http://${address}${Paths.directive}`, {
         method: 'POST',
@@ -98,15 +98,15 @@
 export class HttpBackEndSender implements BackEndSender {
   public constructor(private readonly connectMicroseconds: number) {}
 
-  public readonly send = (backEndRequest: SendOrder, sink: SendSink): Readonly<{ cut: () => void }> => {
+  public readonly send = (request: BackEndRequest, sink: BackEndResponseSink): Readonly<{ cut: () => void }> => {
     let socket: net.Socket | undefined;
-    const client = new Client(`http://${backEndRequest.address}`, {
+    const client = new Client(`http://${request.address}`, {
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
       maxHeaderSize: 16_384,
       connect: (_options, callback) => {
-        const { host, port } = Addresses.split(backEndRequest.address);
+        const { host, port } = Addresses.split(request.address);
         const connecting = net.connect({ host, port, noDelay: true });
         socket = connecting;
         const timer = setTimeout(
@@ -137,16 +137,16 @@
     };
     client.dispatch(
       {
-        method: backEndRequest.method as Dispatcher.HttpMethod,
-        path: backEndRequest.path,
-        headers: { ...backEndRequest.headers },
-        body: backEndRequest.body === '' ? null : backEndRequest.body,
+        method: request.method as Dispatcher.HttpMethod,
+        path: request.path,
+        headers: { ...request.headers },
+        body: request.body === '' ? null : request.body,
       },
       {
         onRequestStart: (dispatchController) => {
           // This is the last check before the first byte: undici calls it once the connection is open, right before it writes
           // the request head. The request may have been cancelled while the connection was being opened.
-          if (finished || !sink.mayGo()) {
+          if (finished || !sink.maySend()) {
             dispatchController.abort(new Error('request cancelled before it was sent'));
             return;
           }
@@ -172,12 +172,13 @@
           // Empty chunks are skipped: at the end of a broken response undici emits one for each resume, and pausing again
           // on each of them would loop forever.
           if (finished || chunk.length === 0) return;
-          const backPressure = sink.part(chunk);
+          const backPressure = sink.chunk(chunk);
           if (backPressure === undefined) return;
           dispatchController.pause();
           backPressure.then(
             () => dispatchController.resume(),
-            (error: unknown) => dispatchController.abort(error instanceof Error ? error : new Error(Logs.text(error))),
+            (error: unknown) =>
+              dispatchController.abort(error instanceof Error ? error : new Error(Logs.errorMessage(error))),
           );
         },
         onResponseEnd: () => {
@@ -186,7 +187,7 @@
           close();
           sink.end();
         },
-        onResponseError: (_controller, error) => fail(Logs.text(error)),
+        onResponseError: (_controller, error) => fail(Logs.errorMessage(error)),
       },
     );
     return {
--- a/source/shared/back-end/ownWords.ts
+++ b/source/shared/back-end/nativeCodec.ts
@@ -1,10 +1,10 @@
 import { BackEndHeaders, CacheHeaders } from './protocol';
-import type { BackEndWords } from './words';
+import type { BackEndCodec } from './backEndCodec';
 
 const forwardedHeaders = ['content-type', 'cache-control', 'content-length'] as const;
 
 /** Codec of the product's native protocol between proxies and back ends. */
-export const ownWords: BackEndWords = {
+export const nativeCodec: BackEndCodec = {
   namesInstance: true,
   closeEndsAnswer: false,
   write: ({ orderId, contentType, trustDomain, target, source }) => ({
--- a/source/shared/back-end/protocol.ts
+++ b/source/shared/back-end/protocol.ts
@@ -78,7 +78,7 @@
 export type DirectiveOutcome = 'done' | 'begun' | 'otherUnderWay' | 'oldTerm' | 'failed';
 
 /** Capabilities of a protocol that engine controllers depend on. */
-export type DoorTraits = Readonly<{
+export type ControlTraits = Readonly<{
   /** Engines accept a command to drain; otherwise the owner of the engine list drains them. */
   drains: boolean;
   /** The events call supports long polling; polls follow each other without a pause, and each is a heartbeat too. */
@@ -88,8 +88,8 @@
   /** Cache stores that are not engines report a status too. */
   storesHaveStatus: boolean;
 }>;
-export const DoorTraits = {
-  usual: { drains: true, holdsEvents: false, derivedNames: false, storesHaveStatus: true } satisfies DoorTraits,
+export const ControlTraits = {
+  usual: { drains: true, holdsEvents: false, derivedNames: false, storesHaveStatus: true } satisfies ControlTraits,
 } as const;
 
 export const Paths = {
@@ -143,7 +143,7 @@
 const isShortString = (value: unknown): value is string => typeof value === 'string' && value.length <= 128;
 
 /** Validates responses of back ends. A response of any other shape is undefined, which callers treat as no response. */
-export const BackEndAnswers = {
+export const BackEndResponses = {
   status: (value: unknown): EngineStatus | undefined =>
     isObject(value) &&
     isShortString(value['bootEpoch']) &&
@@ -197,9 +197,9 @@
  * Client of the control endpoints of back ends, used by engine controllers. Undefined: no valid response within the
  * limit. `later`: the back end responds, but has no capacity for the call.
  */
-export interface BackEndDoor {
+export interface BackEndControl {
   /** Missing: `ControlTraits.usual`. */
-  readonly traits?: DoorTraits;
+  readonly traits?: ControlTraits;
   readonly status: (
     address: string,
     limitMicroseconds: number,
@@ -220,7 +220,7 @@
 }
 
 /** A request to a back end. */
-export type SendOrder = Readonly<{
+export type BackEndRequest = Readonly<{
   address: string;
   method: string;
   path: string;
@@ -231,10 +231,14 @@
 }>;
 
 /** Head of a response. `framed`: the response has a content length or is chunked, so that its end can be detected. */
-export type SendHead = Readonly<{ status: number; headers: Readonly<Record<string, string>>; framed: boolean }>;
+export type BackEndResponseHead = Readonly<{
+  status: number;
+  headers: Readonly<Record<string, string>>;
+  framed: boolean;
+}>;
 
 /** Failure of a request without a complete response; `kind` tells whether the request may have run. */
-export type SendFailure = Readonly<{
+export type RequestFailure = Readonly<{
   kind: 'notRun' | 'mayHaveRun';
   text: string;
   /** The connection was reset on the first bytes: the back end had dropped it while it was idle. */
@@ -242,24 +246,24 @@
 }>;
 
 /** Receives the response to a request. */
-export interface SendSink {
+export interface BackEndResponseSink {
   /**
    * Called when the connection is open, right before the first byte is written. False cancels the request, and nothing
    * is written.
    */
-  readonly mayGo: () => boolean;
-  readonly head: (head: SendHead) => void;
+  readonly maySend: () => boolean;
+  readonly head: (head: BackEndResponseHead) => void;
   /** Undefined: consumed, the next bytes may follow at once. A promise: back pressure until it resolves. */
-  readonly part: (bytes: Uint8Array) => Promise<void> | undefined;
+  readonly chunk: (bytes: Uint8Array) => Promise<void> | undefined;
   readonly end: () => void;
-  readonly failed: (failure: SendFailure) => void;
+  readonly failed: (failure: RequestFailure) => void;
 }
 
 /**
  * `cut` resets the connection. `leave` discards the rest of a valid response but reads it to its end, so that the
  * connection can be reused.
  */
-export type SendHandle = Readonly<{ cut: () => void; leave?: () => void }>;
+export type RequestHandle = Readonly<{ cut: () => void; leave?: () => void }>;
 
 /** Sends requests to back ends. */
 export interface BackEndSender {
@@ -267,7 +271,7 @@
    * Returns a handle to cancel the request. Exactly one of `end` and `failed` is called, once; neither is called after
    * `cut` or `leave`.
    */
-  readonly send: (order: SendOrder, sink: SendSink) => SendHandle;
+  readonly send: (request: BackEndRequest, sink: BackEndResponseSink) => RequestHandle;
   /** Whether an idle connection to the address is available; missing: connections are never reused. */
   readonly hasIdle?: (address: string) => boolean;
 }
--- a/source/shared/blueprint/dialect.ts
+++ b/source/shared/configuration/configurationFormat.ts
@@ -1,17 +1,17 @@
-import { Blueprints, BlueprintLimits, type Checked } from './check';
-import { Pieces, type Fault } from './document';
-import type { Blueprint } from './types';
+import { DocumentValidation, ConfigurationLimits, type ValidationResult } from './validation';
+import { JsonEdits, type Fault } from './jsonDocument';
+import type { Configuration } from './types';
 
 /** whole: replaces the document. pieces: changes named values of it. weights: sets the intended weights of one model. */
-export type OrderForm = 'whole' | 'pieces' | 'weights';
+export type ChangeForm = 'whole' | 'pieces' | 'weights';
 
 /** The current text of the document; revision 0 and an empty text if no change has been committed yet. */
-export type Present = Readonly<{ revision: number; text: string }>;
+export type CurrentDocument = Readonly<{ revision: number; text: string }>;
 /** A change that an operator requests on a given base revision. */
-export type DialectOrder = Readonly<{ form: OrderForm; text: string; ifMatch: number }>;
+export type ConfigurationChange = Readonly<{ form: ChangeForm; text: string; ifMatch: number }>;
 
 /** The result of applying a change: the text to write, no difference, or a refusal. */
-export type DialectApplied =
+export type ConfigurationChangeResult =
   | Readonly<{ kind: 'write'; text: string }>
   /** The document already has the requested content. */
   | Readonly<{ kind: 'same' }>
@@ -22,30 +22,30 @@
  * and every process reads committed documents with them. The text that `apply` returns is stored in the register, and
  * all processes compare it by its digest.
  */
-export interface Dialect {
+export interface ConfigurationFormat {
   readonly name: string;
   /** Parses and checks an unchecked text. */
-  readonly read: (text: string) => Checked<Blueprint>;
+  readonly read: (text: string) => ValidationResult<Configuration>;
   /** Parses a text that the control nodes have committed, identified by its digest, without checking it again. */
-  readonly trusted: (text: string) => Checked<Blueprint>;
-  readonly apply: (present: Present, change: DialectOrder) => DialectApplied;
+  readonly readTrusted: (text: string) => ValidationResult<Configuration>;
+  readonly apply: (present: CurrentDocument, change: ConfigurationChange) => ConfigurationChangeResult;
 }
 
-const refusal = (reason: 'faults' | 'revision', faults: readonly Fault[]): DialectApplied => ({
+const refusal = (reason: 'faults' | 'revision', faults: readonly Fault[]): ConfigurationChangeResult => ({
   kind: 'refused',
   reason,
   faults,
 });
 
 /** Applies edits of single values to a text and leaves its other bytes unchanged. */
-const applyEdits = (present: string, change: string): DialectApplied => {
-  if (Buffer.byteLength(change) > BlueprintLimits.textBytes)
+const applyEdits = (present: string, change: string): ConfigurationChangeResult => {
+  if (Buffer.byteLength(change) > ConfigurationLimits.maxTextBytes)
     return refusal('faults', [{ path: '', fault: 'too long' }]);
-  const edits = Pieces.read(change);
+  const edits = JsonEdits.read(change);
   if (edits.kind === 'faulty') return refusal('faults', edits.faults);
   let text = present;
   for (const edit of edits.changes) {
-    const changed = Pieces.change(text, edit);
+    const changed = JsonEdits.apply(text, edit);
     if (changed.kind === 'faulty') return refusal('faults', changed.faults);
     text = changed.text;
   }
@@ -53,19 +53,19 @@
 };
 
 /** Steps that several configuration formats share. */
-export const Dialects = {
+export const ConfigurationFormats = {
   /** Applies a change to a document in the native JSON format; `check` reports the faults of the resulting text. */
-  applyOwn: (
-    present: Present,
-    change: DialectOrder,
-    check: (text: string) => Checked<unknown>,
+  applyNative: (
+    present: CurrentDocument,
+    change: ConfigurationChange,
+    check: (text: string) => ValidationResult<unknown>,
     links: (text: string) => readonly Fault[] = () => [],
-  ): DialectApplied => {
+  ): ConfigurationChangeResult => {
     if (change.ifMatch !== present.revision)
       return refusal('revision', [{ path: '', fault: `the present revision is ${present.revision}` }]);
     if (change.form === 'weights')
       return refusal('faults', [{ path: '', fault: 'weights stand in the document; change them there' }]);
-    const next: DialectApplied =
+    const next: ConfigurationChangeResult =
       change.form === 'pieces' ? applyEdits(present.text, change.text) : { kind: 'write', text: change.text };
     if (next.kind !== 'write') return next;
     const checked = check(next.text);
@@ -75,22 +75,22 @@
   },
 } as const;
 
-const readNative = (text: string): Checked<Blueprint> =>
-  Blueprints.checkText('blueprint', text) as unknown as Checked<Blueprint>;
+const readNative = (text: string): ValidationResult<Configuration> =>
+  DocumentValidation.checkText('blueprint', text) as unknown as ValidationResult<Configuration>;
 
 /** The native format: strict JSON with every field checked, stored byte for byte as it was sent. */
-export const ownDialect: Dialect = {
+export const nativeConfigurationFormat: ConfigurationFormat = {
   name: 'own',
   read: readNative,
-  trusted: readNative,
-  apply: (present, change) => Dialects.applyOwn(present, change, readNative),
+  readTrusted: readNative,
+  apply: (present, change) => ConfigurationFormats.applyNative(present, change, readNative),
 };
 
 const cached = (
-  read: (text: string) => Checked<Blueprint>,
+  read: (text: string) => ValidationResult<Configuration>,
   maxTexts: number,
-): ((text: string) => Checked<Blueprint>) => {
-  let cache: readonly Readonly<{ text: string; checked: Checked<Blueprint> }>[] = [];
+): ((text: string) => ValidationResult<Configuration>) => {
+  let cache: readonly Readonly<{ text: string; checked: ValidationResult<Configuration> }>[] = [];
   return (text) => {
     const found = cache.find((item) => item.text === text);
     if (found !== undefined) return found.checked;
@@ -104,9 +104,9 @@
  * Caches the results for the last few texts because one process receives the same text as a change, as a log entry and
  * as a document body. There are two caches, so that a text that was only trusted is never taken for a checked one.
  */
-export const rememberingDialect = (format: Dialect, maxTexts = 3): Dialect => ({
+export const cachingConfigurationFormat = (format: ConfigurationFormat, maxTexts = 3): ConfigurationFormat => ({
   name: format.name,
   read: cached(format.read, maxTexts),
-  trusted: cached(format.trusted, maxTexts),
+  readTrusted: cached(format.readTrusted, maxTexts),
   apply: format.apply,
 });
--- a/source/shared/blueprint/document.ts
+++ b/source/shared/configuration/jsonDocument.ts
@@ -3,7 +3,7 @@
 /** A fault in a document, with the JSON pointer of the place where it is. */
 export type Fault = Readonly<{ path: string; fault: string }>;
 /** A parsed document with its syntax tree, or the faults that prevent parsing it. */
-export type DocumentRead =
+export type JsonParseResult =
   Readonly<{ kind: 'read'; value: unknown; tree: Node }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }>;
 
 const maxDepth = 32;
@@ -83,8 +83,8 @@
 };
 
 /** Strict parsing of JSON text with the offset of each value, so that an edit leaves all other bytes unchanged. */
-export const Documents = {
-  read: (text: string): DocumentRead => {
+export const JsonDocuments = {
+  read: (text: string): JsonParseResult => {
     const errors: ParseError[] = [];
     const tree = parseTree(text, errors, {
       disallowComments: true,
@@ -107,7 +107,7 @@
   },
 
   /** Parses the value alone, as strictly as `read` and much faster, for long texts whose offsets are not needed. */
-  readPlain: (
+  readValue: (
     text: string,
   ): Readonly<{ kind: 'read'; value: unknown }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }> => {
     let value: unknown;
@@ -128,9 +128,9 @@
 } as const;
 
 /** Puts or removes one value, named by its JSON pointer. */
-export type PieceChange =
+export type JsonEdit =
   Readonly<{ kind: 'put'; path: string; text: string }> | Readonly<{ kind: 'remove'; path: string }>;
-export type PieceOutcome =
+export type JsonEditResult =
   Readonly<{ kind: 'changed'; text: string }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }>;
 
 const childOf = (node: Node, name: string): Node | undefined => {
@@ -140,7 +140,7 @@
 };
 const valueOf = (node: Node): Node => (node.type === 'property' ? (node.children?.[1] ?? node) : node);
 
-const faulty = (path: string, fault: string): PieceOutcome => ({ kind: 'faulty', faults: [{ path, fault }] });
+const faulty = (path: string, fault: string): JsonEditResult => ({ kind: 'faulty', faults: [{ path, fault }] });
 
 const removeChild = (text: string, parent: Node, child: Node): string => {
   const children = parent.children ?? [];
@@ -153,7 +153,7 @@
   return text.slice(0, start) + text.slice(child.offset + child.length);
 };
 
-const addChild = (text: string, parent: Node, name: string, value: string): PieceOutcome => {
+const addChild = (text: string, parent: Node, name: string, value: string): JsonEditResult => {
   const last = parent.children?.at(-1);
   const start = last === undefined ? parent.offset + 1 : last.offset + last.length;
   const comma = last === undefined ? '' : ', ';
@@ -168,11 +168,11 @@
 };
 
 /** Edits of single values in JSON text that leave all other bytes unchanged. */
-export const Pieces = {
-  change: (text: string, change: PieceChange): PieceOutcome => {
-    const document = Documents.read(text);
+export const JsonEdits = {
+  apply: (text: string, change: JsonEdit): JsonEditResult => {
+    const document = JsonDocuments.read(text);
     if (document.kind === 'faulty') return document;
-    const names = Documents.pointer(change.path);
+    const names = JsonDocuments.pointer(change.path);
     if (names === undefined || names.length === 0)
       return faulty(change.path, 'a piece is named by a path such as /mappings/tags');
     let parent: Node = document.tree;
@@ -199,14 +199,14 @@
   read: (
     text: string,
   ):
-    | Readonly<{ kind: 'read'; changes: readonly PieceChange[] }>
+    | Readonly<{ kind: 'read'; changes: readonly JsonEdit[] }>
     | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }> => {
-    const document = Documents.read(text);
+    const document = JsonDocuments.read(text);
     if (document.kind === 'faulty') return document;
     const list = valueOf(childOf(document.tree, 'changes') ?? document.tree);
     if (list.type !== 'array' || (list.children ?? []).length === 0)
       return { kind: 'faulty', faults: [{ path: '/changes', fault: 'a list of changes is needed' }] };
-    const changes: PieceChange[] = [];
+    const changes: JsonEdit[] = [];
     const faults: Fault[] = [];
     (list.children ?? []).forEach((node, index) => {
       const put = childOf(node, 'put');
--- a/source/shared/blueprint/types.ts
+++ b/source/shared/configuration/types.ts
@@ -32,7 +32,7 @@
 }>;
 
 /** A shared cache store that the operators configure; it is on no engine list. */
-export type Store = Readonly<{
+export type SharedStore = Readonly<{
   address: string;
   zone: string;
   keptTokens: number;
@@ -41,7 +41,7 @@
 }>;
 
 /** Bounds on what a client may send. 0: the built-in bound. */
-export type CallerLimits = Readonly<{
+export type ClientLimits = Readonly<{
   headBytes: number;
   bodyBytes: number;
   headMicroseconds: number;
@@ -68,10 +68,10 @@
 export type Service = Pool | AppService;
 
 /** Part of a route's requests that a service receives, by its weight among the weights of all shares. */
-export type Share = Readonly<{ service: string; weight: number }>;
+export type RouteShare = Readonly<{ service: string; weight: number }>;
 
 /** Maps a path, host and model to a service and a class. */
-export type Mapping = Readonly<{
+export type Route = Readonly<{
   path: string;
   model: string;
   service: string;
@@ -87,7 +87,7 @@
   /** Requests are idempotent and may run more than once. */
   repeatable?: boolean;
   /** Weighted services; if given, `service` is the first of them. */
-  shares?: readonly Share[];
+  shares?: readonly RouteShare[];
   /** Most engines that one request may be sent to; 0 or missing: the built-in number. */
   mostSends?: number;
   /** Longest time that a request may wait or be answered; 0 or missing: the limit of the service. */
@@ -99,13 +99,13 @@
 }>;
 
 /** The operators' configuration of the fleet. */
-export type Blueprint = Readonly<{
+export type Configuration = Readonly<{
   classes: Readonly<Record<string, ServiceClass>>;
   tenants: Readonly<Record<string, Tenant>>;
   services: Readonly<Record<string, Service>>;
-  mappings: Readonly<Record<string, Mapping>>;
-  stores?: Readonly<Record<string, Store>>;
-  limits?: CallerLimits;
+  mappings: Readonly<Record<string, Route>>;
+  stores?: Readonly<Record<string, SharedStore>>;
+  limits?: ClientLimits;
   /** Whether requests need an API key at all; missing: they do. */
   keyed?: boolean;
 }>;
@@ -124,8 +124,8 @@
 }>;
 export type EngineList = Readonly<{ engines: Readonly<Record<string, Engine>> }>;
 
-export type CoreMember = Readonly<{ address: string; operatorsAddress: string; zone: string }>;
-export type CoreMembers = Readonly<{ members: Readonly<Record<string, CoreMember>> }>;
+export type ControlNodeMember = Readonly<{ address: string; operatorsAddress: string; zone: string }>;
+export type ControlNodeMembers = Readonly<{ members: Readonly<Record<string, ControlNodeMember>> }>;
 
 /** Keys of the documents that the control nodes store. */
 export const DocumentKeys = ['blueprint', 'engines', 'core-members'] as const;
--- a/source/shared/blueprint/check.ts
+++ b/source/shared/configuration/validation.ts
@@ -1,9 +1,9 @@
 import convict from 'convict';
-import { Documents, type Fault } from './document';
-import type { Blueprint, CoreMembers, DocumentKey, EngineList } from './types';
+import { JsonDocuments, type Fault } from './jsonDocument';
+import type { Configuration, ControlNodeMembers, DocumentKey, EngineList } from './types';
 
 /** Upper bounds on the size of a document and on its numbers of entries. */
-export const BlueprintLimits = { textBytes: 4 * 1024 * 1024, named: 20_000, keysPerTenant: 64 } as const;
+export const ConfigurationLimits = { maxTextBytes: 4 * 1024 * 1024, maxEntries: 20_000, maxKeysPerTenant: 64 } as const;
 
 type Field = Readonly<{ format: (value: unknown) => void; default: unknown }>;
 type Fields = Readonly<Record<string, Field>>;
@@ -41,8 +41,8 @@
   );
 const keys = (value: unknown): void => {
   must(
-    Array.isArray(value) && value.length <= BlueprintLimits.keysPerTenant,
-    `must be a list of at most ${BlueprintLimits.keysPerTenant} keys`,
+    Array.isArray(value) && value.length <= ConfigurationLimits.maxKeysPerTenant,
+    `must be a list of at most ${ConfigurationLimits.maxKeysPerTenant} keys`,
   );
   for (const key of value as readonly unknown[])
     must(typeof key === 'string' && /^[\x21-\x7e]{8,256}$/.test(key), 'each key must be 8 to 256 printable characters');
@@ -250,7 +250,7 @@
   // The fields are checked again one by one, so that each fault has its own path.
   for (const field of Object.keys(value))
     if (fields[field] === undefined)
-      faults.push({ path: `${path}/${Documents.escape(field)}`, fault: 'unknown field' });
+      faults.push({ path: `${path}/${JsonDocuments.escape(field)}`, fault: 'unknown field' });
   for (const [field, { format, default: fallback }] of Object.entries(fields)) {
     const given = Object.hasOwn(value, field);
     if (!given && fallback === required) faults.push({ path: `${path}/${field}`, fault: 'is missing' });
@@ -283,9 +283,10 @@
     return taken;
   }
   const entries = Object.entries(value);
-  if (entries.length > BlueprintLimits.named) faults.push({ path, fault: `at most ${BlueprintLimits.named} pieces` });
+  if (entries.length > ConfigurationLimits.maxEntries)
+    faults.push({ path, fault: `at most ${ConfigurationLimits.maxEntries} pieces` });
   for (const [entryName, entry] of entries) {
-    const entryPath = `${path}/${Documents.escape(entryName)}`;
+    const entryPath = `${path}/${JsonDocuments.escape(entryName)}`;
     if (!/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/.test(entryName))
       faults.push({ path: entryPath, fault: 'a name has 1 to 64 letters, digits, dots, dashes' });
     taken[entryName] = checkFields(entry, fieldsOf(entry), entryPath, faults);
@@ -305,23 +306,23 @@
   }
   for (const field of Object.keys(value))
     if (!requiredFields.includes(field) && !optionalFields.includes(field))
-      faults.push({ path: `/${Documents.escape(field)}`, fault: 'unknown field' });
+      faults.push({ path: `/${JsonDocuments.escape(field)}`, fault: 'unknown field' });
   for (const field of requiredFields)
     if (!Object.hasOwn(value, field)) faults.push({ path: `/${field}`, fault: 'is missing' });
   return value;
 };
 
 /** The result of a check: the value with its defaults, or all faults that were found. */
-export type Checked<Value> =
+export type ValidationResult<Value> =
   Readonly<{ kind: 'good'; value: Value }> | Readonly<{ kind: 'faulty'; faults: readonly Fault[] }>;
 
-const outcome = <Value>(faults: readonly Fault[], value: unknown): Checked<Value> =>
+const outcome = <Value>(faults: readonly Fault[], value: unknown): ValidationResult<Value> =>
   faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'good', value: value as Value };
 
-const checkReferences = (configuration: Blueprint, faults: Fault[]): void => {
+const checkReferences = (configuration: Configuration, faults: Fault[]): void => {
   const seenRoutes = new Map<string, string>();
   for (const [routeName, route] of Object.entries(configuration.mappings)) {
-    const path = `/mappings/${Documents.escape(routeName)}`;
+    const path = `/mappings/${JsonDocuments.escape(routeName)}`;
     if (!Object.hasOwn(configuration.services, route.service))
       faults.push({ path: `${path}/service`, fault: 'names no service' });
     if (!Object.hasOwn(configuration.classes, route.class))
@@ -338,7 +339,7 @@
   if (shares > 1000) faults.push({ path: '/classes', fault: `shares add up to ${shares} per mille, more than 1000` });
   const owners = new Map<string, string>();
   for (const [tenantName, tenant] of Object.entries(configuration.tenants)) {
-    const path = `/tenants/${Documents.escape(tenantName)}`;
+    const path = `/tenants/${JsonDocuments.escape(tenantName)}`;
     if ((tenant.class ?? '') !== '' && !Object.hasOwn(configuration.classes, tenant.class ?? ''))
       faults.push({ path: `${path}/class`, fault: 'names no class' });
     for (const [index, key] of tenant.keys.entries()) {
@@ -390,9 +391,9 @@
 const serviceFields = (item: unknown): Fields => (isObject(item) && item['kind'] === 'app' ? appFields : poolFields);
 
 /** Validation of the documents that operators send: the configuration, the engine list and the control node members. */
-export const Blueprints = {
+export const DocumentValidation = {
   /** Checks a parsed configuration: all fields first, then the references between its entries. */
-  check: (value: unknown): Checked<Blueprint> => {
+  check: (value: unknown): ValidationResult<Configuration> => {
     const faults: Fault[] = [];
     const top = only(value, ['classes', 'tenants', 'services', 'mappings'], faults, ['stores', 'limits', 'keyed']);
     const has = (field: string): boolean => Object.hasOwn(top, field);
@@ -408,11 +409,11 @@
       ...(has('keyed') ? { keyed: top['keyed'] } : {}),
     };
     // References are checked only when all fields are valid; checking them between invalid entries would report faults that don't exist.
-    if (faults.length === 0) checkReferences(taken as unknown as Blueprint, faults);
+    if (faults.length === 0) checkReferences(taken as unknown as Configuration, faults);
     return outcome(faults, taken);
   },
   /** Checks the formats and references of a configuration that was translated from another format, without copying it. */
-  checkTranslated: (configuration: Blueprint): Checked<Blueprint> => {
+  checkTranslated: (configuration: Configuration): ValidationResult<Configuration> => {
     const faults: Fault[] = [];
     const each = (
       pieces: Readonly<Record<string, unknown>>,
@@ -420,10 +421,10 @@
       fieldsOf: (item: unknown) => Fields,
     ): void => {
       const entries = Object.entries(pieces);
-      if (entries.length > BlueprintLimits.named)
-        faults.push({ path, fault: `at most ${BlueprintLimits.named} pieces` });
+      if (entries.length > ConfigurationLimits.maxEntries)
+        faults.push({ path, fault: `at most ${ConfigurationLimits.maxEntries} pieces` });
       for (const [entryName, entry] of entries)
-        formatFaults(entry, fieldsOf(entry), `${path}/${Documents.escape(entryName)}`, faults);
+        formatFaults(entry, fieldsOf(entry), `${path}/${JsonDocuments.escape(entryName)}`, faults);
     };
     each(configuration.classes, '/classes', () => classFields);
     each(configuration.tenants, '/tenants', () => translatedTenantFields);
@@ -435,7 +436,7 @@
     return outcome(faults, configuration);
   },
   /** Checks the engine list; no two engines may have the same address. */
-  checkEngines: (value: unknown): Checked<EngineList> => {
+  checkEngines: (value: unknown): ValidationResult<EngineList> => {
     const faults: Fault[] = [];
     const top = only(value, ['engines'], faults);
     const engines = checkNamed(top['engines'], '/engines', faults, engineFieldsOf);
@@ -449,7 +450,7 @@
     return outcome(faults, { engines });
   },
   /** Checks the control node members; at least one is required. */
-  checkMembers: (value: unknown): Checked<CoreMembers> => {
+  checkMembers: (value: unknown): ValidationResult<ControlNodeMembers> => {
     const faults: Fault[] = [];
     const top = only(value, ['members'], faults);
     const members = checkNamed(top['members'], '/members', faults, () => memberFields);
@@ -457,7 +458,7 @@
     return outcome(faults, { members });
   },
   /** Parses the text that an operator sent for a key strictly, and checks a copy of the value. */
-  checkText: (key: DocumentKey, source: string): Checked<Blueprint | EngineList | CoreMembers> => {
+  checkText: (key: DocumentKey, source: string): ValidationResult<Configuration | EngineList | ControlNodeMembers> => {
     // Results are cached because one process receives the same text as a change, as a log entry and as a document body.
     const known = cachedResults.find((item) => item.key === key && item.source === source);
     if (known !== undefined) return known.checked;
@@ -470,15 +471,20 @@
 type CachedResult = Readonly<{
   key: DocumentKey;
   source: string;
-  checked: Checked<Blueprint | EngineList | CoreMembers>;
+  checked: ValidationResult<Configuration | EngineList | ControlNodeMembers>;
 }>;
 let cachedResults: readonly CachedResult[] = [];
 
-const checkTextUncached = (key: DocumentKey, source: string): Checked<Blueprint | EngineList | CoreMembers> => {
-  if (Buffer.byteLength(source) > BlueprintLimits.textBytes)
-    return { kind: 'faulty', faults: [{ path: '', fault: `longer than ${BlueprintLimits.textBytes} bytes` }] };
-  const document = Documents.read(source);
+const checkTextUncached = (
+  key: DocumentKey,
+  source: string,
+): ValidationResult<Configuration | EngineList | ControlNodeMembers> => {
+  if (Buffer.byteLength(source) > ConfigurationLimits.maxTextBytes)
+    return { kind: 'faulty', faults: [{ path: '', fault: `longer than ${ConfigurationLimits.maxTextBytes} bytes` }] };
+  const document = JsonDocuments.read(source);
   if (document.kind === 'faulty') return document;
-  if (key === 'blueprint') return Blueprints.check(document.value);
-  return key === 'engines' ? Blueprints.checkEngines(document.value) : Blueprints.checkMembers(document.value);
+  if (key === 'blueprint') return DocumentValidation.check(document.value);
+  return key === 'engines'
+    ? DocumentValidation.checkEngines(document.value)
+    : DocumentValidation.checkMembers(document.value);
 };
--- a/source/shared/demand/copyPlaces.ts
+++ b/source/shared/demand/copyPlacement.ts
@@ -1,7 +1,7 @@
 import { Rendezvous } from '../rendezvous/rendezvous';
-import type { Wanted } from './prefixDemand';
+import type { RankedPrefix } from './prefixDemand';
 
-export type CopyPlacesSettings = Readonly<{
+export type CopyPlacementSettings = Readonly<{
   /** Number of copies of a prefix relative to its share of the demand; 1000 is the number of a proportional spread. */
   copiesPerMille: number;
   mostCopies: number;
@@ -12,26 +12,26 @@
  * prefixes in highest demand choose first, and an engine that already has its share is skipped, so that popular prefixes
  * don't pile up on one engine. Every process with the same demand and engine list computes the same placement.
  */
-export const CopyPlaces = {
-  copies: (sharePerMille: number, engines: number, { copiesPerMille, mostCopies }: CopyPlacesSettings): number =>
+export const CopyPlacement = {
+  copyCount: (sharePerMille: number, engines: number, { copiesPerMille, mostCopies }: CopyPlacementSettings): number =>
     Math.max(1, Math.min(mostCopies, engines, Math.ceil((sharePerMille * engines * copiesPerMille) / 1_000_000))),
 
   /** The placement of a prefix that is not among those in highest demand. */
-  usual: (prefix: string, engines: readonly string[]): readonly string[] => {
+  defaultPlacement: (prefix: string, engines: readonly string[]): readonly string[] => {
     const first = Rendezvous.first(prefix, engines);
     return first === undefined ? [] : [first];
   },
 
   /** `weigh` lets a caller that assigns repeatedly cache the weights, which never change. */
   assign: (
-    wanted: readonly Wanted[],
+    wanted: readonly RankedPrefix[],
     engines: readonly string[],
-    settings: CopyPlacesSettings,
+    settings: CopyPlacementSettings,
     weigh: (prefix: string, engine: string) => number = Rendezvous.weight,
   ): ReadonlyMap<string, readonly string[]> => {
     const placement = new Map<string, readonly string[]>();
     if (engines.length === 0) return placement;
-    const counts = wanted.map(({ sharePerMille }) => CopyPlaces.copies(sharePerMille, engines.length, settings));
+    const counts = wanted.map(({ sharePerMille }) => CopyPlacement.copyCount(sharePerMille, engines.length, settings));
     const most = Math.ceil(counts.reduce((sum, count) => sum + count, 0) / engines.length);
     const taken = new Map<string, number>();
     wanted.forEach(({ name }, index) => {
--- a/source/shared/demand/heavyHitters.ts
+++ b/source/shared/demand/heavyHitters.ts
@@ -1,7 +1,7 @@
 type Counter = { count: number; error: number; lastMicroseconds: number };
 
 /** A frequent name with its decayed count. */
-export type Hitter = Readonly<{ name: string; count: number }>;
+export type HeavyHitter = Readonly<{ name: string; count: number }>;
 
 /** Counts are stored relative to a landmark time; when the decay factor exceeds this, all are rescaled together. */
 const maxGrowth = 2 ** 40;
@@ -22,7 +22,7 @@
     private readonly halfLifeMicroseconds: number,
   ) {}
 
-  public saw(name: string, now: number): void {
+  public record(name: string, now: number): void {
     const weight = this.growth(now);
     this.sum += weight;
     const known = this.counters.get(name);
@@ -43,7 +43,7 @@
   }
 
   /** The most frequent names, ordered by the lower bounds of their counts. */
-  public top(most: number, now: number): readonly Hitter[] {
+  public top(most: number, now: number): readonly HeavyHitter[] {
     const growth = this.growth(now);
     return (
       [...this.counters]
--- a/source/shared/demand/prefixDemand.ts
+++ b/source/shared/demand/prefixDemand.ts
@@ -1,5 +1,5 @@
 /** The demand at one proxy: its most requested prefixes with rounded counts, and the number of requests it counted. */
-export type DemandFact = Readonly<{
+export type DemandEntry = Readonly<{
   agent: string;
   /** Decayed count of requests with shared prefixes. */
   total: number;
@@ -7,13 +7,13 @@
 }>;
 
 /** A requested prefix with its share of the demand on the whole fleet. */
-export type Wanted = Readonly<{ name: string; count: number; sharePerMille: number }>;
+export type RankedPrefix = Readonly<{ name: string; count: number; sharePerMille: number }>;
 
 export const DemandLimits = {
   /** Prefixes in one gossip entry, and in the ranking of the fleet. */
-  perFact: 32,
-  ranked: 128,
-  nameLength: 32,
+  maxPrefixesPerEntry: 32,
+  maxRankedPrefixes: 128,
+  maxNameLength: 32,
 } as const;
 
 const isCount = (value: unknown): value is number =>
@@ -21,29 +21,29 @@
 
 /** Ranks the prefixes by demand on the whole fleet. Every process with the same entries computes the same ranking. */
 export const PrefixDemand = {
-  isFact: (value: unknown): value is DemandFact => {
-    const fact = value as Partial<DemandFact> | null;
+  isEntry: (value: unknown): value is DemandEntry => {
+    const fact = value as Partial<DemandEntry> | null;
     return (
       typeof fact === 'object' &&
       fact !== null &&
       typeof fact.agent === 'string' &&
       isCount(fact.total) &&
       Array.isArray(fact.prefixes) &&
-      fact.prefixes.length <= DemandLimits.perFact &&
+      fact.prefixes.length <= DemandLimits.maxPrefixesPerEntry &&
       fact.prefixes.every(
         (entry: unknown) =>
           Array.isArray(entry) &&
           entry.length === 2 &&
           typeof entry[0] === 'string' &&
           entry[0].length > 0 &&
-          entry[0].length <= DemandLimits.nameLength &&
+          entry[0].length <= DemandLimits.maxNameLength &&
           isCount(entry[1]),
       )
     );
   },
 
   /** Sums the reported counts independently of their order; highest demand first, ties by name. */
-  ranked: (facts: readonly DemandFact[]): readonly Wanted[] => {
+  rank: (facts: readonly DemandEntry[]): readonly RankedPrefix[] => {
     const counts = new Map<string, number>();
     let total = 0;
     for (const { total: own, prefixes } of facts) {
@@ -53,7 +53,7 @@
     return [...counts]
       .filter(([, count]) => count > 0)
       .sort(([left, leftCount], [right, rightCount]) => rightCount - leftCount || (left < right ? -1 : 1))
-      .slice(0, DemandLimits.ranked)
+      .slice(0, DemandLimits.maxRankedPrefixes)
       .map(([name, count]) => ({
         name,
         count,
--- a/source/shared/directory/fills.ts
+++ b/source/shared/directory/fills.ts
@@ -2,17 +2,21 @@
  * Outcome of a fill. Fills are deduplicated: an engine has one open fill per set of keys. A later request for the same keys joins it
  * without another charge and learns its outcome.
  */
-export type FillNotice = 'pending' | 'finished' | 'failed' | 'fenced';
+export type FillStatus = 'pending' | 'finished' | 'failed' | 'fenced';
 
 export type Fill = Readonly<{
   name: string;
   epoch: number;
   keys: readonly string[];
   charge: number;
-  joiners: number;
-  notice: FillNotice;
+  joinCount: number;
+  notice: FillStatus;
+}>;
+export type Fills = Readonly<{
+  open: Readonly<Record<string, Fill>>;
+  chargedBlocks: number;
+  closedFills: readonly Fill[];
 }>;
-export type Fills = Readonly<{ open: Readonly<Record<string, Fill>>; charged: number; over: readonly Fill[] }>;
 
 export type FillEvent =
   | Readonly<{ kind: 'begin'; name: string; epoch: number; keys: readonly string[] }>
@@ -23,23 +27,23 @@
 /** Closed fills whose outcome is remembered. */
 const maxClosedFills = 256;
 
-const closeFill = (fills: Fills, fill: Fill, notice: FillNotice): Fills => {
+const closeFill = (fills: Fills, fill: Fill, notice: FillStatus): Fills => {
   const open = Object.fromEntries(Object.entries(fills.open).filter(([name]) => name !== fill.name));
   return {
     open,
-    charged: fills.charged - fill.charge,
-    over: [...fills.over, { ...fill, notice }].slice(-maxClosedFills),
+    chargedBlocks: fills.chargedBlocks - fill.charge,
+    closedFills: [...fills.closedFills, { ...fill, notice }].slice(-maxClosedFills),
   };
 };
 
 export const FillTables = {
-  empty: { open: {}, charged: 0, over: [] } as Fills,
+  empty: { open: {}, chargedBlocks: 0, closedFills: [] } as Fills,
 
-  forKey: (fills: Fills, key: string): Fill | undefined =>
+  findByKey: (fills: Fills, key: string): Fill | undefined =>
     Object.values(fills.open).find((fill) => fill.keys.includes(key)),
 
-  notice: (fills: Fills, name: string): FillNotice =>
-    fills.open[name]?.notice ?? fills.over.find((fill) => fill.name === name)?.notice ?? 'fenced',
+  notice: (fills: Fills, name: string): FillStatus =>
+    fills.open[name]?.notice ?? fills.closedFills.find((fill) => fill.name === name)?.notice ?? 'fenced',
 
   reduce: (fills: Fills, event: FillEvent): Fills => {
     switch (event.kind) {
@@ -53,18 +57,18 @@
               epoch: event.epoch,
               keys: event.keys,
               charge: event.keys.length,
-              joiners: 0,
+              joinCount: 0,
               notice: 'pending',
             },
           },
-          charged: fills.charged + event.keys.length,
+          chargedBlocks: fills.chargedBlocks + event.keys.length,
         };
       case 'join': {
         const fill = fills.open[event.name];
         // Joining adds no charge because the blocks are the same.
         return fill === undefined
           ? fills
-          : { ...fills, open: { ...fills.open, [event.name]: { ...fill, joiners: fill.joiners + 1 } } };
+          : { ...fills, open: { ...fills.open, [event.name]: { ...fill, joinCount: fill.joinCount + 1 } } };
       }
       case 'end': {
         const fill = fills.open[event.name];
--- a/source/shared/directory/hashChain.ts
+++ b/source/shared/directory/hashChain.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import type { Pool } from '../blueprint/types';
+import type { Pool } from '../configuration/types';
 import { Identities } from './identity';
 
 export type BlockKey = Readonly<{ physical: string; logical: string }>;
@@ -45,7 +45,7 @@
    * Adds the names under which a fill stores its blocks. Each fill uses new names because a request that reaches another boot or other
    * weights than intended leaves wrong bytes behind, and no later request may find these by name.
    */
-  named: (keys: readonly BlockKey[], fill: string): readonly NamedKey[] =>
+  withFillNames: (keys: readonly BlockKey[], fill: string): readonly NamedKey[] =>
     keys.map((key) => ({
       ...key,
       name: createHash('sha256').update(key.physical).update('\u0000').update(fill).digest('hex').slice(0, 32),
--- a/source/shared/directory/holders.ts
+++ b/source/shared/directory/holders.ts
@@ -1,11 +1,11 @@
-import type { Blueprint, Engine, EngineList } from '../blueprint/types';
+import type { Configuration, Engine, EngineList } from '../configuration/types';
 
 export const Holders = {
   /**
    * All holders of cached prompt parts: the listed engines and stores, and the stores in the configuration. Apps hold
    * none. A listed holder takes precedence over a configured store of the same name.
    */
-  of: (engines: EngineList | undefined, blueprint: Blueprint | undefined): Readonly<Record<string, Engine>> => ({
+  of: (engines: EngineList | undefined, blueprint: Configuration | undefined): Readonly<Record<string, Engine>> => ({
     ...Object.fromEntries(
       Object.entries(blueprint?.stores ?? {}).map(([name, { address, zone }]): [string, Engine] => [
         name,
--- a/source/shared/directory/identity.ts
+++ b/source/shared/directory/identity.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import type { Pool } from '../blueprint/types';
+import type { Pool } from '../configuration/types';
 
 /** Identity of a cached block, version 1: who owns the bytes and what produced them. The prompt itself is not a field, only its hash. */
 export type CacheIdentity = Readonly<{
--- a/source/shared/directory/lookup.ts
+++ b/source/shared/directory/lookup.ts
@@ -1,29 +1,33 @@
 import type { BlockKey } from './hashChain';
-import type { ShardBook } from './shardBook';
+import type { ShardCatalog } from './shardCatalog';
 
 export type MissReason = 'noBlocks' | 'absent' | 'incompatible' | 'otherBoot';
 
 /** A holder that keeps the first `matched` blocks of a chain. */
-export type Found = Readonly<{ holder: string; matched: number; bootEpoch: string; epoch: number }>;
+export type PrefixMatch = Readonly<{ holder: string; matched: number; bootEpoch: string; epoch: number }>;
 
-export type LookUp =
-  | Readonly<{ kind: 'hit'; found: readonly Found[] }>
-  | Readonly<{ kind: 'prefixHit'; found: readonly Found[] }>
+export type LookupResult =
+  | Readonly<{ kind: 'hit'; found: readonly PrefixMatch[] }>
+  | Readonly<{ kind: 'prefixHit'; found: readonly PrefixMatch[] }>
   | Readonly<{ kind: 'miss'; reason: MissReason }>;
 
-export const LookUps = {
+export const Lookups = {
   /**
    * Finds how many leading blocks of the chain each holder keeps. Only committed blocks of the current boot and the same identity count.
    */
-  find: (shards: ShardBook, keys: readonly BlockKey[], bootEpochOf: (holder: string) => string | undefined): LookUp => {
+  find: (
+    shards: ShardCatalog,
+    keys: readonly BlockKey[],
+    bootEpochOf: (holder: string) => string | undefined,
+  ): LookupResult => {
     if (keys.length === 0) return { kind: 'miss', reason: 'noBlocks' };
     const physicals = keys.map(({ physical }) => physical);
     let incompatible = false;
     let otherBoot = false;
-    const found: Found[] = [];
+    const found: PrefixMatch[] = [];
     for (const shard of shards.all()) {
       const { holder, bootEpoch, epoch } = shard.present;
-      const matched = shard.matched(physicals);
+      const matched = shard.matchedPrefix(physicals);
       if (matched === 0) {
         incompatible ||= keys.some(({ logical }) => shard.holdsLogical(logical));
         continue;
--- a/source/shared/directory/promptParts.ts
+++ b/source/shared/directory/promptParts.ts
@@ -1,4 +1,4 @@
-import type { Pool } from '../blueprint/types';
+import type { Pool } from '../configuration/types';
 import type { NamedKey } from './hashChain';
 import { Identities } from './identity';
 
--- a/source/shared/directory/shardBook.ts
+++ b/source/shared/directory/shardCatalog.ts
@@ -1,22 +1,22 @@
-import { ShardMarks, ShardNews, type ShardChange, type ShardMark } from './shardNews';
+import { ShardPositions, ShardIndex, type ShardChange, type ShardPosition } from './shardIndex';
 
 /** Position of each known shard, by holder. */
-export type ShardMarkBook = Readonly<Record<string, ShardMark>>;
+export type ShardPositionsByHolder = Readonly<Record<string, ShardPosition>>;
 
 /** One daemon's copies of the block indexes of all holders. */
-export class ShardBook {
-  private readonly shards = new Map<string, ShardNews>();
+export class ShardCatalog {
+  private readonly shards = new Map<string, ShardIndex>();
 
-  public get(holder: string): ShardNews | undefined {
+  public get(holder: string): ShardIndex | undefined {
     return this.shards.get(holder);
   }
 
   /** The engine controller registers its own authoritative index here. */
-  public set(holder: string, shard: ShardNews): void {
+  public set(holder: string, shard: ShardIndex): void {
     this.shards.set(holder, shard);
   }
 
-  public all(): readonly ShardNews[] {
+  public all(): readonly ShardIndex[] {
     return [...this.shards.values()];
   }
 
@@ -31,30 +31,30 @@
     for (const holder of this.shards.keys()) if (!kept.has(holder)) this.shards.delete(holder);
   }
 
-  public marks(): ShardMarkBook {
-    return Object.fromEntries([...this.shards].map(([holder, shard]) => [holder, ShardMarks.of(shard.present)]));
+  public marks(): ShardPositionsByHolder {
+    return Object.fromEntries([...this.shards].map(([holder, shard]) => [holder, ShardPositions.of(shard.present)]));
   }
 
   /** Own positions of the shards of which the peer has a later one. */
-  public marksBehind(peerMarks: ShardMarkBook): ShardMarkBook {
-    const unknownShard: ShardMark = [-1, 0, 0];
+  public positionsBehind(peerMarks: ShardPositionsByHolder): ShardPositionsByHolder {
+    const unknownShard: ShardPosition = [-1, 0, 0];
     return Object.fromEntries(
-      Object.entries(peerMarks).flatMap(([holder, mark]): readonly (readonly [string, ShardMark])[] => {
+      Object.entries(peerMarks).flatMap(([holder, mark]): readonly (readonly [string, ShardPosition])[] => {
         const shard = this.shards.get(holder);
-        const own = shard === undefined ? unknownShard : ShardMarks.of(shard.present);
-        return ShardMarks.compare(own, mark) < 0 ? [[holder, own]] : [];
+        const own = shard === undefined ? unknownShard : ShardPositions.of(shard.present);
+        return ShardPositions.compare(own, mark) < 0 ? [[holder, own]] : [];
       }),
     );
   }
 
   /** Like `since`, limited to the shards in `marks`. */
-  public sinceOf(marks: ShardMarkBook, maxEntries: number): readonly ShardChange[] {
-    return this.since(marks, maxEntries, Object.keys(marks));
+  public changesSinceOf(marks: ShardPositionsByHolder, maxEntries: number): readonly ShardChange[] {
+    return this.changesSince(marks, maxEntries, Object.keys(marks));
   }
 
   /** Changes that a peer at these positions lacks, about `maxEntries` entries at most. */
-  public since(
-    marks: ShardMarkBook,
+  public changesSince(
+    marks: ShardPositionsByHolder,
     maxEntries: number,
     holders: Iterable<string> = this.shards.keys(),
   ): readonly ShardChange[] {
@@ -65,7 +65,7 @@
       if (shard === undefined) continue;
       // What does not fit is sent when the peer asks again with its next positions.
       if (remaining <= 0) break;
-      const change = shard.since(marks[holder], remaining);
+      const change = shard.changesSince(marks[holder], remaining);
       if (change === undefined) continue;
       remaining -= change.put.length + change.gone.length;
       changes.push(change);
@@ -79,7 +79,7 @@
     let shard = this.shards.get(head.holder);
     if (shard === undefined) {
       if (change.from !== null) return false;
-      shard = new ShardNews({ ...head, version: -1 });
+      shard = new ShardIndex({ ...head, version: -1 });
       this.shards.set(head.holder, shard);
     }
     return shard.apply(change);
--- a/source/shared/directory/shardChangeCodec.ts
+++ b/source/shared/directory/shardChangeCodec.ts
@@ -4,7 +4,7 @@
  */
 import type { NamedKey } from './hashChain';
 import { PromptParts } from './promptParts';
-import type { ShardChange, ShardHead } from './shardNews';
+import type { ShardChange, ShardHead } from './shardIndex';
 
 /** Identifiers of parts under one salt, each followed by its size in tokens. */
 type SizedParts = readonly (string | number)[];
--- a/source/shared/directory/shardDirectory.ts
+++ b/source/shared/directory/shardDirectory.ts
@@ -1,12 +1,12 @@
 import type { KvEvents, KvList } from '../back-end/protocol';
-import { DerivedNames } from './derivedNames';
+import { DerivedNameIndex } from './derivedNameIndex';
 import { BlockStates, type BlockEvent, type BlockState } from './blockState';
-import { FillTables, type FillNotice, type Fills } from './fills';
+import { FillTables, type FillStatus, type Fills } from './fills';
 import type { NamedKey } from './hashChain';
-import { ShardNews } from './shardNews';
+import { ShardIndex } from './shardIndex';
 
 /** Report of a daemon on a fill that it requested. */
-export type DirectoryNote =
+export type FillReport =
   | Readonly<{
       kind: 'register';
       holder: string;
@@ -18,9 +18,9 @@
   | Readonly<{ kind: 'attest'; holder: string; fill: string; bootEpoch: string; weights: string }>
   | Readonly<{ kind: 'abandon' | 'notSent'; holder: string; fill: string }>;
 
-export type GrantAnswer =
+export type FillGrantAnswer =
   | Readonly<{ kind: 'granted'; fill: string; epoch: number }>
-  | Readonly<{ kind: 'joined'; fill: string; notice: FillNotice }>
+  | Readonly<{ kind: 'joined'; fill: string; notice: FillStatus }>
   | Readonly<{ kind: 'refused'; reason: 'otherEpoch' | 'quarantined' | 'limit' | 'notSteward' }>;
 
 type Block = Readonly<{ state: BlockState; key: NamedKey }>;
@@ -29,18 +29,23 @@
   blocks: number;
   chargedBlocks: number;
   quarantinedBlocks: number;
-  unclaimed: number;
+  maxUnclaimedNames: number;
   /** Smallest part that is published to the fleet, where holders report sizes. */
   leastSize?: number;
 }>;
 
 export const ShardLimits = {
-  usual: { blocks: 100_000, chargedBlocks: 512, quarantinedBlocks: 1024, unclaimed: 8192 } satisfies ShardLimits,
+  usual: {
+    blocks: 100_000,
+    chargedBlocks: 512,
+    quarantinedBlocks: 1024,
+    maxUnclaimedNames: 8192,
+  } satisfies ShardLimits,
 } as const;
 
 /** The engine controller's authoritative index of one holder: which blocks it keeps, which fills write them, and under which epoch. */
 export class ShardDirectory {
-  public readonly news: ShardNews;
+  public readonly index: ShardIndex;
   private readonly blocks = new Map<string, Block>();
   private readonly physicalByName = new Map<string, string>();
   private readonly fillKeys = new Map<string, readonly string[]>();
@@ -50,7 +55,7 @@
   private fills: Fills = FillTables.empty;
   private nextSequence: number | undefined;
   private quarantinedCount = 0;
-  private readonly derived: DerivedNames;
+  private readonly derived: DerivedNameIndex;
 
   public constructor(
     holder: string,
@@ -61,16 +66,16 @@
     /** `oneOff`: each fill registers a new name for a block. `derived`: names are derived from the identity. */
     private readonly names: 'oneOff' | 'derived' = 'oneOff',
   ) {
-    this.news = new ShardNews({ holder, term, epoch: 1, bootEpoch: '', weights: '', version: 0 });
-    this.derived = new DerivedNames(
-      { entries: limits.blocks, leastSize: limits.leastSize ?? 0 },
-      (key) => this.news.put(key),
-      (physical) => this.news.remove(physical),
+    this.index = new ShardIndex({ holder, term, epoch: 1, bootEpoch: '', weights: '', version: 0 });
+    this.derived = new DerivedNameIndex(
+      { maxEntries: limits.blocks, minSize: limits.leastSize ?? 0 },
+      (key) => this.index.put(key),
+      (physical) => this.index.remove(physical),
     );
   }
 
   public get epoch(): number {
-    return this.news.present.epoch;
+    return this.index.present.epoch;
   }
 
   public get quarantined(): number {
@@ -79,7 +84,7 @@
 
   /** Number of blocks charged to fills in flight. */
   public get charged(): number {
-    return this.fills.charged;
+    return this.fills.chargedBlocks;
   }
 
   public get used(): number {
@@ -91,13 +96,13 @@
     return this.nextSequence === undefined ? undefined : this.nextSequence - 1;
   }
 
-  public fillNotice(fill: string): FillNotice {
+  public fillStatus(fill: string): FillStatus {
     return FillTables.notice(this.fills, fill);
   }
 
   /** Takes the holder's boot and weights. On a change of either, raises the epoch, fences fills in flight and drops all entries. */
   public observe(bootEpoch: string, weights: string): boolean {
-    const head = this.news.present;
+    const head = this.index.present;
     if (head.bootEpoch === bootEpoch && head.weights === weights) return false;
     if (head.bootEpoch !== bootEpoch) {
       this.nextSequence = undefined;
@@ -107,26 +112,26 @@
     return true;
   }
 
-  public fence(bootEpoch = this.news.present.bootEpoch, weights = this.news.present.weights): void {
+  public fence(bootEpoch = this.index.present.bootEpoch, weights = this.index.present.weights): void {
     const epoch = this.epoch + 1;
     this.fills = FillTables.reduce(this.fills, { kind: 'fence', epoch });
-    this.news.fence({ term: this.news.present.term, epoch, bootEpoch, weights });
+    this.index.fence({ term: this.index.present.term, epoch, bootEpoch, weights });
     for (const physical of [...this.blocks.keys()]) this.applyBlockEvent(physical, { kind: 'reclaimFenced', epoch });
     this.fillKeys.clear();
     this.fillRegisteredAt.clear();
     this.unclaimedNames.clear();
-    this.derived.sayAgain();
+    this.derived.republish();
   }
 
   /** Sets which derived names are published. */
-  public spreadOnly(spread: (name: string) => boolean): void {
-    this.derived.spreadOnly(spread);
+  public publishOnly(spread: (name: string) => boolean): void {
+    this.derived.publishOnly(spread);
   }
 
-  public grant(fill: string, epoch: number, keys: readonly NamedKey[]): GrantAnswer {
+  public grant(fill: string, epoch: number, keys: readonly NamedKey[]): FillGrantAnswer {
     if (epoch !== this.epoch) return { kind: 'refused', reason: 'otherEpoch' };
     const open = keys
-      .map(({ physical }) => FillTables.forKey(this.fills, physical))
+      .map(({ physical }) => FillTables.findByKey(this.fills, physical))
       .find((found) => found !== undefined);
     if (open !== undefined) {
       this.fills = FillTables.reduce(this.fills, { kind: 'join', name: open.name });
@@ -136,7 +141,7 @@
       return { kind: 'refused', reason: 'quarantined' };
     // Quarantined blocks count: their space is not free until the epoch rises or an attestation arrives.
     const full =
-      this.fills.charged + keys.length > this.limits.chargedBlocks ||
+      this.fills.chargedBlocks + keys.length > this.limits.chargedBlocks ||
       this.quarantinedCount + keys.length > this.limits.quarantinedBlocks;
     if (full || this.blocks.size + keys.length > this.limits.blocks) return { kind: 'refused', reason: 'limit' };
     this.fills = FillTables.reduce(this.fills, {
@@ -149,7 +154,7 @@
     return { kind: 'granted', fill, epoch };
   }
 
-  public note(note: DirectoryNote): void {
+  public applyReport(note: FillReport): void {
     if (note.kind === 'register') this.register(note.fill, note.epoch, note.moves, note.keys);
     else if (note.kind === 'attest') this.attest(note.fill, note.bootEpoch, note.weights);
     else this.endFill(note.fill, { kind: note.kind, fill: note.fill }, 'failed');
@@ -160,14 +165,14 @@
    * requested them may have stopped. Time never ends a quarantine: blocks that were being imported become quarantined here, and stay so
    * until a late attestation arrives or the epoch rises.
    */
-  public giveUpFills(before: number): void {
+  public abandonFills(before: number): void {
     for (const [fill, at] of this.fillRegisteredAt)
       if (at < before) this.endFill(fill, { kind: 'abandon', fill }, 'failed');
   }
 
   /** Applies the holder's events. False when events are missing, so that the holder's listing has to be read. */
-  public events(read: KvEvents): boolean {
-    if (read.bootEpoch !== this.news.present.bootEpoch) return false;
+  public applyEvents(read: KvEvents): boolean {
+    if (read.bootEpoch !== this.index.present.bootEpoch) return false;
     if (this.names === 'derived') return this.derivedEvents(read);
     if (this.nextSequence === undefined) return false;
     for (const event of [...read.events].sort((left, right) => left.sequence - right.sequence)) {
@@ -182,10 +187,10 @@
   }
 
   /** Applies the holder's complete listing. */
-  public list(list: KvList): void {
-    if (list.bootEpoch !== this.news.present.bootEpoch) return;
+  public applyListing(list: KvList): void {
+    if (list.bootEpoch !== this.index.present.bootEpoch) return;
     if (this.names === 'derived') {
-      this.derived.list(list);
+      this.derived.applyListing(list);
       this.nextSequence = Math.max(this.nextSequence ?? 0, list.sequence + 1);
       return;
     }
@@ -201,7 +206,7 @@
    * Accepts gaps in the sequence numbers: a few events never arrive, and a full listing for each would cost more than the lost events.
    */
   private derivedEvents(read: KvEvents): boolean {
-    for (const event of read.events) this.derived.event(event);
+    for (const event of read.events) this.derived.applyEvent(event);
     this.nextSequence = read.last + 1;
     return read.lost !== true;
   }
@@ -225,7 +230,7 @@
   }
 
   private attest(fill: string, bootEpoch: string, weights: string): void {
-    const head = this.news.present;
+    const head = this.index.present;
     // An answer under another boot or other weights produced other bytes than those requested.
     const same = bootEpoch === head.bootEpoch && (!this.checksWeights || weights === head.weights);
     if (!same) {
@@ -256,7 +261,7 @@
       this.applyBlockEvent(physical, { kind: 'confirm' });
     // Kept because the event may arrive before the report of the daemon that requested the block. The set is bounded, and a name in it
     // alone is never a cache hit.
-    if (this.unclaimedNames.size < this.limits.unclaimed) this.unclaimedNames.add(name);
+    if (this.unclaimedNames.size < this.limits.maxUnclaimedNames) this.unclaimedNames.add(name);
   }
 
   private evicted(name: string): void {
@@ -279,7 +284,7 @@
       this.blocks.delete(physical);
       this.physicalByName.delete(block.key.name);
     }
-    if (BlockStates.isReadable(state)) this.news.put(block.key);
-    else this.news.remove(physical);
+    if (BlockStates.isReadable(state)) this.index.put(block.key);
+    else this.index.remove(physical);
   }
 }
--- a/source/shared/directory/shardNews.ts
+++ b/source/shared/directory/shardIndex.ts
@@ -12,7 +12,7 @@
   framedAt?: number;
 }>;
 /** Position of a daemon's copy in the changes of an index; `framedAt` as in the head. */
-export type ShardMark = readonly [term: number, epoch: number, version: number, framedAt?: number];
+export type ShardPosition = readonly [term: number, epoch: number, version: number, framedAt?: number];
 
 export type ShardChange = Readonly<{
   head: ShardHead;
@@ -28,12 +28,12 @@
 /** Changes kept for peers that lag behind. */
 const maxLogEntries = 4096;
 
-const compareMarks = (left: ShardMark, right: ShardMark): number =>
+const compareMarks = (left: ShardPosition, right: ShardPosition): number =>
   left[0] - right[0] || left[1] - right[1] || left[2] - right[2];
 
-export const ShardMarks = {
+export const ShardPositions = {
   compare: compareMarks,
-  of: ({ term, epoch, version, framedAt }: ShardHead): ShardMark =>
+  of: ({ term, epoch, version, framedAt }: ShardHead): ShardPosition =>
     framedAt === undefined ? [term, epoch, version] : [term, epoch, version, framedAt],
 } as const;
 
@@ -42,12 +42,16 @@
  * long passed.
  */
 const isAhead = (next: ShardHead, present: ShardHead): boolean => {
-  const targetMark = ({ term, epoch, version, framedAt }: ShardHead): ShardMark => [term, epoch, framedAt ?? version];
+  const targetMark = ({ term, epoch, version, framedAt }: ShardHead): ShardPosition => [
+    term,
+    epoch,
+    framedAt ?? version,
+  ];
   return (compareMarks(targetMark(next), targetMark(present)) || next.version - present.version) > 0;
 };
 
 /** Replicated index of one holder's committed blocks, with a log of recent changes for peers. */
-export class ShardNews {
+export class ShardIndex {
   private readonly committed = new Map<string, NamedKey>();
   private readonly logicalKeyCounts = new Map<string, number>();
   /** The version at which each block was added. Like `committed`, in the order of these versions. */
@@ -82,11 +86,13 @@
 
   /** Names of the leading blocks of a chain that are kept without a gap. */
   public names(physicals: readonly string[]): readonly string[] {
-    return physicals.slice(0, this.matched(physicals)).flatMap((physical) => this.committed.get(physical)?.name ?? []);
+    return physicals
+      .slice(0, this.matchedPrefix(physicals))
+      .flatMap((physical) => this.committed.get(physical)?.name ?? []);
   }
 
   /** Number of leading blocks of a chain that this holder keeps without a gap. */
-  public matched(physicals: readonly string[]): number {
+  public matchedPrefix(physicals: readonly string[]): number {
     const miss = physicals.findIndex((physical) => !this.committed.has(physical));
     return miss === -1 ? physicals.length : miss;
   }
@@ -120,7 +126,7 @@
    * The changes that a peer at this position lacks, about `maxBlocks` blocks of them; the rest follows when the peer asks again.
    * Undefined when the peer lacks nothing or when this copy is itself an incomplete snapshot.
    */
-  public since(mark: ShardMark | undefined, maxBlocks = Infinity): ShardChange | undefined {
+  public changesSince(mark: ShardPosition | undefined, maxBlocks = Infinity): ShardChange | undefined {
     const { term, epoch, version, framedAt } = this.head;
     if (framedAt !== undefined || (mark !== undefined && compareMarks(mark, [term, epoch, version]) >= 0))
       return undefined;
--- a/source/shared/effects/clock/clock.ts
+++ b/source/shared/effects/clock/clock.ts
@@ -30,7 +30,7 @@
     }),
 
   /** Resolves with undefined if the limit passes first; the work itself is not cancelled. */
-  within: async <Result>(
+  withTimeout: async <Result>(
     clock: Clock,
     limitMicroseconds: number,
     work: Promise<Result>,
--- a/source/shared/effects/clock/realClock.ts
+++ b/source/shared/effects/clock/realClock.ts
@@ -10,7 +10,9 @@
     return Math.floor(os.uptime() * 1_000_000);
   } catch (error) {
     if (!hasLoggedFailure)
-      Logs.part('clock:notice')(`The boot clock cannot be read; suspension is not counted: ${Logs.text(error)}.`);
+      Logs.channel('clock:notice')(
+        `The boot clock cannot be read; suspension is not counted: ${Logs.errorMessage(error)}.`,
+      );
     hasLoggedFailure = true;
     return undefined;
   }
--- a/source/shared/effects/clock/ticker.ts
+++ b/source/shared/effects/clock/ticker.ts
@@ -9,7 +9,7 @@
     private readonly clock: Clock,
     private readonly pauseMicroseconds: () => number,
     private readonly work: () => Promise<void>,
-    private readonly failed: (error: unknown) => void,
+    private readonly onError: (error: unknown) => void,
   ) {}
 
   public start(delayMicroseconds = 0): this {
@@ -27,7 +27,7 @@
     try {
       await this.work();
     } catch (error) {
-      this.failed(error);
+      this.onError(error);
     }
     // `stop` may have been called while the task ran.
     if (!this.stopped) this.cancel = this.clock.after(this.pauseMicroseconds(), () => void this.runOnce());
--- a/source/shared/effects/random/random.ts
+++ b/source/shared/effects/random/random.ts
@@ -49,7 +49,7 @@
 
 export const Randoms = {
   below: (random: Random, limit: number): number => Math.floor(random.fraction() * limit),
-  pick: <Item>(random: Random, items: readonly Item[]): Item | undefined =>
+  pickOne: <Item>(random: Random, items: readonly Item[]): Item | undefined =>
     items[Math.floor(random.fraction() * items.length)],
   shuffled: <Item>(random: Random, items: readonly Item[]): readonly Item[] =>
     items
--- a/source/shared/effects/transport/framing.ts
+++ b/source/shared/effects/transport/framing.ts
@@ -13,10 +13,10 @@
  * body.
  */
 export const Framing = {
-  split: (kind: FrameKind, number: number, bytes: Buffer): readonly Buffer[] => {
-    const count = Math.max(1, Math.ceil(bytes.length / TransportLimits.partBytes));
+  encode: (kind: FrameKind, number: number, bytes: Buffer): readonly Buffer[] => {
+    const count = Math.max(1, Math.ceil(bytes.length / TransportLimits.frameBytes));
     return Array.from({ length: count }, (_, index) => {
-      const body = bytes.subarray(index * TransportLimits.partBytes, (index + 1) * TransportLimits.partBytes);
+      const body = bytes.subarray(index * TransportLimits.frameBytes, (index + 1) * TransportLimits.frameBytes);
       const header = Buffer.alloc(headerBytes);
       header.writeUInt32BE(body.length, 0);
       header.writeUInt8((kind === 'answer' ? responseBit : 0) | (index === count - 1 ? lastFrameBit : 0), 4);
@@ -29,7 +29,7 @@
 /** Reassembles messages from frames. It throws if a limit is exceeded; the connection is closed then. */
 export class FrameReader {
   private buffered: Buffer = Buffer.alloc(0);
-  private readonly open = new Map<string, Buffer[]>();
+  private readonly incompleteMessages = new Map<string, Buffer[]>();
   private incompleteBytes = 0;
 
   public read(chunk: Buffer): readonly FramedMessage[] {
@@ -41,7 +41,7 @@
       const flags = this.buffered.readUInt8(4);
       // The length is checked before the body is buffered, so that bytes of an untrusted peer cannot make this process
       // allocate memory.
-      if (length > TransportLimits.partBytes || flags > 3) throw new Error('invalid frame header');
+      if (length > TransportLimits.frameBytes || flags > 3) throw new Error('invalid frame header');
       if (this.buffered.length < headerBytes + length) return messages;
       const number = this.buffered.readUInt32BE(5);
       const body = this.buffered.subarray(headerBytes, headerBytes + length);
@@ -58,15 +58,15 @@
 
   private addFrame(frame: Frame): FramedMessage | undefined {
     const key = `${frame.kind}${frame.number}`;
-    const bodies = this.open.get(key) ?? [];
+    const bodies = this.incompleteMessages.get(key) ?? [];
     this.incompleteBytes += frame.bytes.length;
     if (this.incompleteBytes > TransportLimits.messageBytes) throw new Error('message exceeds the size limit');
     if (!frame.last) {
-      if (this.open.size >= TransportLimits.openAsks) throw new Error('too many incomplete messages');
-      this.open.set(key, [...bodies, Buffer.from(frame.bytes)]);
+      if (this.incompleteMessages.size >= TransportLimits.openRequests) throw new Error('too many incomplete messages');
+      this.incompleteMessages.set(key, [...bodies, Buffer.from(frame.bytes)]);
       return undefined;
     }
-    this.open.delete(key);
+    this.incompleteMessages.delete(key);
     const bytes = Buffer.concat([...bodies, frame.bytes]);
     this.incompleteBytes -= bytes.length;
     return { kind: frame.kind, number: frame.number, bytes };
--- a/source/shared/effects/transport/payloads.ts
+++ b/source/shared/effects/transport/payloads.ts
@@ -15,7 +15,7 @@
 const encode = (message: Message): Buffer => pack(message);
 
 /** Throws on anything that is not a message or exceeds the size limit. */
-const read = (bytes: Buffer): Message => {
+const decode = (bytes: Buffer): Message => {
   const packed =
     bytes[0] === compressedMarker
       ? inflateRawSync(bytes.subarray(1), { maxOutputLength: TransportLimits.messageBytes })
@@ -30,13 +30,13 @@
  * is repetitive text.
  */
 export const Payloads = {
-  ofAsk: (message: Message): Buffer => encode({ ...message, [acceptsCompressedField]: true }),
+  encodeRequest: (message: Message): Buffer => encode({ ...message, [acceptsCompressedField]: true }),
 
-  ofAnswer: (response: Message, request: Message): Buffer => {
+  encodeResponse: (response: Message, request: Message): Buffer => {
     const packed = encode(response);
     if (request[acceptsCompressedField] !== true || packed.length < minCompressedBytes) return packed;
     return Buffer.concat([Buffer.of(compressedMarker), deflateRawSync(packed, { level: compressionLevel })]);
   },
 
-  read,
+  decode: decode,
 } as const;
--- a/source/shared/effects/transport/tcpTransport.ts
+++ b/source/shared/effects/transport/tcpTransport.ts
@@ -2,13 +2,20 @@
 import type { Clock, Cancel } from '../clock/clock';
 import { FrameReader, Framing } from './framing';
 import { Payloads } from './payloads';
-import { TransportLimits, type Answer, type Handler, type Listener, type Message, type Transport } from './transport';
+import {
+  TransportLimits,
+  type RequestOutcome,
+  type Handler,
+  type Listener,
+  type Message,
+  type Transport,
+} from './transport';
 
-type OpenRequest = Readonly<{ settle: (answer: Answer) => void; cancel: Cancel }>;
+type OpenRequest = Readonly<{ settle: (answer: RequestOutcome) => void; cancel: Cancel }>;
 
 /** Client side of a connection; many requests share it. */
 class ClientConnection {
-  private readonly open = new Map<number, OpenRequest>();
+  private readonly openRequests = new Map<number, OpenRequest>();
   private nextNumber = 1;
   private lastReceivedMicroseconds = -Infinity;
   /** When the first request was sent since which nothing has been received; undefined: there is none. */
@@ -28,7 +35,7 @@
       this.lastReceivedMicroseconds = this.clock.nowMicroseconds();
       this.silentSince = undefined;
       try {
-        for (const response of reader.read(chunk)) this.answered(response.number, response.bytes);
+        for (const response of reader.read(chunk)) this.onResponse(response.number, response.bytes);
       } catch {
         this.close('invalid data received');
       }
@@ -37,15 +44,15 @@
     this.socket.on('close', () => this.close('connection closed'));
   }
 
-  public ask(message: Message, limitMicroseconds: number): Promise<Answer> {
-    if (this.open.size >= TransportLimits.openAsks)
+  public sendRequest(message: Message, limitMicroseconds: number): Promise<RequestOutcome> {
+    if (this.openRequests.size >= TransportLimits.openRequests)
       return Promise.resolve({ kind: 'silent', reason: 'too many open requests' });
     return new Promise((resolve) => {
       const number = this.nextNumber;
       this.nextNumber = (this.nextNumber % 0xfffffff0) + 1;
-      const settle = (answer: Answer): void => {
-        this.open.get(number)?.cancel();
-        this.open.delete(number);
+      const settle = (answer: RequestOutcome): void => {
+        this.openRequests.get(number)?.cancel();
+        this.openRequests.delete(number);
         resolve(answer);
       };
       const sentMicroseconds = this.clock.nowMicroseconds();
@@ -54,8 +61,8 @@
         settle({ kind: 'silent', reason: 'request timed out' });
         if (this.lastReceivedMicroseconds < sentMicroseconds) this.closeIfDead();
       });
-      this.open.set(number, { settle, cancel });
-      for (const frame of Framing.split('ask', number, Payloads.ofAsk(message))) this.socket.write(frame);
+      this.openRequests.set(number, { settle, cancel });
+      for (const frame of Framing.encode('ask', number, Payloads.encodeRequest(message))) this.socket.write(frame);
     });
   }
 
@@ -68,7 +75,7 @@
    */
   private closeIfDead(): void {
     const silentMicroseconds = this.silentSince === undefined ? 0 : this.clock.nowMicroseconds() - this.silentSince;
-    if (silentMicroseconds >= TransportLimits.deadMicroseconds) this.close('connection timed out');
+    if (silentMicroseconds >= TransportLimits.deadConnectionMicroseconds) this.close('connection timed out');
   }
 
   public close(reason: string): void {
@@ -76,11 +83,11 @@
     this.closed = true;
     this.onClose();
     this.socket.destroy();
-    for (const { settle } of [...this.open.values()]) settle({ kind: 'silent', reason });
+    for (const { settle } of [...this.openRequests.values()]) settle({ kind: 'silent', reason });
   }
 
-  private answered(number: number, bytes: Buffer): void {
-    this.open.get(number)?.settle({ kind: 'answered', message: Payloads.read(bytes) });
+  private onResponse(number: number, bytes: Buffer): void {
+    this.openRequests.get(number)?.settle({ kind: 'answered', message: Payloads.decode(bytes) });
   }
 }
 
@@ -99,7 +106,7 @@
 
   public constructor(private readonly clock: Clock) {}
 
-  public readonly ask = (address: string, message: Message, limitMicroseconds: number): Promise<Answer> => {
+  public readonly ask = (address: string, message: Message, limitMicroseconds: number): Promise<RequestOutcome> => {
     let connection = this.clientConnections.get(address);
     if (connection === undefined) {
       const created: ClientConnection = new ClientConnection(this.clock, address, () => {
@@ -108,7 +115,7 @@
       connection = created;
       this.clientConnections.set(address, created);
     }
-    return connection.ask(message, limitMicroseconds);
+    return connection.sendRequest(message, limitMicroseconds);
   };
 
   public readonly listen = async (address: string, handler: Handler): Promise<Listener> => {
@@ -162,12 +169,12 @@
     openRequests += 1;
     try {
       // The number of open requests is limited so that one client cannot queue up unlimited work here.
-      if (openRequests > TransportLimits.openAsks) throw new Error('too many open requests');
-      const message = Payloads.read(bytes);
+      if (openRequests > TransportLimits.openRequests) throw new Error('too many open requests');
+      const message = Payloads.decode(bytes);
       const response = await handler(message);
       // Each frame waits until the socket has drained, so that a short response gets through while a long one fills a slow
       // link.
-      for (const frame of Framing.split('answer', number, Payloads.ofAnswer(response, message)))
+      for (const frame of Framing.encode('answer', number, Payloads.encodeResponse(response, message)))
         if (!socket.destroyed && !socket.write(frame)) await waitForDrain(socket);
     } catch {
       socket.destroy();
--- a/source/shared/effects/transport/transport.ts
+++ b/source/shared/effects/transport/transport.ts
@@ -2,7 +2,8 @@
 export type Message = Readonly<{ kind: string }> & Readonly<Record<string, unknown>>;
 
 /** Outcome of a request; `silent`: no response within the limit. */
-export type Answer = Readonly<{ kind: 'answered'; message: Message }> | Readonly<{ kind: 'silent'; reason: string }>;
+export type RequestOutcome =
+  Readonly<{ kind: 'answered'; message: Message }> | Readonly<{ kind: 'silent'; reason: string }>;
 
 export type Handler = (message: Message) => Promise<Message>;
 
@@ -13,18 +14,18 @@
 }
 
 export interface Transport {
-  readonly ask: (address: string, message: Message, limitMicroseconds: number) => Promise<Answer>;
+  readonly ask: (address: string, message: Message, limitMicroseconds: number) => Promise<RequestOutcome>;
   readonly listen: (address: string, handler: Handler) => Promise<Listener>;
   readonly close: () => Promise<void>;
 }
 
 export const TransportLimits = {
   /** A long message is split into frames of this size, so that a short one need not wait for all of it. */
-  partBytes: 64 * 1024,
+  frameBytes: 64 * 1024,
   messageBytes: 8 * 1024 * 1024,
-  openAsks: 1024,
+  openRequests: 1024,
   /** A connection on which requests are sent and nothing is received for this time, in microseconds, is dead. */
-  deadMicroseconds: 350_000,
+  deadConnectionMicroseconds: 350_000,
 } as const;
 
 export const Messages = {
--- a/source/shared/fleet/fleetName.ts
+++ b/source/shared/fleet/fleetName.ts
@@ -22,7 +22,7 @@
    * Returns the fleet that most seeds name; empty if it can't be decided yet. Two seeds must agree, and more than name
    * any other fleet, because a seed address may since have passed to another fleet, which must not decide alone.
    */
-  judge: (answers: readonly string[], seeds: number): string => {
+  majority: (answers: readonly string[], seeds: number): string => {
     const counts = new Map<string, number>();
     for (const name of answers) if (name !== '') counts.set(name, (counts.get(name) ?? 0) + 1);
     const [first, second] = [...counts].sort((left, right) => right[1] - left[1]);
@@ -31,7 +31,7 @@
   },
 
   /** Where no address can belong to another fleet, one answering seed is enough as long as no other contradicts it. */
-  judgeOnly: (answers: readonly string[]): string => {
+  unanimous: (answers: readonly string[]): string => {
     const [first, ...others] = new Set(answers.filter((name) => name !== ''));
     return first !== undefined && others.length === 0 ? first : '';
   },
