--- a/source/shared/fleet/fleetTransport.ts
+++ b/source/shared/fleet/fleetTransport.ts
@@ -1,4 +1,4 @@
-import type { Answer, Handler, Listener, Message, Transport } from '../effects/transport/transport';
+import type { RequestOutcome, Handler, Listener, Message, Transport } from '../effects/transport/transport';
 
 const fleetOf = (message: Message): string => (typeof message['fleet'] === 'string' ? message['fleet'] : '');
 
@@ -13,7 +13,11 @@
     private readonly own: () => string,
   ) {}
 
-  public readonly ask = async (address: string, message: Message, limitMicroseconds: number): Promise<Answer> => {
+  public readonly ask = async (
+    address: string,
+    message: Message,
+    limitMicroseconds: number,
+  ): Promise<RequestOutcome> => {
     const answer = await this.inner.ask(address, { fleet: this.own(), ...message }, limitMicroseconds);
     if (answer.kind === 'silent') return answer;
     return answer.message.kind === 'otherFleet' || this.isOther(answer.message)
--- a/source/shared/pace/answerPace.ts
+++ b/source/shared/flow-control/adaptiveBatchSize.ts
@@ -4,43 +4,55 @@
  */
 
 /** Bounds of the amount requested at a time, and which answers count as fast and slow, as fractions of the time limit of a request. */
-export type PaceBounds = Readonly<{ least: number; first: number; most: number; fastPart: number; slowPart: number }>;
+export type BatchSizeSettings = Readonly<{
+  minAmount: number;
+  initialAmount: number;
+  maxAmount: number;
+  fastFraction: number;
+  slowFraction: number;
+}>;
 
 /** Entries of one kind in one answer. */
-export const entryPace: PaceBounds = { least: 20, first: 100, most: 200, fastPart: 0.2, slowPart: 0.5 };
+export const entryBatchSettings: BatchSizeSettings = {
+  minAmount: 20,
+  initialAmount: 100,
+  maxAmount: 200,
+  fastFraction: 0.2,
+  slowFraction: 0.5,
+};
 
 /** The amount to request next: doubled after a fast answer, halved after a slow one, the minimum after a timeout. */
-export class AnswerPace {
+export class AdaptiveBatchSize {
   private currentAmount: number;
 
-  public constructor(private readonly bounds: PaceBounds = entryPace) {
-    this.currentAmount = bounds.first;
+  public constructor(private readonly bounds: BatchSizeSettings = entryBatchSettings) {
+    this.currentAmount = bounds.initialAmount;
   }
 
   public get amount(): number {
     return this.currentAmount;
   }
 
-  public answered(tookMicroseconds: number, limitMicroseconds: number): void {
-    const { least, most, fastPart, slowPart } = this.bounds;
+  public recordAnswer(tookMicroseconds: number, limitMicroseconds: number): void {
+    const { minAmount: least, maxAmount: most, fastFraction: fastPart, slowFraction: slowPart } = this.bounds;
     if (tookMicroseconds <= limitMicroseconds * fastPart) this.currentAmount = Math.min(most, this.currentAmount * 2);
     else if (tookMicroseconds >= limitMicroseconds * slowPart)
       this.currentAmount = Math.max(least, this.currentAmount / 2);
   }
 
-  public silent(): void {
-    this.currentAmount = this.bounds.least;
+  public recordTimeout(): void {
+    this.currentAmount = this.bounds.minAmount;
   }
 }
 
 /** The adaptive amount of each peer by address. Bounded: the least recently used address is dropped and starts again. */
-export class AnswerPaces {
-  private readonly batchSizes = new Map<string, AnswerPace>();
+export class AdaptiveBatchSizes {
+  private readonly batchSizes = new Map<string, AdaptiveBatchSize>();
 
   public constructor(private readonly maxAddresses = 128) {}
 
-  public of(address: string): AnswerPace {
-    const batchSize = this.batchSizes.get(address) ?? new AnswerPace();
+  public of(address: string): AdaptiveBatchSize {
+    const batchSize = this.batchSizes.get(address) ?? new AdaptiveBatchSize();
     this.batchSizes.delete(address);
     this.batchSizes.set(address, batchSize);
     const [oldest] = this.batchSizes.keys();
--- a/source/shared/freshness/bodies.ts
+++ b/source/shared/freshness/documentBodies.ts
@@ -1,15 +1,15 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import { isDocumentKey, type DocumentKey } from '../blueprint/types';
+import { isDocumentKey, type DocumentKey } from '../configuration/types';
 import { TextDeltas } from './textDelta';
 
 /** One revision of a document, with its text. */
-export type Body = Readonly<{ key: DocumentKey; revision: number; digest: string; text: string }>;
+export type DocumentBody = Readonly<{ key: DocumentKey; revision: number; digest: string; text: string }>;
 /** Long texts are sent compressed, because a daemon behind a slow link must receive a change within a fraction of a second. */
 export type PackedBody = Readonly<{ key: DocumentKey; revision: number; digest: string; packed: Uint8Array }>;
-export type SentBody = Body | PackedBody;
+export type EncodedBody = DocumentBody | PackedBody;
 
 /** A compressed text, or a compressed delta against another text. `base`: digest of that other text; empty for a whole text. */
-export type Shipment = Readonly<{ base: string; packed: Uint8Array }>;
+export type DocumentPayload = Readonly<{ base: string; packed: Uint8Array }>;
 
 /** Size in bytes of the smallest part of a long document, and of the longest compressed document that is sent inside other messages. */
 export const partBytes = 4096;
@@ -37,29 +37,29 @@
 type KeptText = { readonly key: DocumentKey; readonly digest: string; readonly text: string; packed?: Uint8Array };
 const compressedText = (kept: KeptText): Uint8Array => (kept.packed ??= pack(kept.text));
 
-const shorterPayload = (text: KeptText, before: KeptText): Shipment => {
-  const delta = pack(JSON.stringify(TextDeltas.between(before.text, text.text)));
+const shorterPayload = (text: KeptText, before: KeptText): DocumentPayload => {
+  const delta = pack(JSON.stringify(TextDeltas.diff(before.text, text.text)));
   const packed = compressedText(text);
   return delta.length < packed.length ? { base: before.digest, packed: delta } : { base: '', packed };
 };
 
 /** A payload made for a receiver that has the text `before`. The payload may still hold the whole text. */
-type CachedPayload = Readonly<{ digest: string; before: string; shipment: Shipment }>;
+type CachedPayload = Readonly<{ digest: string; before: string; shipment: DocumentPayload }>;
 
 /** Keeps recent texts, so that peers can be sent deltas, and compresses each text once for all receivers. */
-export class BodyPacker {
+export class BodyEncoder {
   private kept: readonly KeptText[] = [];
   private cachedPayloads: readonly CachedPayload[] = [];
 
   /** The body as it is sent: compressed if it is long. */
-  public sent(body: Body): SentBody {
+  public encode(body: DocumentBody): EncodedBody {
     if (body.text.length < minPackedCharacters) return body;
     const { key, revision, digest } = body;
     return { key, revision, digest, packed: compressedText(this.keep(body)) };
   }
 
   /** Keeps an applied text among the recent ones of its key. Short texts are not kept, because they are sent whole. */
-  public keep({ key, digest, text }: Pick<Body, 'key' | 'digest' | 'text'>): KeptText {
+  public keep({ key, digest, text }: Pick<DocumentBody, 'key' | 'digest' | 'text'>): KeptText {
     const found = this.find(digest);
     if (found !== undefined) return found;
     const kept: KeptText = { key, digest, text };
@@ -74,7 +74,7 @@
    * Payload of a recent text for a receiver that has the texts with the digests `bases`, the preferred one first. Undefined when the text
    * is not kept any more.
    */
-  public shipment(digest: string, bases: readonly string[]): Shipment | undefined {
+  public payload(digest: string, bases: readonly string[]): DocumentPayload | undefined {
     const text = this.find(digest);
     if (text === undefined) return undefined;
     const before = bases.includes(digest) ? undefined : this.findFirst(bases);
@@ -87,7 +87,7 @@
   }
 
   /** The kept texts of one key, the latest first. */
-  public texts(key: DocumentKey): readonly Readonly<{ digest: string; text: string }>[] {
+  public recentTexts(key: DocumentKey): readonly Readonly<{ digest: string; text: string }>[] {
     return this.kept.filter((item) => item.key === key);
   }
 
@@ -104,12 +104,12 @@
   }
 }
 
-export const Bodies = {
+export const DocumentBodies = {
   /** Whether a body is short enough to be sent inside other messages. */
-  isShort: (body: SentBody): boolean => 'text' in body || body.packed.length <= partBytes,
+  isShort: (body: EncodedBody): boolean => 'text' in body || body.packed.length <= partBytes,
 
-  is: (value: unknown): value is SentBody => {
-    const body = value as (Partial<Body> & Partial<PackedBody>) | null;
+  is: (value: unknown): value is EncodedBody => {
+    const body = value as (Partial<DocumentBody> & Partial<PackedBody>) | null;
     return (
       typeof body === 'object' &&
       body !== null &&
@@ -121,14 +121,14 @@
   },
 
   /** The text of a body; undefined when it cannot be decompressed. */
-  text: (body: SentBody): string | undefined => ('text' in body ? body.text : unpack(body.packed)),
+  text: (body: EncodedBody): string | undefined => ('text' in body ? body.text : unpack(body.packed)),
 
   /** The text of a payload, given its base text; undefined when the payload is invalid. */
-  shippedText: ({ base, packed }: Shipment, before: string): string | undefined => {
+  decodePayload: ({ base, packed }: DocumentPayload, before: string): string | undefined => {
     const text = unpack(packed);
     if (text === undefined || base === '') return text;
     try {
-      return TextDeltas.applied(before, JSON.parse(text));
+      return TextDeltas.apply(before, JSON.parse(text));
     } catch {
       return undefined;
     }
--- a/source/shared/freshness/bodyParts.ts
+++ b/source/shared/freshness/documentParts.ts
@@ -3,11 +3,11 @@
  * receiver at a time, whatever the length of the document, and parts become smaller where they are slow. Short gossip messages therefore
  * get through, each part arrives within its time limit, and received parts are kept when the sender changes.
  */
-import type { DocumentKey } from '../blueprint/types';
+import type { DocumentKey } from '../configuration/types';
 import type { Clock } from '../effects/clock/clock';
 import type { Message, Transport } from '../effects/transport/transport';
-import { AnswerPace, type PaceBounds } from '../pace/answerPace';
-import { Bodies, partBytes } from './bodies';
+import { AdaptiveBatchSize, type BatchSizeSettings } from '../flow-control/adaptiveBatchSize';
+import { DocumentBodies, partBytes } from './documentBodies';
 import type { Freshness } from './freshness';
 
 /**
@@ -20,16 +20,16 @@
  * Size of one part in bytes, and which parts count as fast and slow. The first part is not the smallest, because where the sender's
  * processor and not its link is busy each part waits as long as the whole document would.
  */
-const partSizeSettings: PaceBounds = {
-  least: partBytes,
-  first: 16 * 1024,
-  most: 64 * 1024,
-  fastPart: 0.075,
-  slowPart: 0.3,
+const partSizeSettings: BatchSizeSettings = {
+  minAmount: partBytes,
+  initialAmount: 16 * 1024,
+  maxAmount: 64 * 1024,
+  fastFraction: 0.075,
+  slowFraction: 0.3,
 };
 
 /** A part of a document's payload, and the length of the whole payload. `base`: digest of the text that the delta applies to. */
-export type BodyPart = Readonly<{
+export type DocumentPart = Readonly<{
   kind: 'bodyPart';
   digest: string;
   base: string;
@@ -42,7 +42,7 @@
 const maxEarlierBases = 8;
 
 const isBodyPart = (message: Message): boolean => {
-  const { kind, digest, base, from, total, bytes } = message as Partial<BodyPart>;
+  const { kind, digest, base, from, total, bytes } = message as Partial<DocumentPart>;
   return (
     kind === 'bodyPart' &&
     typeof digest === 'string' &&
@@ -58,7 +58,7 @@
 
 /** Size of the part that a receiver requests, in bytes. */
 const requestedPartBytes = ({ mostBytes }: Message): number =>
-  typeof mostBytes === 'number' && mostBytes >= 1 ? Math.min(partSizeSettings.most, mostBytes) : partBytes;
+  typeof mostBytes === 'number' && mostBytes >= 1 ? Math.min(partSizeSettings.maxAmount, mostBytes) : partBytes;
 
 /** Digests of the texts that a receiver has: the one it applies and those it applied before. */
 const requestedBases = ({ base, earlier }: Message): readonly string[] =>
@@ -66,16 +66,16 @@
     (digest) => typeof digest === 'string' && digest !== '',
   ) as readonly string[];
 
-export const BodyParts = {
+export const DocumentParts = {
   /** The requested part of a document; `noBody` when this daemon does not have that text any more. */
   answer: (freshness: Freshness, message: Message): Message => {
     const { digest, from } = message;
     if (typeof digest !== 'string' || !isOffset(from)) return { kind: 'noBody' };
-    const shipment = freshness.shipment(digest, requestedBases(message));
+    const shipment = freshness.payload(digest, requestedBases(message));
     if (shipment === undefined) return { kind: 'noBody' };
     const { packed } = shipment;
     const bytes = packed.subarray(from, from + requestedPartBytes(message));
-    return { kind: 'bodyPart', digest, base: shipment.base, from, total: packed.length, bytes } satisfies BodyPart;
+    return { kind: 'bodyPart', digest, base: shipment.base, from, total: packed.length, bytes } satisfies DocumentPart;
   },
 } as const;
 
@@ -101,20 +101,20 @@
   transferStartMicroseconds: number;
   /** Possible bases of a delta: the texts that were applied here when the transfer began and before. */
   before: readonly Readonly<{ digest: string; text: string }>[];
-  parts: BodyPart[];
+  parts: DocumentPart[];
 }>;
 
-const totalBytes = (parts: readonly BodyPart[]): number => parts.reduce((sum, { bytes }) => sum + bytes.length, 0);
+const totalBytes = (parts: readonly DocumentPart[]): number => parts.reduce((sum, { bytes }) => sum + bytes.length, 0);
 
 type Revisions = Readonly<Partial<Record<DocumentKey, number>>>;
 
 /** One daemon's transfers, one at a time. When a sender stops answering, another one continues the transfer. */
-export class BodyTransfers {
+export class DocumentTransfers {
   private open: Transfer | undefined;
   /** Digest of a document whose delta was invalid, so that it is requested whole; empty: none. */
   private wholeOnlyDigest = '';
   /** Adapts the size of the next part to the speed of the parts before. */
-  private readonly partSize = new AnswerPace(partSizeSettings);
+  private readonly partSize = new AdaptiveBatchSize(partSizeSettings);
   /** The sender with an open request; undefined: none. */
   private sender: string | undefined;
 
@@ -126,7 +126,7 @@
   ) {}
 
   /** A peer answered and has these revisions. Requests what is missing here, unless another sender has an open request. */
-  public answered(address: string, revisions: Revisions): void {
+  public handleAnswer(address: string, revisions: Revisions): void {
     if (this.sender !== undefined || this.nextMissing(revisions) === undefined) return;
     this.sender = address;
     void this.receiveFrom(address, revisions).finally(() => {
@@ -135,7 +135,7 @@
   }
 
   /** A peer did not answer. What was requested from it may be requested from others. */
-  public silent(address: string): void {
+  public handleTimeout(address: string): void {
     if (this.sender === address) this.sender = undefined;
   }
 
@@ -153,14 +153,14 @@
    */
   private nextMissing(revisions: Revisions): MissingRevision | undefined {
     const { open } = this;
-    if (open !== undefined && open.parts.length > 0 && this.freshness.wouldTake(open.of)) return open.of;
+    if (open !== undefined && open.parts.length > 0 && this.freshness.wouldApply(open.of)) return open.of;
     this.open = undefined;
     return this.freshness.wanted().find(({ key, revision }) => (revisions[key] ?? 0) >= revision);
   }
 
   private transferOf(of: MissingRevision): Transfer {
     const transferStartMicroseconds = this.clock.nowMicroseconds();
-    this.open ??= { of, transferStartMicroseconds, before: this.freshness.lateTexts(of.key), parts: [] };
+    this.open ??= { of, transferStartMicroseconds, before: this.freshness.recentTexts(of.key), parts: [] };
     return this.open;
   }
 
@@ -182,16 +182,16 @@
     const askedMicroseconds = this.clock.nowMicroseconds();
     const answer = await this.transport.ask(address, request, partTimeoutMicroseconds);
     if (answer.kind !== 'answered') {
-      this.partSize.silent();
+      this.partSize.recordTimeout();
       return false;
     }
-    this.partSize.answered(this.clock.nowMicroseconds() - askedMicroseconds, partTimeoutMicroseconds);
+    this.partSize.recordAnswer(this.clock.nowMicroseconds() - askedMicroseconds, partTimeoutMicroseconds);
     if (!isBodyPart(answer.message)) {
       // The sender has moved on to later revisions. What it has now is requested after its next answer.
       if (this.open === transfer) this.open = undefined;
       return false;
     }
-    const part = answer.message as unknown as BodyPart;
+    const part = answer.message as unknown as DocumentPart;
     if (part.digest !== of.digest || part.from !== from) return false;
     // A sender that was given up may have answered late, with this part or the one before.
     if (this.open !== transfer || totalBytes(parts) !== from) return true;
@@ -222,8 +222,11 @@
 
   private applyDocument({ of, before, parts }: Transfer, base: string): boolean {
     const packed = Buffer.concat(parts.map(({ bytes }) => bytes));
-    const text = Bodies.shippedText({ base, packed }, before.find(({ digest }) => digest === base)?.text ?? '');
-    const isApplied = text !== undefined && this.freshness.give({ ...of, text });
+    const text = DocumentBodies.decodePayload(
+      { base, packed },
+      before.find(({ digest }) => digest === base)?.text ?? '',
+    );
+    const isApplied = text !== undefined && this.freshness.applyBody({ ...of, text });
     this.wholeOnlyDigest = isApplied ? '' : of.digest;
     return isApplied;
   }
--- a/source/shared/freshness/freshness.ts
+++ b/source/shared/freshness/freshness.ts
@@ -1,12 +1,18 @@
 import { createHash } from 'node:crypto';
-import { Blueprints, type Checked } from '../blueprint/check';
-import { ownDialect, type Dialect } from '../blueprint/dialect';
-import type { Blueprint, CoreMembers, DocumentKey, EngineList } from '../blueprint/types';
-import { isDocumentKey } from '../blueprint/types';
+import { DocumentValidation, type ValidationResult } from '../configuration/validation';
+import { nativeConfigurationFormat, type ConfigurationFormat } from '../configuration/configurationFormat';
+import type { Configuration, ControlNodeMembers, DocumentKey, EngineList } from '../configuration/types';
+import { isDocumentKey } from '../configuration/types';
 import type { Clock } from '../effects/clock/clock';
-import { Bodies, BodyPacker, type Body, type SentBody, type Shipment } from './bodies';
+import {
+  DocumentBodies,
+  BodyEncoder,
+  type DocumentBody,
+  type EncodedBody,
+  type DocumentPayload,
+} from './documentBodies';
 
-export type { Body, SentBody } from './bodies';
+export type { DocumentBody as Body, EncodedBody as SentBody } from './documentBodies';
 
 /** Which weights a service runs, which ones it ran before, and since when by this daemon's clock; null: unknown. */
 export type WeightsSince = Readonly<{ weights: string; previous: string | null; sinceMicroseconds: number | null }>;
@@ -31,7 +37,7 @@
   asOfMicroseconds: number;
 }>;
 
-export type DocumentValue = Blueprint | EngineList | CoreMembers;
+export type DocumentValue = Configuration | EngineList | ControlNodeMembers;
 
 export const Statements = {
   isList: (value: unknown): value is readonly Statement[] =>
@@ -50,7 +56,7 @@
         typeof statement.weights === 'object'
       );
     }),
-  isBody: Bodies.is,
+  isBody: DocumentBodies.is,
 } as const;
 
 /** Superseded revisions whose text is still accepted. */
@@ -66,7 +72,7 @@
   public constructor(
     private readonly key: DocumentKey,
     private readonly clock: Clock,
-    private readonly dialect: Dialect,
+    private readonly dialect: ConfigurationFormat,
   ) {}
 
   public confirm(confirmed: Confirmed): void {
@@ -97,15 +103,15 @@
   }
 
   /** Applies a body whose revision is known to be decided, even if a newer revision is known by now. */
-  public apply(body: SentBody): boolean {
+  public apply(body: EncodedBody): boolean {
     const confirmed = this.confirmed(body.revision, body.digest);
     if (confirmed === undefined) return false;
-    const text = Bodies.text(body);
+    const text = DocumentBodies.text(body);
     if (text === undefined) return false;
     if (createHash('sha256').update(text).digest('hex').slice(0, 32) !== confirmed.digest) return false;
     // The text is not checked again: the digest belongs to a text that the control nodes have checked and accepted.
-    const checked: Checked<DocumentValue> =
-      this.key === 'blueprint' ? this.dialect.trusted(text) : Blueprints.checkText(this.key, text);
+    const checked: ValidationResult<DocumentValue> =
+      this.key === 'blueprint' ? this.dialect.readTrusted(text) : DocumentValidation.checkText(this.key, text);
     if (checked.kind === 'faulty') return false;
     this.applied = { ...confirmed, text, value: checked.value };
     this.superseded = this.superseded.filter(({ revision }) => revision > confirmed.revision);
@@ -123,11 +129,11 @@
   private readonly keys: Readonly<Record<DocumentKey, DocumentFreshness>>;
   private weightsByService: Readonly<Record<string, WeightsSince>> = {};
   private sinceRevision = -1;
-  private readonly packer = new BodyPacker();
+  private readonly packer = new BodyEncoder();
 
   public constructor(
     private readonly clock: Clock,
-    dialect: Dialect = ownDialect,
+    dialect: ConfigurationFormat = nativeConfigurationFormat,
     private readonly engineList: 'kept' | 'listed' = 'kept',
   ) {
     this.keys = {
@@ -137,23 +143,23 @@
     };
   }
 
-  public get blueprint(): Blueprint | undefined {
-    return this.keys.blueprint.applied?.value as Blueprint | undefined;
+  public get blueprint(): Configuration | undefined {
+    return this.keys.blueprint.applied?.value as Configuration | undefined;
   }
 
   public get engines(): EngineList | undefined {
     return this.keys.engines.applied?.value as EngineList | undefined;
   }
 
-  public get coreMembers(): CoreMembers | undefined {
-    return this.keys['core-members'].applied?.value as CoreMembers | undefined;
+  public get coreMembers(): ControlNodeMembers | undefined {
+    return this.keys['core-members'].applied?.value as ControlNodeMembers | undefined;
   }
 
   public revision(key: DocumentKey): number {
     return this.keys[key].applied?.revision ?? 0;
   }
 
-  public applied(key: DocumentKey): Body | undefined {
+  public applied(key: DocumentKey): DocumentBody | undefined {
     const applied = this.keys[key].applied;
     return applied === undefined
       ? undefined
@@ -161,26 +167,26 @@
   }
 
   /** The applied body as it is sent to peers. */
-  public sent(key: DocumentKey): SentBody | undefined {
+  public encodedBody(key: DocumentKey): EncodedBody | undefined {
     const body = this.applied(key);
-    return body === undefined ? undefined : this.packer.sent(body);
+    return body === undefined ? undefined : this.packer.encode(body);
   }
 
   /**
    * Payload of a document that is or was recently applied, for a receiver that has the texts with these digests. Undefined when it is
    * not kept here or is too short to be compressed.
    */
-  public shipment(digest: string, bases: readonly string[]): Shipment | undefined {
-    return this.packer.shipment(digest, bases);
+  public payload(digest: string, bases: readonly string[]): DocumentPayload | undefined {
+    return this.packer.payload(digest, bases);
   }
 
   /** Long texts of a document that are or were recently applied here, the latest first. */
-  public lateTexts(key: DocumentKey): readonly Readonly<{ digest: string; text: string }>[] {
-    return this.packer.texts(key);
+  public recentTexts(key: DocumentKey): readonly Readonly<{ digest: string; text: string }>[] {
+    return this.packer.recentTexts(key);
   }
 
   /** Whether a body of this revision would be applied. */
-  public wouldTake({
+  public wouldApply({
     key,
     revision,
     digest,
@@ -214,7 +220,7 @@
    * Takes a statement of a peer. `askedMicroseconds` is when this daemon sent the request, so the time that the answer took only adds to
    * the age.
    */
-  public hear(statement: Statement, askedMicroseconds: number): void {
+  public applyStatement(statement: Statement, askedMicroseconds: number): void {
     const transitMicroseconds = this.clock.nowMicroseconds() - askedMicroseconds;
     this.keys[statement.key].confirm({
       revision: statement.revision,
@@ -243,7 +249,7 @@
     this.weightsByService = same ? { ...this.weightsByService, ...next } : next;
   }
 
-  public give(body: SentBody): boolean {
+  public applyBody(body: EncodedBody): boolean {
     const isApplied = this.keys[body.key].apply(body);
     const applied = isApplied ? this.applied(body.key) : undefined;
     if (applied !== undefined) this.packer.keep(applied);
--- a/source/shared/freshness/textDelta.ts
+++ b/source/shared/freshness/textDelta.ts
@@ -29,7 +29,7 @@
 
 export const TextDeltas = {
   /** The delta that makes `after` from `before`. */
-  between: (before: string, after: string): TextDelta => {
+  diff: (before: string, after: string): TextDelta => {
     const basePieces = piecesOf(before);
     const indexes = new Map(basePieces.map((piece, index) => [piece, index]));
     const steps: (string | [number, number])[] = [];
@@ -46,7 +46,7 @@
   },
 
   /** Applies a delta; undefined when it does not fit the base text. The caller checks the result by its digest. */
-  applied: (before: string, delta: unknown): string | undefined => {
+  apply: (before: string, delta: unknown): string | undefined => {
     if (!Array.isArray(delta) || delta.length > maxSteps) return undefined;
     const basePieces = piecesOf(before);
     const resultPieces: string[] = [];
--- a/source/shared/news/factTypes.ts
+++ b/source/shared/gossip/entryTypes.ts
@@ -1,9 +1,9 @@
-import type { FactVersion } from './facts';
+import type { EntryVersion } from './gossipStore';
 
 /** What the membership protocol knows of an agent; `gone`: it is considered failed, `left`: it left on purpose. */
 export type MemberState = 'alive' | 'suspect' | 'gone' | 'left';
 /** Gossip entry on one agent of the fleet. */
-export type MemberFact = Readonly<{
+export type MemberEntry = Readonly<{
   name: string;
   zone: string;
   address: string;
@@ -14,7 +14,7 @@
 }>;
 
 /** Gossip entry on an engine: the status that its engine controller last received. */
-export type EngineFact = Readonly<{
+export type EngineEntry = Readonly<{
   engine: string;
   kind: 'engine' | 'store';
   address: string;
@@ -27,7 +27,7 @@
   reachable: boolean;
 }>;
 /** Gossip entry on the lease of an engine: which agent controls it. */
-export type StewardFact = Readonly<{
+export type ControllerEntry = Readonly<{
   engine: string;
   /** Empty: the lease was released. */
   holder: string;
@@ -39,7 +39,7 @@
 export type WorkMix = readonly [short: number, long: number];
 
 /** Gossip entry on the load of a proxy, written by the proxy itself. */
-export type LoadFact = Readonly<{
+export type LoadEntry = Readonly<{
   /** Name of the agent through which the proxy publishes the entry. The entry does not count while that agent is gone. */
   agent: string;
   /** The agent has not heard from the proxy for a while: the proxy counts as gone until it refutes that. */
@@ -62,25 +62,25 @@
 }>;
 
 /** Keys of gossip entries: the kind, a slash and the name. */
-export const FactKeys = {
+export const GossipKeys = {
   member: (name: string): string => `member/${name}`,
   engine: (name: string): string => `engine/${name}`,
-  steward: (name: string): string => `steward/${name}`,
+  controller: (name: string): string => `steward/${name}`,
   load: (proxy: string): string => `load/${proxy}`,
   /** The prompts that a proxy is asked for most often. */
   demand: (proxy: string): string => `demand/${proxy}`,
   /** The lease of the agent that reads the list of engines and schedules long requests for the fleet. */
-  listDuty: 'duty/list',
+  listLease: 'duty/list',
 } as const;
 
 const ranks: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, gone: 2, left: 3 };
 
 export const MemberStates = {
   /** Suspected members count as present, so that the suspicion of a single agent does not move work. */
-  isPresent: ({ state }: Pick<MemberFact, 'state'>): boolean => state === 'alive' || state === 'suspect',
+  isPresent: ({ state }: Pick<MemberEntry, 'state'>): boolean => state === 'alive' || state === 'suspect',
 } as const;
 
 export const MemberVersions = {
   /** Within one incarnation the worse state wins; a higher incarnation refutes it. */
-  of: (incarnation: number, state: MemberState): FactVersion => [incarnation, ranks[state]],
+  of: (incarnation: number, state: MemberState): EntryVersion => [incarnation, ranks[state]],
 } as const;
--- a/source/shared/news/newsExchange.ts
+++ b/source/shared/gossip/gossipExchange.ts
@@ -1,24 +1,31 @@
 import type { Effects } from '../effects/effects';
 import type { Message } from '../effects/transport/transport';
-import { FactKinds, FactLimits, Facts, FactVersions, type Fact, type FactBook } from './facts';
-import { Bodies } from '../freshness/bodies';
-import { BodyParts, BodyTransfers, type ReceivedDocument } from '../freshness/bodyParts';
+import {
+  EntryKinds,
+  GossipLimits,
+  GossipValidation,
+  EntryVersions,
+  type GossipEntry,
+  type GossipStore,
+} from './gossipStore';
+import { DocumentBodies } from '../freshness/documentBodies';
+import { DocumentParts, DocumentTransfers, type ReceivedDocument } from '../freshness/documentParts';
 import { Statements, type Freshness, type SentBody } from '../freshness/freshness';
-import type { Pulses } from './pulses';
-import { DocumentKeys, type DocumentKey } from '../blueprint/types';
-import type { ShardBook, ShardMarkBook } from '../directory/shardBook';
+import type { HolderHeartbeats } from './holderHeartbeats';
+import { DocumentKeys, type DocumentKey } from '../configuration/types';
+import type { ShardCatalog, ShardPositionsByHolder } from '../directory/shardCatalog';
 import { ShardChangeCodec, type PackedShardChange } from '../directory/shardChangeCodec';
-import { AnswerPaces } from '../pace/answerPace';
+import { AdaptiveBatchSizes } from '../flow-control/adaptiveBatchSize';
 
 import type { FleetName } from '../fleet/fleetName';
 
 /** The state that the exchange keeps in step with peers. */
-export type NewsParts = Readonly<{
+export type GossipParts = Readonly<{
   fleet: FleetName;
-  facts: FactBook;
-  shards: ShardBook;
+  facts: GossipStore;
+  shards: ShardCatalog;
   freshness: Freshness;
-  pulses: Pulses;
+  pulses: HolderHeartbeats;
 }>;
 type Revisions = Readonly<Partial<Record<DocumentKey, number>>>;
 
@@ -43,7 +50,7 @@
  * `mutual`: both sides send each other what is missing. `following`: one answer brings the changes since the last request; it suits
  * daemons that write few entries themselves.
  */
-export type ExchangeManner = 'mutual' | 'following';
+export type ExchangeMode = 'mutual' | 'following';
 
 /** Entries of one kind in one answer, unless the requesting peer sets a lower limit. */
 const maxEntriesPerAnswer = 5000;
@@ -56,21 +63,21 @@
  * other what is missing. Agents exchange with a few peer agents. A proxy follows its agent: after a first exchange it receives the
  * changes to the agent's store since the last change that it has, by the number of the change.
  */
-export class NewsExchange {
+export class GossipExchange {
   /** Random identifier of this store, because the count of changes restarts when the agent restarts. */
   private readonly book: string;
   private readonly followed = new Map<string, FollowPosition>();
-  private readonly transfers: BodyTransfers;
-  private readonly batchSizes = new AnswerPaces();
+  private readonly transfers: DocumentTransfers;
+  private readonly batchSizes = new AdaptiveBatchSizes();
 
   public constructor(
-    private readonly parts: NewsParts,
+    private readonly parts: GossipParts,
     private readonly effects: Effects,
     /** Called for each long document that was received. */
     received?: (document: ReceivedDocument) => void,
   ) {
     this.book = effects.random.name();
-    this.transfers = new BodyTransfers(parts.freshness, effects.transport, effects.clock, received);
+    this.transfers = new DocumentTransfers(parts.freshness, effects.transport, effects.clock, received);
   }
 
   /**
@@ -82,17 +89,17 @@
     limitMicroseconds: number,
     extra: Readonly<Record<string, unknown>> = {},
     onAnswer: (message: Message) => void = () => undefined,
-    manner: ExchangeManner = 'mutual',
+    mode: ExchangeMode = 'mutual',
     patienceMicroseconds = limitMicroseconds,
   ): Promise<boolean> {
     const { facts, shards } = this.parts;
     const askedMicroseconds = this.effects.clock.nowMicroseconds();
-    const follows = manner === 'following' ? this.followed.get(address) : undefined;
+    const follows = mode === 'following' ? this.followed.get(address) : undefined;
     const batchSize = this.batchSizes.of(address);
     const request = {
       kind: 'news',
       ...(follows === undefined ? { sums: facts.sums() } : {}),
-      ...(manner === 'following' ? { follows: follows ?? null } : {}),
+      ...(mode === 'following' ? { follows: follows ?? null } : {}),
       marks: shards.marks(),
       revisions: this.revisions(),
       takesParts: true,
@@ -101,23 +108,23 @@
     };
     const answer = await this.effects.transport.ask(address, request, patienceMicroseconds);
     if (answer.kind !== 'answered' || answer.message.kind !== 'newsBack') {
-      this.transfers.silent(address);
-      batchSize.silent();
+      this.transfers.handleTimeout(address);
+      batchSize.recordTimeout();
       return false;
     }
-    batchSize.answered(this.effects.clock.nowMicroseconds() - askedMicroseconds, limitMicroseconds);
+    batchSize.recordAnswer(this.effects.clock.nowMicroseconds() - askedMicroseconds, limitMicroseconds);
     const message = answer.message;
     onAnswer(message);
     // Ignored until this daemon knows its own fleet, because it cannot tell before which fleet the message belongs to.
     if (!this.isFromOwnFleet(message)) return true;
     this.applyMessage(message, askedMicroseconds);
-    this.transfers.answered(address, (message['revisions'] ?? {}) as Revisions);
+    this.transfers.handleAnswer(address, (message['revisions'] ?? {}) as Revisions);
     const follow = isFollowPosition(message['follow']) ? message['follow'] : undefined;
     if (follow === undefined) this.followed.delete(address);
     // A control node that was contacted as a seed keeps no gossip entries and sends no versions, so there is nothing more to exchange.
-    if (!Facts.isDigest(message['digest']) && follow === undefined) return true;
+    if (!GossipValidation.isDigest(message['digest']) && follow === undefined) return true;
     const lacks = this.lacking(message, batchSize.amount);
-    const wanted = Facts.isDigest(message['digest']) ? facts.lacks(message['digest']) : [];
+    const wanted = GossipValidation.isDigest(message['digest']) ? facts.missingKeys(message['digest']) : [];
     if (lacks === undefined && wanted.length === 0) {
       this.follow(address, follow);
       return true;
@@ -128,11 +135,11 @@
       { ...lacks, kind: 'newsMore', wants },
       limitMicroseconds,
     );
-    if (pushAnswer.kind !== 'answered') batchSize.silent();
+    if (pushAnswer.kind !== 'answered') batchSize.recordTimeout();
     if (pushAnswer.kind !== 'answered' || !this.isFromOwnFleet(pushAnswer.message)) return true;
     this.applyEntries(pushAnswer.message);
     // Follows only once nothing is left, because a follower is not sent earlier changes again.
-    if (wants.length === wanted.length && wanted.length < FactLimits.perMessage) this.follow(address, follow);
+    if (wants.length === wanted.length && wanted.length < GossipLimits.perMessage) this.follow(address, follow);
     return true;
   }
 
@@ -147,18 +154,18 @@
   /** Answers the request of a peer. */
   public answer(message: Message): Message {
     const { shards, freshness, pulses } = this.parts;
-    const peerMarks = (message['marks'] ?? {}) as ShardMarkBook;
+    const peerMarks = (message['marks'] ?? {}) as ShardPositionsByHolder;
     return {
       kind: 'newsBack',
       statements: freshness.statements(),
-      pulses: pulses.say(),
+      pulses: pulses.report(),
       ...this.factsFor(message),
       // Only the positions of shards of which the requesting peer has changes that are missing here.
-      marks: shards.marksBehind(peerMarks),
+      marks: shards.positionsBehind(peerMarks),
       revisions: this.revisions(),
       takesParts: true,
       bodies: this.bodiesFor(message),
-      shards: shards.since(peerMarks, requestedEntries(message)).map(ShardChangeCodec.pack),
+      shards: shards.changesSince(peerMarks, requestedEntries(message)).map(ShardChangeCodec.pack),
     };
   }
 
@@ -169,7 +176,7 @@
     if (isFollowPosition(follows) && follows.book === this.book && follows.change <= facts.changes) {
       const { facts: changed, change } = facts.changedSince(
         follows.change,
-        Math.min(FactLimits.perMessage, requestedEntries(message)),
+        Math.min(GossipLimits.perMessage, requestedEntries(message)),
         wanted,
       );
       return {
@@ -180,27 +187,27 @@
     }
     const follow = follows === undefined ? {} : { follow: { book: this.book, change: facts.changes } };
     // A peer that follows an earlier store sent no checksums. It receives no entries and starts over with its next request.
-    if (!Facts.isSums(sums)) return { digest: null };
+    if (!GossipValidation.isSums(sums)) return { digest: null };
     return { digest: facts.digest(sums, wanted), facts: this.refutations(message, wanted), ...follow };
   }
 
   /** Entries of unwanted kinds that the requesting peer wrote itself and of which a later version than the sent one is known here. */
-  private refutations({ facts: sent }: Message, wanted: (kind: string) => boolean): readonly Fact[] {
-    if (!Facts.isList(sent)) return [];
+  private refutations({ facts: sent }: Message, wanted: (kind: string) => boolean): readonly GossipEntry[] {
+    if (!GossipValidation.isList(sent)) return [];
     return sent.flatMap(({ key, version }) => {
       const known = this.parts.facts.get(key);
-      const isLater = known !== undefined && FactVersions.compare(known.version, version) > 0;
-      return isLater && !wanted(FactKinds.of(key)) ? [known] : [];
+      const isLater = known !== undefined && EntryVersions.compare(known.version, version) > 0;
+      return isLater && !wanted(EntryKinds.of(key)) ? [known] : [];
     });
   }
 
   /**
    * Takes what a peer pushes after an exchange: bodies and entries, but no statements, whose age is only known in the answer to a request.
    */
-  public more(message: Message): Message {
+  public answerPush(message: Message): Message {
     if (!this.isFromOwnFleet(message)) return { kind: 'heard' };
     this.applyMessage({ ...message, statements: [], pulses: [] }, this.effects.clock.nowMicroseconds());
-    const wants = Facts.isKeys(message['wants']) ? message['wants'] : [];
+    const wants = GossipValidation.isKeys(message['wants']) ? message['wants'] : [];
     return { kind: 'heard', facts: wants.flatMap((key) => this.parts.facts.get(key) ?? []) };
   }
 
@@ -214,7 +221,7 @@
 
   /** Answers a request for a part of a document. */
   public part(message: Message): Message {
-    return BodyParts.answer(this.parts.freshness, message);
+    return DocumentParts.answer(this.parts.freshness, message);
   }
 
   /**
@@ -224,9 +231,9 @@
   private bodiesFor(message: Message): readonly SentBody[] {
     const theirs = (message['revisions'] ?? {}) as Revisions;
     return DocumentKeys.flatMap((key) => {
-      const body = this.parts.freshness.sent(key);
+      const body = this.parts.freshness.encodedBody(key);
       if (body === undefined || body.revision <= (theirs[key] ?? 0)) return [];
-      return message['takesParts'] === true && !Bodies.isShort(body) ? [] : [body];
+      return message['takesParts'] === true && !DocumentBodies.isShort(body) ? [] : [body];
     });
   }
 
@@ -235,14 +242,14 @@
     message: Message,
     maxEntries: number,
   ):
-    | Readonly<{ facts: readonly Fact[]; bodies: readonly SentBody[]; shards: readonly PackedShardChange[] }>
+    | Readonly<{ facts: readonly GossipEntry[]; bodies: readonly SentBody[]; shards: readonly PackedShardChange[] }>
     | undefined {
     const { facts, shards } = this.parts;
-    const newer = Facts.isDigest(message['digest'])
-      ? facts.newerThan(message['digest'], Object.keys(message['digest']))
+    const newer = GossipValidation.isDigest(message['digest'])
+      ? facts.entriesNewerThan(message['digest'], Object.keys(message['digest']))
       : [];
     const bodies = this.bodiesFor(message);
-    const changes = shards.sinceOf((message['marks'] ?? {}) as ShardMarkBook, maxEntries);
+    const changes = shards.changesSinceOf((message['marks'] ?? {}) as ShardPositionsByHolder, maxEntries);
     return newer.length === 0 && bodies.length === 0 && changes.length === 0
       ? undefined
       : { facts: newer, bodies, shards: changes.map(ShardChangeCodec.pack) };
@@ -250,12 +257,13 @@
 
   private applyMessage(message: Message, askedMicroseconds: number): void {
     const { shards, freshness, pulses } = this.parts;
-    pulses.hear(message['pulses'], askedMicroseconds);
+    pulses.receive(message['pulses'], askedMicroseconds);
     const statements = message['statements'];
-    if (Statements.isList(statements)) for (const statement of statements) freshness.hear(statement, askedMicroseconds);
+    if (Statements.isList(statements))
+      for (const statement of statements) freshness.applyStatement(statement, askedMicroseconds);
     const bodies = message['bodies'];
     if (Array.isArray(bodies))
-      for (const body of bodies as readonly unknown[]) if (Statements.isBody(body)) freshness.give(body);
+      for (const body of bodies as readonly unknown[]) if (Statements.isBody(body)) freshness.applyBody(body);
     this.applyEntries(message);
     const changes = message['shards'];
     if (Array.isArray(changes))
@@ -264,6 +272,6 @@
 
   private applyEntries(message: Message): void {
     const received = message['facts'];
-    if (Facts.isList(received)) for (const fact of received) this.parts.facts.put(fact);
+    if (GossipValidation.isList(received)) for (const fact of received) this.parts.facts.put(fact);
   }
 }
--- a/source/shared/news/facts.ts
+++ b/source/shared/gossip/gossipStore.ts
@@ -1,24 +1,24 @@
 import { createHash } from 'node:crypto';
 
 /** Version of a gossip entry. An entry has one author at a time, who raises the version, and the higher version wins. */
-export type FactVersion = readonly [major: number, minor: number];
+export type EntryVersion = readonly [major: number, minor: number];
 /** One versioned value that is spread by gossip. */
-export type Fact = Readonly<{ key: string; version: FactVersion; value: unknown }>;
+export type GossipEntry = Readonly<{ key: string; version: EntryVersion; value: unknown }>;
 /** Versions of known entries by kind, and within a kind by the rest of the key. */
-export type FactDigest = Readonly<Record<string, Readonly<Record<string, FactVersion>>>>;
+export type GossipDigest = Readonly<Record<string, Readonly<Record<string, EntryVersion>>>>;
 /** Checksum over the versions of all entries of a kind, by kind. */
-export type FactSums = Readonly<Record<string, string>>;
+export type GossipChecksums = Readonly<Record<string, string>>;
 
-export const FactLimits = { facts: 20_000, perMessage: 2000 } as const;
+export const GossipLimits = { maxEntries: 20_000, perMessage: 2000 } as const;
 
-export const FactVersions = {
-  compare: (left: FactVersion, right: FactVersion): number => left[0] - right[0] || left[1] - right[1],
+export const EntryVersions = {
+  compare: (left: EntryVersion, right: EntryVersion): number => left[0] - right[0] || left[1] - right[1],
 } as const;
 
 /** The kind of an entry: the first segment of its key. */
 const kindOf = (key: string): string => key.slice(0, Math.max(0, key.indexOf('/')));
 
-export const FactKinds = { of: kindOf } as const;
+export const EntryKinds = { of: kindOf } as const;
 
 const allKinds = (): boolean => true;
 /** The key without its kind; the whole key when it has no kind. */
@@ -26,17 +26,17 @@
 const keyOf = (kind: string, name: string): string => (kind === '' ? name : `${kind}/${name}`);
 
 /** One daemon's gossip entries, with a count of changes, digests and checksums for the exchange with peers. */
-export class FactBook {
+export class GossipStore {
   private changeCount = 0;
-  private readonly facts = new Map<string, Fact>();
+  private readonly facts = new Map<string, GossipEntry>();
   /** Entries by kind, so that a kind without changes is neither sent nor hashed again. */
-  private readonly kinds = new Map<string, Map<string, Fact>>();
+  private readonly kinds = new Map<string, Map<string, GossipEntry>>();
   private readonly checksumsByKind = new Map<string, string>();
   private readonly kindChanges = new Map<string, number>();
   /** The change at which each entry was last set, in that order. */
   private readonly changedAt = new Map<string, number>();
 
-  public get(key: string): Fact | undefined {
+  public get(key: string): GossipEntry | undefined {
     return this.facts.get(key);
   }
 
@@ -44,7 +44,7 @@
     return this.facts.get(key)?.value as Value | undefined;
   }
 
-  public withPrefix(prefix: string): readonly Fact[] {
+  public withPrefix(prefix: string): readonly GossipEntry[] {
     const kind = this.kinds.get(kindOf(prefix));
     return [...(kind ?? this.facts).values()].filter(({ key }) => key.startsWith(prefix));
   }
@@ -65,18 +65,18 @@
   }
 
   /** Stores an entry. True when it was newer than the known one. */
-  public put(fact: Fact): boolean {
+  public put(fact: GossipEntry): boolean {
     const known = this.facts.get(fact.key);
-    if (known !== undefined && FactVersions.compare(fact.version, known.version) <= 0) return false;
+    if (known !== undefined && EntryVersions.compare(fact.version, known.version) <= 0) return false;
     // The number of entries is bounded so that peers cannot exhaust the memory.
-    if (known === undefined && this.facts.size >= FactLimits.facts) return false;
+    if (known === undefined && this.facts.size >= GossipLimits.maxEntries) return false;
     this.facts.set(fact.key, fact);
     this.changeCount += 1;
     // Deleting first moves the key to the end of the map's order.
     this.changedAt.delete(fact.key);
     this.changedAt.set(fact.key, this.changeCount);
     const kind = kindOf(fact.key);
-    const others = this.kinds.get(kind) ?? new Map<string, Fact>();
+    const others = this.kinds.get(kind) ?? new Map<string, GossipEntry>();
     others.set(fact.key, fact);
     this.kinds.set(kind, others);
     this.changed(kind);
@@ -97,7 +97,7 @@
   }
 
   /** A short checksum over the versions of each kind; kinds with equal checksums need no digest. */
-  public sums(): FactSums {
+  public sums(): GossipChecksums {
     return Object.fromEntries([...this.kinds].map(([kind, facts]) => [kind, this.checksumOf(kind, facts)]));
   }
 
@@ -110,7 +110,7 @@
   }
 
   /** The versions of the wanted kinds whose checksums differ from the peer's. */
-  public digest(peerSums: FactSums = {}, isWanted: (kind: string) => boolean = allKinds): FactDigest {
+  public digest(peerSums: GossipChecksums = {}, isWanted: (kind: string) => boolean = allKinds): GossipDigest {
     const differing = [...this.kinds].filter(
       ([kind, facts]) => isWanted(kind) && this.checksumOf(kind, facts) !== peerSums[kind],
     );
@@ -130,13 +130,13 @@
   }
 
   /** Entries that are newer than the digest or missing in it; `kinds`: the kinds that the digest covers, if not all. */
-  public newerThan(digest: FactDigest, kinds: Iterable<string> = this.kinds.keys()): readonly Fact[] {
-    const newer: Fact[] = [];
+  public entriesNewerThan(digest: GossipDigest, kinds: Iterable<string> = this.kinds.keys()): readonly GossipEntry[] {
+    const newer: GossipEntry[] = [];
     for (const kind of kinds)
       for (const fact of this.kinds.get(kind)?.values() ?? []) {
         const known = digest[kind]?.[nameOf(fact.key, kind)];
-        if (known === undefined || FactVersions.compare(fact.version, known) > 0) newer.push(fact);
-        if (newer.length >= FactLimits.perMessage) return newer;
+        if (known === undefined || EntryVersions.compare(fact.version, known) > 0) newer.push(fact);
+        if (newer.length >= GossipLimits.perMessage) return newer;
       }
     return newer;
   }
@@ -144,10 +144,10 @@
   /** Entries that were set after a change of this store, the earliest first, and the change up to which they are complete. */
   public changedSince(
     change: number,
-    maxEntries: number = FactLimits.perMessage,
+    maxEntries: number = GossipLimits.perMessage,
     isWanted: (kind: string) => boolean = allKinds,
-  ): Readonly<{ facts: readonly Fact[]; change: number }> {
-    const found: Fact[] = [];
+  ): Readonly<{ facts: readonly GossipEntry[]; change: number }> {
+    const found: GossipEntry[] = [];
     let upTo = change;
     for (const [key, at] of this.changedAt) {
       if (at <= change || !isWanted(kindOf(key))) continue;
@@ -160,15 +160,15 @@
   }
 
   /** Keys of entries that the digest has in a newer version than this store. */
-  public lacks(digest: FactDigest): readonly string[] {
+  public missingKeys(digest: GossipDigest): readonly string[] {
     const keys = Object.entries(digest).flatMap(([kind, versions]) =>
       Object.entries(versions).flatMap(([name, version]) => {
         const key = keyOf(kind, name);
         const known = this.facts.get(key);
-        return known === undefined || FactVersions.compare(version, known.version) > 0 ? [key] : [];
+        return known === undefined || EntryVersions.compare(version, known.version) > 0 ? [key] : [];
       }),
     );
-    return keys.slice(0, FactLimits.perMessage);
+    return keys.slice(0, GossipLimits.perMessage);
   }
 
   private changed(kind: string): void {
@@ -176,7 +176,7 @@
     this.kindChanges.set(kind, this.changesOf(kind) + 1);
   }
 
-  private checksumOf(kind: string, facts: ReadonlyMap<string, Fact>): string {
+  private checksumOf(kind: string, facts: ReadonlyMap<string, GossipEntry>): string {
     const known = this.checksumsByKind.get(kind);
     if (known !== undefined) return known;
     const versionLines = [...facts.values()].map(({ key, version }) => `${key}@${version[0]}.${version[1]}`).sort();
@@ -186,18 +186,18 @@
   }
 }
 
-const isVersion = (value: unknown): value is FactVersion =>
+const isVersion = (value: unknown): value is EntryVersion =>
   Array.isArray(value) && value.length === 2 && value.every((part) => Number.isSafeInteger(part));
 const isRecord = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
 /** Checks of received gossip messages. */
-export const Facts = {
-  isList: (value: unknown): value is readonly Fact[] =>
+export const GossipValidation = {
+  isList: (value: unknown): value is readonly GossipEntry[] =>
     Array.isArray(value) &&
-    value.length <= FactLimits.perMessage &&
+    value.length <= GossipLimits.perMessage &&
     value.every((item: unknown) => {
-      const fact = item as Partial<Fact> | null;
+      const fact = item as Partial<GossipEntry> | null;
       return (
         typeof fact === 'object' &&
         fact !== null &&
@@ -206,11 +206,11 @@
         isVersion(fact.version)
       );
     }),
-  isSums: (value: unknown): value is FactSums =>
+  isSums: (value: unknown): value is GossipChecksums =>
     isRecord(value) && Object.values(value).every((sum) => typeof sum === 'string'),
-  isDigest: (value: unknown): value is FactDigest =>
+  isDigest: (value: unknown): value is GossipDigest =>
     isRecord(value) &&
     Object.values(value).every((versions) => isRecord(versions) && Object.values(versions).every(isVersion)),
   isKeys: (value: unknown): value is readonly string[] =>
-    Array.isArray(value) && value.length <= FactLimits.perMessage && value.every((key) => typeof key === 'string'),
+    Array.isArray(value) && value.length <= GossipLimits.perMessage && value.every((key) => typeof key === 'string'),
 } as const;
--- a/source/shared/http/httpDoor.ts
+++ b/source/shared/http/httpApiServer.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import restana from 'restana';
-import { Bodies } from './bodies';
+import { RequestBodies } from './requestBodies';
 import { HttpLimits } from './httpLimits';
 import { HttpServer } from './httpServer';
 import { Replies } from './replies';
@@ -8,7 +8,7 @@
 /** Registers the routes of an HTTP server. */
 export type HttpService = restana.Service<restana.Protocol.HTTP>;
 /** A running HTTP server. */
-export type HttpDoor = Readonly<{
+export type HttpApiServer = Readonly<{
   address: string;
   /** Stops listening and closes idle connections; resolves when all received requests have been answered. */
   drain: () => Promise<void>;
@@ -20,8 +20,8 @@
   Readonly<{ kind: 'read'; text: string }> | Readonly<{ kind: 'tooLarge' }> | Readonly<{ kind: 'broken' }>;
 
 /** HTTP servers for status pages and APIs with little traffic, with routes by path. */
-export const HttpDoors = {
-  open: async (address: string, limits: HttpLimits, routes: (service: HttpService) => void): Promise<HttpDoor> => {
+export const HttpApiServers = {
+  open: async (address: string, limits: HttpLimits, routes: (service: HttpService) => void): Promise<HttpApiServer> => {
     const server = new HttpServer(() => limits);
     const service = restana({
       server: server.server,
@@ -34,8 +34,8 @@
   },
 
   /** Reads at most `maxBytes`; a body with a larger content length is not read at all. */
-  body: async (request: IncomingMessage, maxBytes: number): Promise<TextReadResult> => {
-    const read = await Bodies.bytes(request, maxBytes);
+  readText: async (request: IncomingMessage, maxBytes: number): Promise<TextReadResult> => {
+    const read = await RequestBodies.readBytes(request, maxBytes);
     return read.kind === 'read' ? { kind: 'read', text: read.bytes.toString('utf8') } : read;
   },
 } as const;
--- a/source/shared/http/httpLimits.ts
+++ b/source/shared/http/httpLimits.ts
@@ -15,5 +15,5 @@
     bodyMicroseconds: 15_000_000,
     conns: 2048,
   } satisfies HttpLimits,
-  usualBodyBytes: 4_194_304,
+  defaultBodyBytes: 4_194_304,
 } as const;
--- a/source/shared/http/httpServer.ts
+++ b/source/shared/http/httpServer.ts
@@ -8,23 +8,28 @@
 
 /** Phases of a graceful stop. The server keeps listening at first, because those that route clients here notice late. */
 export type DrainPlan = Readonly<{
-  /** The server listens at least this long, and until no new connection has arrived for `quietMicroseconds`, */
-  leastMicroseconds: number;
+  /** The server listens at least this long, and until no new connection has arrived for `weightsChangeDelayMicroseconds`, */
+  minListenMicroseconds: number;
   quietMicroseconds: number;
   /** but at most this long. */
-  mostMicroseconds: number;
+  maxListenMicroseconds: number;
   /** Connections that have not sent a complete request this long after the server stopped listening are closed. */
-  lateMicroseconds: number;
+  incompleteRequestMicroseconds: number;
   /** Requests that arrive late in a stop, and may not be finished when it ends, are refused; missing: all are accepted. */
-  lastOrders?: Readonly<{ afterMicroseconds: number; endMicroseconds: number }>;
+  lateRequests?: Readonly<{ afterMicroseconds: number; endMicroseconds: number }>;
 }>;
 
 export const DrainPlans = {
   /** The server stops listening immediately. */
-  atOnce: { leastMicroseconds: 0, quietMicroseconds: 0, mostMicroseconds: 0, lateMicroseconds: 1_000_000 },
+  atOnce: {
+    minListenMicroseconds: 0,
+    quietMicroseconds: 0,
+    maxListenMicroseconds: 0,
+    incompleteRequestMicroseconds: 1_000_000,
+  },
 } as const satisfies Record<string, DrainPlan>;
 
-type Exchange = Readonly<{ order: IncomingMessage; response: ServerResponse }>;
+type Exchange = Readonly<{ request: IncomingMessage; response: ServerResponse }>;
 type TrackedConnection = {
   readonly exchanges: Set<Exchange>;
   /** Nothing valid can be read from the connection any more. */ isUnreadable: boolean;
@@ -82,14 +87,14 @@
   public async drain(plan: DrainPlan = DrainPlans.atOnce, clock?: Clock): Promise<void> {
     this.draining = true;
     for (const connection of this.conns.values()) HttpServer.closeAfterLastResponse(connection);
-    if (clock !== undefined && plan.mostMicroseconds > 0) {
+    if (clock !== undefined && plan.maxListenMicroseconds > 0) {
       this.clock = clock;
       const began = clock.nowMicroseconds();
       this.lastConnectionMicroseconds = began;
       for (;;) {
         const stopListeningAt = Math.min(
-          Math.max(began + plan.leastMicroseconds, this.lastConnectionMicroseconds + plan.quietMicroseconds),
-          began + plan.mostMicroseconds,
+          Math.max(began + plan.minListenMicroseconds, this.lastConnectionMicroseconds + plan.quietMicroseconds),
+          began + plan.maxListenMicroseconds,
         );
         const left = stopListeningAt - clock.nowMicroseconds();
         if (left <= 0) break;
@@ -103,7 +108,7 @@
     // Node.js no longer enforces timeouts once the server is closed, so an incomplete request could block the stop forever.
     const lateTimer = setTimeout(() => {
       for (const [socket, { exchanges }] of this.conns) if (exchanges.size === 0) socket.destroy();
-    }, plan.lateMicroseconds / 1000);
+    }, plan.incompleteRequestMicroseconds / 1000);
     await closed;
     clearTimeout(lateTimer);
   }
@@ -133,11 +138,11 @@
     socket.once('close', () => this.conns.delete(socket));
   }
 
-  private onRequest(order: IncomingMessage, response: ServerResponse): void {
+  private onRequest(request: IncomingMessage, response: ServerResponse): void {
     this.applyLimits();
-    const connection = this.conns.get(order.socket);
+    const connection = this.conns.get(request.socket);
     if (connection === undefined) return;
-    const exchange: Exchange = { order, response };
+    const exchange: Exchange = { request, response };
     connection.exchanges.add(exchange);
     if (this.draining) HttpServer.closeAfterLastResponse(connection);
     // Pipelining is limited because responses are sent in the order of the requests, and those that wait behind a long one
@@ -145,7 +150,7 @@
     if (connection.exchanges.size > maxPipelinedRequests) response.shouldKeepAlive = false;
     response.once('close', () => {
       connection.exchanges.delete(exchange);
-      if (connection.isUnreadable && connection.exchanges.size === 0) order.socket.destroySoon();
+      if (connection.isUnreadable && connection.exchanges.size === 0) request.socket.destroySoon();
       // During a stop, the connection of a response that was running when the stop began becomes idle only now.
       if (!this.server.listening) setImmediate(() => this.server.closeIdleConnections());
     });
@@ -164,7 +169,7 @@
   }
 
   /** Whether the connection has too many pipelined requests for one more. */
-  public crowded(request: IncomingMessage): boolean {
+  public isPipelineFull(request: IncomingMessage): boolean {
     return (this.conns.get(request.socket)?.exchanges.size ?? 0) > maxPipelinedRequests;
   }
 
@@ -184,7 +189,7 @@
     if (connection.exchanges.size > 0) {
       // No status line is written to the connection: the client would take it for the response to the first open request.
       HttpServer.closeAfterLastResponse(connection);
-      for (const { order: request } of [...connection.exchanges])
+      for (const { request: request } of [...connection.exchanges])
         if (!request.complete) request.emit(requestFailedEvent, status);
       return;
     }
--- a/source/shared/http/bodies.ts
+++ b/source/shared/http/requestBodies.ts
@@ -8,9 +8,9 @@
   /** `status`: the HTTP status of the error; undefined: the client disconnected. */
   | Readonly<{ kind: 'broken'; status?: number }>;
 
-export const Bodies = {
+export const RequestBodies = {
   /** Reads at most `maxBytes`; a body with a larger content length is not read at all. */
-  bytes: (request: IncomingMessage, maxBytes: number): Promise<BodyReadResult> =>
+  readBytes: (request: IncomingMessage, maxBytes: number): Promise<BodyReadResult> =>
     new Promise((resolve) => {
       if (Number(request.headers['content-length'] ?? 0) > maxBytes) {
         resolve({ kind: 'tooLarge' });
--- a/source/shared/loads/loadSums.ts
+++ b/source/shared/loads/loadSums.ts
@@ -2,7 +2,7 @@
  * Sums of the loads of many proxies by engine, class and service. A proxy needs only these sums of the others, and their size grows with
  * the number of engines and not with the number of proxies.
  */
-import type { LoadFact } from '../news/factTypes';
+import type { LoadEntry } from '../gossip/entryTypes';
 
 /** The tables of sums; the rows of each table have their own kind of name. */
 export const loadTables = ['engines', 'failing', 'answering', 'classes', 'waiting', 'mixes'] as const;
@@ -30,7 +30,7 @@
 const ownValue = <Value>(record: Readonly<Record<string, Value>>, name: string): Value | undefined =>
   Object.hasOwn(record, name) ? record[name] : undefined;
 
-const rowsOf = (load: LoadFact): readonly LoadRow[] => {
+const rowsOf = (load: LoadEntry): readonly LoadRow[] => {
   const { engines, work = {}, failing = {}, answering = [], classes, waiting, mix = {} } = load;
   return [
     ...Object.entries(engines).map(([name, sends]): LoadRow => {
@@ -65,7 +65,7 @@
 export const LoadSums = {
   none: (): LoadSumTables => emptyTables(),
 
-  of: (loads: readonly LoadFact[]): LoadSumTables => {
+  of: (loads: readonly LoadEntry[]): LoadSumTables => {
     const sums = emptyTables();
     for (const load of loads)
       for (const { table, name, vector } of rowsOf(load))
@@ -74,7 +74,7 @@
   },
 
   /** Subtracts one load from sums that include it. Never below zero, because the load may have changed since it was counted. */
-  without: (sums: LoadSumTables, load: LoadFact): LoadSumTables => {
+  without: (sums: LoadSumTables, load: LoadEntry): LoadSumTables => {
     const left = emptyTables();
     for (const table of loadTables) for (const [name, vector] of sums[table]) left[table].set(name, vector);
     for (const { table, name, vector } of rowsOf(load)) {
@@ -88,7 +88,7 @@
   },
 
   /** The sums in the form of one load. `agent`: the agent that sent them. */
-  asLoad: (sums: LoadSumTables, agent: string): LoadFact => ({
+  asLoad: (sums: LoadSumTables, agent: string): LoadEntry => ({
     agent,
     engines: recordOf(sums.engines, ([sends = 0]) => sends),
     work: recordOf(sums.engines, ([, reading = 0, tokens = 0]) => [reading, tokens] as const),
--- a/source/shared/loads/loadUpdates.ts
+++ b/source/shared/loads/loadUpdates.ts
@@ -1,5 +1,5 @@
 /** Updates by which an agent sends its proxies the sums of all proxies' loads: the changes since the last update that a proxy applied. */
-import type { FactVersion } from '../news/facts';
+import type { EntryVersion } from '../gossip/gossipStore';
 import { loadTables, type LoadTable, type LoadVector } from './loadSums';
 
 /** The last change of an agent's sums that a proxy has. `book` identifies the counter, which restarts with the agent. */
@@ -18,7 +18,7 @@
   /** Number of proxies that are known to have belonged to the fleet recently. */
   everSeen: number;
   /** The version of the requesting proxy's own load that the sums include; null: none. */
-  counted: FactVersion | null;
+  counted: EntryVersion | null;
 }>;
 
 /** Limit on the length of a received vector. */
@@ -39,14 +39,14 @@
     return rows === undefined || (isRecord(rows) && Object.values(rows).every(isVector));
   });
 
-const isVersion = (value: unknown): value is FactVersion =>
+const isVersion = (value: unknown): value is EntryVersion =>
   Array.isArray(value) && value.length === 2 && value.every((part) => Number.isSafeInteger(part));
 
 const isNames = (value: unknown): value is readonly string[] =>
   Array.isArray(value) && value.every((name) => typeof name === 'string');
 
 export const LoadUpdates = {
-  isPosition: (value: unknown): value is LoadPosition =>
+  isLoadPosition: (value: unknown): value is LoadPosition =>
     isRecord(value) && typeof value['book'] === 'string' && Number.isSafeInteger(value['change']),
 
   is: (value: unknown): value is LoadUpdate => {
--- a/source/shared/log/log.ts
+++ b/source/shared/log/log.ts
@@ -8,7 +8,7 @@
 /** Log channels, based on the debug package. */
 export const Logs = {
   /** A log with the channel name postdrum:<part>. Lines are short and never contain secrets. */
-  part: (part: string): Log => {
+  channel: (part: string): Log => {
     const write = debug(`postdrum:${part}`);
     return (line) => write('%s', line);
   },
@@ -21,5 +21,5 @@
     else if (process.env['DEBUG'] === undefined) debug.enable('postdrum:*:notice');
   },
   /** The message of an error of any type. */
-  text: (error: unknown): string => (error instanceof Error ? error.message : String(error)),
+  errorMessage: (error: unknown): string => (error instanceof Error ? error.message : String(error)),
 } as const;
--- a/source/shared/log/limitedLog.ts
+++ b/source/shared/log/rateLimitedLog.ts
@@ -5,7 +5,7 @@
 const windowMicroseconds = 5_000_000;
 const maxLines = 8;
 
-export const LimitedLogs = {
+export const RateLimitedLogs = {
   of: (log: Log, clock: Clock): Log => {
     let windowStart = -Infinity;
     let lines = 0;
--- a/source/shared/metrics/metrics.ts
+++ b/source/shared/metrics/metrics.ts
@@ -21,15 +21,15 @@
     return this.counts.get(seriesName(name, labels)) ?? 0;
   }
 
-  public watch(read: () => readonly (readonly [string, Labels, number])[]): void {
+  public addGauges(read: () => readonly (readonly [string, Labels, number])[]): void {
     this.gauges.push(read);
   }
 
-  public all(): Readonly<Record<string, number>> {
+  public counters(): Readonly<Record<string, number>> {
     return Object.fromEntries(this.counts);
   }
 
-  public page(): string {
+  public render(): string {
     const now = this.gauges.flatMap((read) =>
       read().map(([name, labels, value]) => `${seriesName(name, labels)} ${value}`),
     );
--- a/source/shared/register/majorityRead.ts
+++ b/source/shared/register/majorityRead.ts
@@ -1,5 +1,5 @@
-import type { CoreMember, DocumentKey } from '../blueprint/types';
-import { DocumentKeys } from '../blueprint/types';
+import type { ControlNodeMember, DocumentKey } from '../configuration/types';
+import { DocumentKeys } from '../configuration/types';
 import type { Statement } from '../freshness/freshness';
 import { Epochs, Stamps, type KeyStatement, type Stamp } from './types';
 
@@ -7,7 +7,7 @@
 export type MembersView = Readonly<{
   revision: number;
   sets: readonly (readonly string[])[];
-  members: Readonly<Record<string, CoreMember>>;
+  members: Readonly<Record<string, ControlNodeMember>>;
 }>;
 
 /** What one control node has accepted for each key, and its member list. */
--- a/source/shared/register/types.ts
+++ b/source/shared/register/types.ts
@@ -1,4 +1,4 @@
-import type { DocumentKey } from '../blueprint/types';
+import type { DocumentKey } from '../configuration/types';
 
 /** A ballot number; the control node's name breaks ties. */
 export type Epoch = Readonly<{ number: number; keeper: string }>;
--- a/source/shared/rendezvous/rendezvous.ts
+++ b/source/shared/rendezvous/rendezvous.ts
@@ -38,7 +38,7 @@
   },
 
   /** The small set of peers that one process monitors. */
-  colleagues: (self: string, names: readonly string[], count: number): readonly string[] =>
+  peers: (self: string, names: readonly string[], count: number): readonly string[] =>
     Rendezvous.order(
       self,
       names.filter((name) => name !== self),
--- a/source/shared/desk/messages.ts
+++ b/source/shared/scheduler/schedulerMessages.ts
@@ -4,7 +4,7 @@
  * parts were cached there; `move`: transfer of the shared parts from another engine; `copy`: cost of one more copy of
  * them there, negative if that copy is useful.
  */
-export type DeskOffer = readonly [
+export type SchedulerOffer = readonly [
   engine: string,
   cost: number,
   read: number,
@@ -14,28 +14,33 @@
 ];
 
 /** A proxy's request for an engine; `order` is the identifier of the client's request. */
-export type DeskOrder = Readonly<{
+export type SchedulerRequest = Readonly<{
   order: string;
   /** Identifies the shared parts of the prompt; empty: the prompt shares none. */
   prefix: string;
-  offers: readonly DeskOffer[];
+  offers: readonly SchedulerOffer[];
 }>;
 
 /**
  * The engine that a request is assigned to. `joined`: the shared parts are being prefilled there, or have just been.
- * `keeper`: another engine that has them or is prefilling them. `waitMicroseconds`: they are still being prefilled, and the
+ * `keeper`: another engine that has them or is prefilling them. `reserveCall`: they are still being prefilled, and the
  * request should wait until that is done, at most this long.
  */
-export type DeskWord = Readonly<{ engine: string; joined: boolean; keeper: string; waitMicroseconds?: number }>;
+export type SchedulerDecision = Readonly<{
+  engine: string;
+  joined: boolean;
+  keeper: string;
+  waitMicroseconds?: number;
+}>;
 
 const isFiniteNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value);
 
 /** Validation of the messages between proxies and the request scheduler. */
-export const DeskMessages = {
-  mostOffers: 2048,
+export const SchedulerMessages = {
+  maxOffers: 2048,
 
-  isOrder: (value: unknown): value is DeskOrder => {
-    const request = value as Partial<DeskOrder> | null;
+  isRequest: (value: unknown): value is SchedulerRequest => {
+    const request = value as Partial<SchedulerRequest> | null;
     return (
       typeof request === 'object' &&
       request !== null &&
@@ -43,7 +48,7 @@
       typeof request.prefix === 'string' &&
       Array.isArray(request.offers) &&
       request.offers.length > 0 &&
-      request.offers.length <= DeskMessages.mostOffers &&
+      request.offers.length <= SchedulerMessages.maxOffers &&
       request.offers.every(
         (offer: unknown) =>
           Array.isArray(offer) &&
@@ -54,8 +59,8 @@
     );
   },
 
-  isWord: (value: unknown): value is DeskWord => {
-    const decision = value as Partial<DeskWord> | null;
+  isDecision: (value: unknown): value is SchedulerDecision => {
+    const decision = value as Partial<SchedulerDecision> | null;
     return (
       typeof decision === 'object' &&
       decision !== null &&
--- a/source/shared/schema/schema.ts
+++ b/source/shared/schema/schema.ts
@@ -12,7 +12,7 @@
       : Value;
 
 /** The type of the values of a schema. */
-export type Of<Type extends TSchema> = Received<Static<Type>>;
+export type ValueOf<Type extends TSchema> = Received<Static<Type>>;
 
 /** A schema that is compiled on first use because a process receives only a few of the messages that it knows. */
 export class Schema<Type extends TSchema> {
@@ -20,7 +20,7 @@
 
   public constructor(public readonly type: Type) {}
 
-  public is(value: unknown): value is Of<Type> {
+  public is(value: unknown): value is ValueOf<Type> {
     return this.check().Check(value);
   }
 
--- a/source/shared/settings/program.ts
+++ b/source/shared/settings/program.ts
@@ -15,19 +15,20 @@
     process.on('SIGHUP', () => undefined);
     start().catch((error: unknown) => {
       const code = (error as { code?: string }).code;
-      const message = code === 'EADDRINUSE' ? `the address is in use (${Logs.text(error)})` : Logs.text(error);
+      const message =
+        code === 'EADDRINUSE' ? `the address is in use (${Logs.errorMessage(error)})` : Logs.errorMessage(error);
       process.stderr.write(`${program}: ${message}\n`);
       process.exit(1);
     });
   },
 
   /** Calls `look` on SIGHUP, which signals that the settings may have changed. */
-  onHup: (look: () => Promise<void>): void => {
-    process.on('SIGHUP', () => void look());
+  onReload: (reload: () => Promise<void>): void => {
+    process.on('SIGHUP', () => void reload());
   },
 
   /** On SIGTERM and SIGINT, finishes accepted work and exits; exits with code 3 when the limit has passed. */
-  onTerm: (limitMicroseconds: number, finish: () => Promise<void>): void => {
+  onShutdown: (limitMicroseconds: number, finish: () => Promise<void>): void => {
     let stopping = false;
     const term = (): void => {
       if (stopping) return;
--- a/source/shared/settings/settings.ts
+++ b/source/shared/settings/settings.ts
@@ -114,7 +114,7 @@
       checker.validate({ allowed: 'strict' });
       return checker.getProperties();
     } catch (error) {
-      return exitWithUsageError(`the settings are wrong: ${Logs.text(error).replace(/\s*\n\s*/g, '; ')}`);
+      return exitWithUsageError(`the settings are wrong: ${Logs.errorMessage(error).replace(/\s*\n\s*/g, '; ')}`);
     }
   },
 } as const;
--- a/source/shared/settings/settingsChange.ts
+++ b/source/shared/settings/settingsChange.ts
@@ -14,7 +14,7 @@
 /** Compares changed settings with those in effect. */
 export const SettingsChanges = {
   /** Applies the fields that may change while a program runs, and leaves the rest unchanged. */
-  of: <Settings extends Fields>(
+  apply: <Settings extends Fields>(
     before: Settings,
     after: Settings,
     changeable: readonly (keyof Settings & string)[],
@@ -31,7 +31,7 @@
   },
 
   /** Describes the change for the log; undefined if no setting of this program changed. */
-  sentence: ({ taken, waiting }: Omit<SettingsChange<Fields>, 'settings'>): string | undefined => {
+  describe: ({ taken, waiting }: Omit<SettingsChange<Fields>, 'settings'>): string | undefined => {
     const parts = [
       ...(taken.length > 0 ? [`in force now: ${taken.join(', ')}`] : []),
       ...(waiting.length > 0 ? [`only after a restart: ${waiting.join(', ')}`] : []),
--- a/source/shared/settings/settingsWatch.ts
+++ b/source/shared/settings/settingsWatcher.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../log/log';
 
 /** The result of parsing settings. */
-export type SettingsFound<Value> =
+export type SettingsParseResult<Value> =
   Readonly<{ kind: 'read'; settings: Value }> | Readonly<{ kind: 'wrong'; sentence: string }>;
 
 /** The source of a program's settings: a text that may change while the program runs, and its parser. */
@@ -13,7 +13,7 @@
   readonly text: () => string | undefined;
   /** A version mark that changes whenever the text may have changed and is cheaper to read; missing: the text is compared. */
   readonly mark?: () => string;
-  readonly parse: (text: string) => SettingsFound<Value>;
+  readonly parse: (text: string) => SettingsParseResult<Value>;
 }
 
 /** The file is polled because it may change without a signal. Every 10th poll ignores the mark because a restored file may have the old one. */
@@ -24,8 +24,8 @@
  * Checks periodically and on demand whether the settings have changed. An invalid text is logged once because it may be
  * half written; the settings in effect remain until a valid text is there.
  */
-export class SettingsWatch<Value> {
-  public readonly news = new Emittery<{ changed: Value }>();
+export class SettingsWatcher<Value> {
+  public readonly events = new Emittery<{ changed: Value }>();
   private readonly ticker: Ticker;
   private mark: string | undefined;
   private polls = 0;
@@ -54,13 +54,13 @@
     this.ticker.stop();
   }
 
-  public async look(): Promise<void> {
+  public async check(): Promise<void> {
     const text = this.source.text();
     if (text === undefined || text === this.currentText) return;
     this.currentText = text;
     const found = this.source.parse(text);
     if (found.kind === 'wrong') this.notice(`The changed settings are wrong and not taken: ${found.sentence}`);
-    else await this.news.emit('changed', found.settings);
+    else await this.events.emit('changed', found.settings);
   }
 
   /** Periodic check: reads the text only if its mark has changed, or on every 10th poll. */
@@ -70,6 +70,6 @@
     const mark = this.source.mark?.();
     if (mark !== undefined && mark === this.mark && this.polls % fullReadEveryPolls !== 0) return;
     this.mark = mark;
-    await this.look();
+    await this.check();
   }
 }
--- a/source/shared/weights/weightsRounds.ts
+++ b/source/shared/weights/weightsRollout.ts
@@ -1,18 +1,20 @@
 import type { WeightsSince } from '../freshness/freshness';
-import type { EngineFact } from '../news/factTypes';
+import type { EngineEntry } from '../gossip/entryTypes';
 import { Rendezvous } from '../rendezvous/rendezvous';
 
 /** The part of the time limit that the rounds may take; the rest is a reserve for failures. */
 const rolloutPerMille = 550;
 
 /** The order and timing in which the engines of a pool load new weights. */
-export const WeightsRounds = {
+export const WeightsRollout = {
   /** How many engines change at once: about a quarter of the pool, so that the others carry the load and loading stays fast. */
-  width: (engines: number): number => (engines <= 3 ? 1 : Math.max(2, Math.floor(engines / 4))),
+  roundSize: (engines: number): number => (engines <= 3 ? 1 : Math.max(2, Math.floor(engines / 4))),
 
   /** The round of an engine; every engine controller computes the same one. */
   roundOf: (engine: string, service: string, weights: string, engines: readonly string[]): number =>
-    Math.floor(Rendezvous.rank(`weights/${service}/${weights}`, engine, engines) / WeightsRounds.width(engines.length)),
+    Math.floor(
+      Rendezvous.rank(`weights/${service}/${weights}`, engine, engines) / WeightsRollout.roundSize(engines.length),
+    ),
 
   /** All engines of a pool in the order in which they change. */
   order: (service: string, weights: string, engines: readonly string[]): readonly string[] =>
@@ -22,8 +24,8 @@
    * The engines that change now or next and are not known to have changed. The next ones are included because the
    * controllers that wait for a change may learn of it earlier than this process.
    */
-  soon: (order: readonly string[], hasChanged: (engine: string) => boolean): readonly string[] => {
-    const width = WeightsRounds.width(order.length);
+  upcomingEngines: (order: readonly string[], hasChanged: (engine: string) => boolean): readonly string[] => {
+    const width = WeightsRollout.roundSize(order.length);
     const first = order.findIndex((engine) => !hasChanged(engine));
     if (first < 0) return [];
     return order.slice(first, first + 2 * width).filter((engine) => !hasChanged(engine));
@@ -36,7 +38,7 @@
   isDue: (
     engine: string,
     intended: WeightsSince,
-    pool: Readonly<Record<string, EngineFact | undefined>>,
+    pool: Readonly<Record<string, EngineEntry | undefined>>,
     service: string,
     nowMicroseconds: number,
     limitMicroseconds: number,
@@ -48,8 +50,8 @@
     // The start of the change is unknown, so no time may be left: the engine changes at once.
     if (intended.sinceMicroseconds === null) return true;
     // The order is computed once per call because each engine of a possibly large pool calls this.
-    const order = WeightsRounds.order(service, intended.weights, engines);
-    const width = WeightsRounds.width(engines.length);
+    const order = WeightsRollout.order(service, intended.weights, engines);
+    const width = WeightsRollout.roundSize(engines.length);
     const place = order.indexOf(engine);
     const round = Math.floor(place / width);
     const startMicroseconds = Math.max(intended.sinceMicroseconds, mayFromMicroseconds);
--- a/source/stand-in-app/main.ts
+++ b/source/stand-in-app/main.ts
@@ -1,7 +1,7 @@
 import { createWriteStream } from 'node:fs';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { BackEndHeaders } from '../shared/back-end/protocol';
-import { HttpDoors, HttpLimits, Replies } from '../shared/http/httpDoor';
+import { HttpApiServers, HttpLimits, Replies } from '../shared/http/httpApiServer';
 import { Programs } from '../shared/settings/program';
 import { SettingFormats, Settings, type SettingSchema } from '../shared/settings/settings';
 import { Answers } from '../stand-in-engine/standInEngine';
@@ -21,10 +21,10 @@
   );
   const file =
     String(settings['record']) === '' ? undefined : createWriteStream(String(settings['record']), { flags: 'a' });
-  const door = await HttpDoors.open(String(settings['address']), HttpLimits.usual, (service) => {
+  const door = await HttpApiServers.open(String(settings['address']), HttpLimits.usual, (service) => {
     service.all('/*', async (given, response) => {
       const order = given as unknown as IncomingMessage;
-      const body = await HttpDoors.body(order, 4 * 1024 * 1024);
+      const body = await HttpApiServers.readText(order, 4 * 1024 * 1024);
       const text = body.kind === 'read' ? body.text : '';
       file?.write(
         `${JSON.stringify({ engine: String(settings['name']), order: order.headers[BackEndHeaders.order] ?? '', nonce: Answers.nonce(text), tenant: order.headers[BackEndHeaders.tenant] ?? '', blocks: [], ended: 'whole', parts: 1, weightsAtStart: '', weightsAtEnd: '' })}\n`,
@@ -36,5 +36,5 @@
       });
     });
   });
-  Programs.onTerm(5_000_000, () => door.drain());
+  Programs.onShutdown(5_000_000, () => door.drain());
 });
--- a/source/stand-in-engine/engineHttp.ts
+++ b/source/stand-in-engine/engineHttp.ts
@@ -1,7 +1,13 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { request } from 'undici';
 import { Paths, type Directive } from '../shared/back-end/protocol';
-import { HttpDoors, HttpLimits, Replies, type HttpDoor, type HttpService } from '../shared/http/httpDoor';
+import {
+  HttpApiServers,
+  HttpLimits,
+  Replies,
+  type HttpApiServer,
+  type HttpService,
+} from '../shared/http/httpApiServer';
 import type { KvBlock, KvHolder } from './kvHolder';
 import type { EngineSink, KvNeighbours, StandInEngine } from './standInEngine';
 
@@ -32,7 +38,7 @@
 
 const raw = (response: unknown): ServerResponse => response as ServerResponse;
 const textOf = async (order: unknown): Promise<string> => {
-  const body = await HttpDoors.body(order as IncomingMessage, 16 * 1024 * 1024);
+  const body = await HttpApiServers.readText(order as IncomingMessage, 16 * 1024 * 1024);
   return body.kind === 'read' ? body.text : '';
 };
 
@@ -62,8 +68,8 @@
 });
 
 export const EngineHttp = {
-  open: (engine: StandInEngine, address: string): Promise<HttpDoor> =>
-    HttpDoors.open(address, HttpLimits.usual, (service) => {
+  open: (engine: StandInEngine, address: string): Promise<HttpApiServer> =>
+    HttpApiServers.open(address, HttpLimits.usual, (service) => {
       kvRoutes(service, () => engine.kv);
       service.get(Paths.status, (_order, response) => Replies.json(raw(response), 200, engine.status()));
       service.post(Paths.directive, async (order, response) => {
--- a/source/stand-in-engine/main.ts
+++ b/source/stand-in-engine/main.ts
@@ -61,5 +61,5 @@
     (line) => void file?.write(`${JSON.stringify(line)}\n`),
   );
   const door = await EngineHttp.open(engine, String(settings['address']));
-  Programs.onTerm(5_000_000, () => door.drain());
+  Programs.onShutdown(5_000_000, () => door.drain());
 });
--- a/source/stand-in-store/main.ts
+++ b/source/stand-in-store/main.ts
@@ -2,7 +2,7 @@
 import { Paths } from '../shared/back-end/protocol';
 import { realClock } from '../shared/effects/clock/realClock';
 import { realRandom } from '../shared/effects/random/random';
-import { HttpDoors, HttpLimits, Replies } from '../shared/http/httpDoor';
+import { HttpApiServers, HttpLimits, Replies } from '../shared/http/httpApiServer';
 import { Programs } from '../shared/settings/program';
 import { SettingFormats, Settings, type SettingSchema } from '../shared/settings/settings';
 import { kvRoutes } from '../stand-in-engine/engineHttp';
@@ -23,7 +23,7 @@
   const kv = new KvHolder(realRandom.name(), Number(settings['mostBlocks']), realRandom, () =>
     realClock.nowMicroseconds(),
   );
-  const door = await HttpDoors.open(String(settings['address']), HttpLimits.usual, (service) => {
+  const door = await HttpApiServers.open(String(settings['address']), HttpLimits.usual, (service) => {
     kvRoutes(service, () => kv);
     service.get(Paths.status, (_order, response) =>
       Replies.json(response as unknown as ServerResponse, 200, {
@@ -35,11 +35,11 @@
       }),
     );
     service.put(Paths.exports, async (order, response) => {
-      const body = await HttpDoors.body(order as unknown as IncomingMessage, 16 * 1024 * 1024);
+      const body = await HttpApiServers.readText(order as unknown as IncomingMessage, 16 * 1024 * 1024);
       if (body.kind === 'read')
         for (const block of (JSON.parse(body.text) as { blocks: readonly KvBlock[] }).blocks) kv.keep(block);
       Replies.json(response as unknown as ServerResponse, 200, { kept: kv.size });
     });
   });
-  Programs.onTerm(5_000_000, () => door.drain());
+  Programs.onShutdown(5_000_000, () => door.drain());
 });
--- a/source/stand-in-user-agents/standInUserAgents.ts
+++ b/source/stand-in-user-agents/standInUserAgents.ts
@@ -64,7 +64,7 @@
         this.made += 1;
         const kind = pickByShare(plan.kinds, this.random);
         const tenant = pickByShare(plan.tenants, this.random);
-        const proxy = Randoms.pick(this.random, plan.proxies);
+        const proxy = Randoms.pickOne(this.random, plan.proxies);
         if (kind === undefined || tenant === undefined || proxy === undefined) return;
         record(await this.call(proxy, kind, tenant, `${plan.seed}-${this.made}-${this.random.name().slice(0, 6)}`));
       }
--- a/tests/answer-pace.test.ts
+++ b/tests/adaptive-batch-size.test.ts
@@ -1,35 +1,39 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import { ShardMarks, ShardNews, type ShardHead } from '../source/shared/directory/shardNews';
-import { AnswerPace, AnswerPaces, entryPace } from '../source/shared/pace/answerPace';
+import { ShardPositions, ShardIndex, type ShardHead } from '../source/shared/directory/shardIndex';
+import {
+  AdaptiveBatchSize,
+  AdaptiveBatchSizes,
+  entryBatchSettings,
+} from '../source/shared/flow-control/adaptiveBatchSize';
 
 const limitMicroseconds = 500_000;
 
 describe('adaptive batch size of the requests to one daemon', () => {
   test('doubles after a fast answer, halves after a slow one, falls to the minimum after a timeout', () => {
-    const pace = new AnswerPace();
-    assert.equal(pace.amount, entryPace.first);
-    for (let turn = 0; turn < 9; turn += 1) pace.answered(5_000, limitMicroseconds);
-    assert.equal(pace.amount, entryPace.most);
-    pace.answered(150_000, limitMicroseconds);
-    assert.equal(pace.amount, entryPace.most, 'neither fast nor slow');
-    pace.answered(400_000, limitMicroseconds);
-    assert.equal(pace.amount, entryPace.most / 2);
-    pace.silent();
-    assert.equal(pace.amount, entryPace.least);
-    pace.answered(400_000, limitMicroseconds);
-    assert.equal(pace.amount, entryPace.least);
+    const pace = new AdaptiveBatchSize();
+    assert.equal(pace.amount, entryBatchSettings.initialAmount);
+    for (let turn = 0; turn < 9; turn += 1) pace.recordAnswer(5_000, limitMicroseconds);
+    assert.equal(pace.amount, entryBatchSettings.maxAmount);
+    pace.recordAnswer(150_000, limitMicroseconds);
+    assert.equal(pace.amount, entryBatchSettings.maxAmount, 'neither fast nor slow');
+    pace.recordAnswer(400_000, limitMicroseconds);
+    assert.equal(pace.amount, entryBatchSettings.maxAmount / 2);
+    pace.recordTimeout();
+    assert.equal(pace.amount, entryBatchSettings.minAmount);
+    pace.recordAnswer(400_000, limitMicroseconds);
+    assert.equal(pace.amount, entryBatchSettings.minAmount);
   });
 
   test('each address has its own, and the least recently used address is dropped', () => {
-    const paces = new AnswerPaces(2);
-    paces.of('a').silent();
+    const paces = new AdaptiveBatchSizes(2);
+    paces.of('a').recordTimeout();
     paces.of('b');
-    assert.equal(paces.of('a').amount, entryPace.least);
+    assert.equal(paces.of('a').amount, entryBatchSettings.minAmount);
     paces.of('c');
     paces.of('b');
-    assert.equal(paces.of('a').amount, entryPace.first);
+    assert.equal(paces.of('a').amount, entryBatchSettings.initialAmount);
   });
 });
 
@@ -44,19 +48,19 @@
   maxBlocks: fc.integer({ min: 1, max: 4 }),
 });
 
-const entriesOf = (shard: ShardNews): readonly string[] =>
+const entriesOf = (shard: ShardIndex): readonly string[] =>
   shard
     .entries()
     .map(({ physical, size }) => `${physical}/${String(size)}`)
     .sort();
 
 /** One request and its answer. */
-const pull = (from: ShardNews, to: ShardNews, maxBlocks: number): void => {
-  const change = from.since(ShardMarks.of(to.present), maxBlocks);
+const pull = (from: ShardIndex, to: ShardIndex, maxBlocks: number): void => {
+  const change = from.changesSince(ShardPositions.of(to.present), maxBlocks);
   if (change !== undefined) to.apply(change);
 };
 
-const pullAll = (from: ShardNews, to: ShardNews, maxBlocks: number): void => {
+const pullAll = (from: ShardIndex, to: ShardIndex, maxBlocks: number): void => {
   for (let asked = 0; asked < 60; asked += 1) pull(from, to, maxBlocks);
 };
 
@@ -64,9 +68,9 @@
   test('follower and relay end with exactly the blocks of the controller, whatever changes meanwhile and whichever source is asked', () => {
     fc.assert(
       fc.property(fc.array(stepOf, { maxLength: 80 }), fc.integer({ min: 1, max: 4 }), (steps, maxBlocks) => {
-        const controller = new ShardNews(head);
-        const relay = new ShardNews({ ...head, version: -1 });
-        const follower = new ShardNews({ ...head, version: -1 });
+        const controller = new ShardIndex(head);
+        const relay = new ShardIndex({ ...head, version: -1 });
+        const follower = new ShardIndex({ ...head, version: -1 });
         for (const step of steps) {
           if (step.kind === 'put') controller.put(keyOf(step.name, step.size));
           else if (step.kind === 'remove') controller.remove(`p${step.name}`);
@@ -84,13 +88,13 @@
   });
 
   test('a snapshot of many blocks arrives in parts, and its last part removes what was removed since the first', () => {
-    const controller = new ShardNews(head);
+    const controller = new ShardIndex(head);
     for (let name = 0; name < 100; name += 1) controller.put(keyOf(name, 1));
-    const other = new ShardNews({ ...head, epoch: 0 });
+    const other = new ShardIndex({ ...head, epoch: 0 });
     pull(controller, other, 40);
     assert.equal(other.size, 40);
     assert.ok(other.present.framedAt !== undefined);
-    assert.equal(other.since(undefined), undefined, 'an incomplete snapshot is not passed on');
+    assert.equal(other.changesSince(undefined), undefined, 'an incomplete snapshot is not passed on');
     controller.remove('p3');
     controller.remove('p90');
     for (const expected of [80, 98]) {
--- a/tests/feed-second-answer.test.ts
+++ b/tests/agent-answer-lost.test.ts
@@ -8,7 +8,7 @@
 import { World } from '../source/fleet-simulator/world/world';
 import type { BackEndSender } from '../source/shared/back-end/protocol';
 import { Clocks } from '../source/shared/effects/clock/clock';
-import type { Answer, Message, Transport } from '../source/shared/effects/transport/transport';
+import type { RequestOutcome, Message, Transport } from '../source/shared/effects/transport/transport';
 
 const fleet = 'fleet-a';
 const latencyMicroseconds = 20_000;
@@ -31,7 +31,7 @@
 
 const gossipRequestTimes = async (world: World): Promise<readonly number[]> => {
   const times: number[] = [];
-  const ask = async (_address: string, message: Message, limitMicroseconds: number): Promise<Answer> => {
+  const ask = async (_address: string, message: Message, limitMicroseconds: number): Promise<RequestOutcome> => {
     if (message.kind === 'news') {
       times.push(world.nowMicroseconds);
       await Clocks.wait(world.clock, latencyMicroseconds);
--- a/tests/agent-cache-holders.test.ts
+++ b/tests/agent-cache-holders.test.ts
@@ -3,10 +3,10 @@
 import { test } from 'node:test';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 import { World } from '../source/fleet-simulator/world/world';
-import type { EngineList } from '../source/shared/blueprint/types';
+import type { EngineList } from '../source/shared/configuration/types';
 import { Holders } from '../source/shared/directory/holders';
 import { Freshness } from '../source/shared/freshness/freshness';
-import { WeightsClocks } from '../source/shared/weights/weightsClocks';
+import { WeightsDeadlines } from '../source/shared/weights/weightsDeadlines';
 
 const engines: EngineList = {
   engines: {
@@ -24,7 +24,7 @@
 });
 
 test('cache holders are the listed engines and stores and the configured stores, but no apps', () => {
-  const blueprint = { ...SimBlueprints.first(), stores: { far: storeAt('10.0.0.4:1'), s: storeAt('10.0.0.5:1') } };
+  const blueprint = { ...SimBlueprints.initial(), stores: { far: storeAt('10.0.0.4:1'), s: storeAt('10.0.0.5:1') } };
   const holders = Holders.of(engines, blueprint as never);
   assert.deepEqual(Object.keys(holders).sort(), ['a', 'far', 's']);
   assert.deepEqual(holders['far'], {
@@ -42,12 +42,12 @@
   const world = new World(1);
   const ownList = new Freshness(world.clock);
   const outsideList = new Freshness(world.clock, undefined, 'listed');
-  const text = JSON.stringify(SimBlueprints.first());
+  const text = JSON.stringify(SimBlueprints.initial());
   const digest = createHash('sha256').update(text).digest('hex').slice(0, 32);
   for (const freshness of [ownList, outsideList]) {
     assert.equal(freshness.ageMicroseconds(), Infinity);
-    freshness.hear({ key: 'blueprint', revision: 1, digest, ageMicroseconds: 5, weights: {} }, 0);
-    assert.equal(freshness.give({ key: 'blueprint', revision: 1, digest, text }), true);
+    freshness.applyStatement({ key: 'blueprint', revision: 1, digest, ageMicroseconds: 5, weights: {} }, 0);
+    assert.equal(freshness.applyBody({ key: 'blueprint', revision: 1, digest, text }), true);
   }
   assert.equal(ownList.ageMicroseconds(), Infinity, 'without an outside source it counts');
   assert.equal(outsideList.ageMicroseconds(), 5);
@@ -55,13 +55,13 @@
 });
 
 test('the times of a weights change have their defaults for 12 s and follow another limit', () => {
-  assert.deepEqual(WeightsClocks.usual, {
+  assert.deepEqual(WeightsDeadlines.usual, {
     cutMicroseconds: 11_000_000,
     drainUntilMicroseconds: 9_500_000,
     secondRoundMicroseconds: 5_000_000,
   });
-  assert.deepEqual(WeightsClocks.within(12_000_000), WeightsClocks.usual);
-  assert.deepEqual(WeightsClocks.within(8_000_000), {
+  assert.deepEqual(WeightsDeadlines.forLimit(12_000_000), WeightsDeadlines.usual);
+  assert.deepEqual(WeightsDeadlines.forLimit(8_000_000), {
     cutMicroseconds: 7_000_000,
     drainUntilMicroseconds: 5_500_000,
     secondRoundMicroseconds: 3_333_333,
--- a/tests/agent-engine-list.test.ts
+++ b/tests/agent-engine-list.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { EngineListDefaults, EngineListKeeper } from '../source/edge-agent/engine-list/engineListKeeper';
+import { EngineListDefaults, EngineListReader } from '../source/edge-agent/engine-list/engineListReader';
 import type { EngineLister, ListedEngine, ListPage } from '../source/edge-agent/engine-list/engineLister';
 import { World } from '../source/fleet-simulator/world/world';
 import { Freshness } from '../source/shared/freshness/freshness';
-import { HeldFleet } from './support/heldFleet';
+import { LongPollFleet } from './support/longPollFleet';
 
 const engine = (name: string, number: number, more: Partial<ListedEngine> = {}): ListedEngine => ({
   name,
@@ -18,7 +18,7 @@
 });
 
 type ReaderSetup = Readonly<{
-  reader: EngineListKeeper;
+  reader: EngineListReader;
   freshness: Freshness;
   world: World;
   setResponses: (...answers: readonly (ListPage | undefined)[]) => void;
@@ -39,13 +39,13 @@
       return Promise.resolve(answers.shift());
     },
   };
-  const reader = new EngineListKeeper(
+  const reader = new EngineListReader(
     lister,
     known,
     () => term,
     world.clock,
     world.random,
-    { ...EngineListDefaults, mostPages: 4 },
+    { ...EngineListDefaults, maxPages: 4 },
     () => 3,
     () => undefined,
   );
@@ -235,7 +235,7 @@
   await reader.read();
   assert.deepEqual(names(), ['a']);
   let term: number | undefined = 1;
-  const slow = new EngineListKeeper(
+  const slow = new EngineListReader(
     {
       page: () => {
         term = undefined;
@@ -270,19 +270,19 @@
   assert.ok(freshness.revision('engines') > otherRevision, 'although the text is the same');
 });
 
-const knownEngines = (fleet: HeldFleet): readonly (readonly string[])[] =>
+const knownEngines = (fleet: LongPollFleet): readonly (readonly string[])[] =>
   fleet.agents.flatMap(({ process, agent }) =>
     process.alive ? [Object.keys(agent.freshness.engines?.engines ?? {})] : [],
   );
 
 test('in a fleet one agent reads, all know a change within 1.5 s, and no agent reverts when the lease holder changes', async () => {
   for (const seed of [1, 2, 3]) {
-    const fleet = new HeldFleet(new World(seed), 5);
+    const fleet = new LongPollFleet(new World(seed), 5);
     const names = fleet.addEngines(3);
     await fleet.start();
     const { world, engines } = fleet;
     assert.ok(await world.runUntil(() => knownEngines(fleet).every((all) => all.length === 3), 12_000_000));
-    assert.ok(await world.runUntil(() => fleet.settled(names), 12_000_000));
+    assert.ok(await world.runUntil(() => fleet.hasAllLeaseHolders(names), 12_000_000));
     const revisions = new Map<string, number>();
     const assertNoRevert = (): void => {
       for (const { name, process, agent } of fleet.agents) {
@@ -299,7 +299,7 @@
     );
     assert.ok(allKnow, `seed ${seed}`);
     for (let turn = 0; turn < 3; turn += 1) {
-      const lister = fleet.lister();
+      const lister = fleet.listReader();
       assert.ok(lister !== undefined);
       // The lease holder is frozen while it reads, and must not publish after it resumes.
       lister.process.freeze();
@@ -308,7 +308,7 @@
         await world.runFor(100_000);
         assertNoRevert();
       }
-      lister.process.thaw();
+      lister.process.unfreeze();
       await world.runFor(1_000_000);
       assertNoRevert();
       assert.ok(
@@ -324,12 +324,12 @@
 });
 
 test('engines stay in use while the list service is unavailable', async () => {
-  const fleet = new HeldFleet(new World(5), 3);
+  const fleet = new LongPollFleet(new World(5), 3);
   fleet.addEngines(2);
   await fleet.start();
   assert.ok(await fleet.world.runUntil(() => knownEngines(fleet).every((all) => all.length === 2), 12_000_000));
-  fleet.engines.listAnswer = () => undefined;
+  fleet.engines.listOverride = () => undefined;
   await fleet.world.runFor(20_000_000);
   assert.ok(knownEngines(fleet).every((all) => all.length === 2));
-  assert.ok(fleet.stewardOf('engine-1') !== undefined);
+  assert.ok(fleet.controllerOf('engine-1') !== undefined);
 });
--- a/tests/agent-news.test.ts
+++ b/tests/agent-gossip.test.ts
@@ -4,22 +4,22 @@
 import { SimNetwork } from '../source/fleet-simulator/world/simNetwork';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import { World } from '../source/fleet-simulator/world/world';
-import { ShardBook } from '../source/shared/directory/shardBook';
-import { ShardNews } from '../source/shared/directory/shardNews';
+import { ShardCatalog } from '../source/shared/directory/shardCatalog';
+import { ShardIndex } from '../source/shared/directory/shardIndex';
 import type { Message, Transport } from '../source/shared/effects/transport/transport';
 import { FleetName } from '../source/shared/fleet/fleetName';
 import { FleetTransport } from '../source/shared/fleet/fleetTransport';
 import { Freshness } from '../source/shared/freshness/freshness';
-import { entryPace } from '../source/shared/pace/answerPace';
-import { FactBook, FactLimits, type Fact } from '../source/shared/news/facts';
-import { NewsExchange } from '../source/shared/news/newsExchange';
-import { Pulses } from '../source/shared/news/pulses';
-import { HeldFleet, type HeldAgent } from './support/heldFleet';
+import { entryBatchSettings } from '../source/shared/flow-control/adaptiveBatchSize';
+import { GossipStore, GossipLimits, type GossipEntry } from '../source/shared/gossip/gossipStore';
+import { GossipExchange } from '../source/shared/gossip/gossipExchange';
+import { HolderHeartbeats } from '../source/shared/gossip/holderHeartbeats';
+import { LongPollFleet, type LongPollAgent } from './support/longPollFleet';
 
 type Side = Readonly<{
-  facts: FactBook;
-  shards: ShardBook;
-  exchange: NewsExchange;
+  facts: GossipStore;
+  shards: ShardCatalog;
+  exchange: GossipExchange;
   asked: Message[];
   listen: () => void;
   end: () => void;
@@ -47,15 +47,15 @@
       },
     };
     const transport = new FleetTransport(noted, () => fleet.name);
-    const facts = new FactBook();
-    const shards = new ShardBook();
-    const exchange = new NewsExchange(
-      { fleet, facts, shards, freshness: new Freshness(world.clock), pulses: new Pulses(world.clock) },
+    const facts = new GossipStore();
+    const shards = new ShardCatalog();
+    const exchange = new GossipExchange(
+      { fleet, facts, shards, freshness: new Freshness(world.clock), pulses: new HolderHeartbeats(world.clock) },
       { clock: world.clock, random: world.random, transport },
     );
     const listen = (): void =>
       void transport.listen(`${name}:1`, (message) =>
-        Promise.resolve(message.kind === 'news' ? exchange.answer(message) : exchange.more(message)),
+        Promise.resolve(message.kind === 'news' ? exchange.answer(message) : exchange.answerPush(message)),
       );
     return { facts, shards, exchange, asked, listen, end: () => process.kill() };
   };
@@ -70,7 +70,7 @@
   await world.runFor(100_000);
   assert.equal(await done, true);
 };
-const fact = (key: string, minor: number): Fact => ({ key, version: [1, minor], value: `${key}@${minor}` });
+const fact = (key: string, minor: number): GossipEntry => ({ key, version: [1, minor], value: `${key}@${minor}` });
 const entriesOf = ({ facts }: Side): readonly string[] =>
   ['a/', 'b/', 'c/'].flatMap((kind) => facts.withPrefix(kind).map(({ key, version }) => `${key}@${version[1]}`)).sort();
 
@@ -112,7 +112,7 @@
 
 test('changes of an index are sent in both directions, and only where one side is behind', async () => {
   const { world, one, two } = sides();
-  const shard = new ShardNews({ holder: 'e', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 });
+  const shard = new ShardIndex({ holder: 'e', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 });
   one.shards.set('e', shard);
   shard.put({ physical: 's/a', logical: 'a', name: 's/a', size: 600 });
   await runExchange(world, one, 'two');
@@ -150,7 +150,7 @@
         if (item.kind === 'put') two.facts.put(fact(item.name, item.minor));
         else if (item.kind === 'forget') two.facts.forget('c/w');
         else {
-          const restore = item.kind === 'lost' ? network.cut('two', 'one') : undefined;
+          const restore = item.kind === 'lost' ? network.cutLink('two', 'one') : undefined;
           assert.equal(await follows(world, one, 'two'), item.kind === 'ask');
           restore?.();
         }
@@ -191,14 +191,14 @@
 test('a store with very many entries is followed in parts without omissions', async () => {
   const { world, one, two } = sides();
   assert.ok(await follows(world, one, 'two'));
-  for (let number = 0; number < FactLimits.perMessage * 2 + 5; number += 1) two.facts.put(fact(`a/${number}`, 1));
+  for (let number = 0; number < GossipLimits.perMessage * 2 + 5; number += 1) two.facts.put(fact(`a/${number}`, 1));
   // The adaptive batch size bounds each part: a fast answer doubles the next one, up to the maximum.
-  const rounds = Math.ceil(two.facts.size / entryPace.most) + 1;
+  const rounds = Math.ceil(two.facts.size / entryBatchSettings.maxAmount) + 1;
   for (let round = 1; round <= rounds; round += 1) {
     const before = one.facts.size;
     assert.ok(await follows(world, one, 'two'));
     const added = one.facts.size - before;
-    assert.ok(added > 0 && added <= entryPace.most, `round ${round}: ${added}`);
+    assert.ok(added > 0 && added <= entryBatchSettings.maxAmount, `round ${round}: ${added}`);
     if (one.facts.size === two.facts.size) break;
   }
   assert.equal(one.facts.size, two.facts.size);
@@ -212,7 +212,7 @@
     assert.equal(followed.kind, 'newsBack');
     const answer = one.exchange.answer({ kind: 'news', fleet: 'f', sums: malformed, marks: {}, revisions: {} });
     assert.equal(answer.kind, 'newsBack');
-    const more = one.exchange.more({
+    const more = one.exchange.answerPush({
       kind: 'newsMore',
       fleet: 'f',
       facts: malformed,
@@ -226,18 +226,18 @@
 
 test('few agents read the control nodes for all, and a change is still applied everywhere within a second', async () => {
   const bytesRead = async (intervalMicroseconds: number): Promise<number> => {
-    const fleet = new HeldFleet(new World(3), 9, { sharedReadMicroseconds: intervalMicroseconds });
+    const fleet = new LongPollFleet(new World(3), 9, { sharedReadMicroseconds: intervalMicroseconds });
     const names = fleet.addEngines(3);
     await fleet.start();
-    assert.ok(await fleet.world.runUntil(() => fleet.settled(names), 12_000_000));
+    assert.ok(await fleet.world.runUntil(() => fleet.hasAllLeaseHolders(names), 12_000_000));
     await fleet.world.runFor(2_000_000);
-    const { network } = fleet.keepers;
+    const { network } = fleet.controlFleet;
     const bytes = network.bytes;
     await fleet.world.runFor(5_000_000);
     const cost = network.bytes - bytes;
     for (const weights of ['w2', 'w3', 'w4']) {
-      await fleet.name(weights);
-      const applied = ({ agent }: HeldAgent): boolean => {
+      await fleet.configureWeights(weights);
+      const applied = ({ agent }: LongPollAgent): boolean => {
         const pool = agent.freshness.blueprint?.services['pool'];
         return pool?.kind === 'pool' && pool.weights === weights;
       };
--- a/tests/feed-volume.test.ts
+++ b/tests/agent-traffic-volume.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { makeBusy, type Elsewhere } from './support/busyFleet';
-import { blueprintOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
+import { makeBusy, type BackgroundLoad } from './support/backgroundLoad';
+import { configurationOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
 /** 7 Mbit/s, the link capacity of an edge machine. */
 const linkBytesPerSecond = 875_000;
 /** One zone of a fleet of 195 proxies, with three agents for its proxies. */
 const zone = { edges: 39, agents: 3 } as const;
-const elsewhere: Elsewhere = { proxies: 156, engines: 41, loadsPerSecond: 145, partsPerSecond: 215 };
+const elsewhere: BackgroundLoad = { proxies: 156, engines: 41, loadsPerSecond: 145, partsPerSecond: 215 };
 const settleMicroseconds = 3_000_000;
 /** Time until the failure of an agent is detected and its proxies use other agents. */
 const failoverMicroseconds = 4_000_000;
@@ -24,7 +24,7 @@
 };
 
 const agentBytes = ({ fleet }: FedFleet): readonly number[] =>
-  fleet.edges.filter((edge) => fleet.hasAgent(edge)).map(({ machine }) => fleet.network.bytesFrom(machine));
+  fleet.edges.filter((edge) => fleet.hasAgent(edge)).map(({ machine }) => fleet.network.bytesSentBy(machine));
 
 describe('traffic from agents to the proxies of a large fleet', () => {
   test('uses less than half of the link of an agent under steady load', async () => {
@@ -43,7 +43,7 @@
       for (const index of [0, 1]) fed.fleet.edge(index).agentProcess.kill();
       await fed.world.runFor(failoverMicroseconds);
       for (const weights of ['w2', 'w3', 'w4']) {
-        assert.ok((await fed.fleet.take('blueprint', blueprintOf(routes, weights))) !== undefined);
+        assert.ok((await fed.fleet.changeUntilAccepted('blueprint', configurationOf(routes, weights))) !== undefined);
         await fed.world.runFor(changePauseMicroseconds);
       }
       await fed.world.runFor(applyMicroseconds - changePauseMicroseconds);
--- a/tests/doors-sender.test.ts
+++ b/tests/back-end-senders.test.ts
@@ -3,14 +3,18 @@
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
 import { HttpBackEndSender } from '../source/shared/back-end/httpBackEnds';
-import { ResponseParser, type ResponseEvent } from '../source/shared/back-end/keptConns/answerReader';
-import { ConnShares } from '../source/shared/back-end/keptConns/connShares';
-import { IdleLimitDefaults, IdleLimits } from '../source/shared/back-end/keptConns/idleLimits';
-import { KeepAlive } from '../source/shared/back-end/keptConns/keepAlive';
-import { KeptConnDefaults, KeptConnSender, type ConnBound } from '../source/shared/back-end/keptConns/keptConnSender';
-import type { BackEndSender, SendHandle, SendOrder } from '../source/shared/back-end/protocol';
+import { ResponseParser, type ResponseEvent } from '../source/shared/back-end/connection-pool/responseParser';
+import { ConnectionShares } from '../source/shared/back-end/connection-pool/connectionShares';
+import { IdleLimitDefaults, IdleLimits } from '../source/shared/back-end/connection-pool/idleLimits';
+import { KeepAlive } from '../source/shared/back-end/connection-pool/keepAlive';
+import {
+  ConnectionPoolDefaults,
+  PooledSender,
+  type ConnectionBounds,
+} from '../source/shared/back-end/connection-pool/pooledSender';
+import type { BackEndSender, RequestHandle, BackEndRequest } from '../source/shared/back-end/protocol';
 import { realClock } from '../source/shared/effects/clock/realClock';
-import { HandClock, RawEngine, sendRaw, type RawResponder } from './support/rawEngine';
+import { ManualClock, RawEngine, sendRaw, type RawResponder } from './support/rawEngine';
 
 const response = (body: string, headers = ''): string =>
   `HTTP/1.1 200 OK\r\n${headers}content-length: ${body.length}\r\n\r\n${body}`;
@@ -18,8 +22,10 @@
   for (let turn = 0; turn < count; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-const pooledSender = (clock = new HandClock(), bound: ConnBound = { kept: 16, most: 64 }): KeptConnSender =>
-  new KeptConnSender(clock, KeptConnDefaults, () => bound);
+const pooledSender = (
+  clock = new ManualClock(),
+  bound: ConnectionBounds = { maxIdle: 16, maxOpen: 64 },
+): PooledSender => new PooledSender(clock, ConnectionPoolDefaults, () => bound);
 
 const withEngine = async (
   respond: RawResponder,
@@ -47,7 +53,7 @@
             Array.from({ length: 20 }, (_, number) => sendRaw(sender, engine.address, { body: `m${number}` })),
           );
           many.forEach(({ end, text }, number) => assert.deepEqual([end, text], ['whole', `<m${number}>`]));
-          assert.equal(engine.orders.length, 25);
+          assert.equal(engine.requests.length, 25);
         },
       ));
 
@@ -62,7 +68,7 @@
             body: bytes,
           });
           assert.equal(ended.end, 'whole');
-          const [request] = engine.orders;
+          const [request] = engine.requests;
           assert.equal(request?.body, Buffer.from(bytes).toString('latin1'));
           assert.match(request?.text ?? '', /^POST \/a\/b%2F\?q=1&r=%20 HTTP\/1\.1\r\n/);
           assert.match(request?.text ?? '', /\r\nx-one: a, b(\r\n|$)/i);
@@ -88,7 +94,7 @@
               assert.equal(ended.end, entire ? 'whole' : 'mayHaveRun', `${bytes} of ${text}`);
               assert.equal(ended.head !== undefined, bytes >= text.indexOf('\r\n\r\n') + 4);
             }
-            assert.equal(engine.orders.length, text.length + 1);
+            assert.equal(engine.requests.length, text.length + 1);
           },
         );
       }
@@ -118,7 +124,7 @@
           async (engine) => {
             const ended = await sendRaw(make(), engine.address);
             assert.equal(ended.end, 'mayHaveRun');
-            assert.equal(engine.orders.length, 1);
+            assert.equal(engine.requests.length, 1);
           },
         ));
 
@@ -140,7 +146,7 @@
           },
           async (engine) => {
             assert.equal((await sendRaw(make(), engine.address)).end, 'mayHaveRun');
-            assert.equal(engine.orders.length, 1);
+            assert.equal(engine.requests.length, 1);
           },
         );
     });
@@ -163,9 +169,9 @@
           const count = (): void => void (calls += 1);
           const { cut } = make().send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
-            { mayGo: () => true, head: count, part: () => undefined, end: count, failed: count },
+            { maySend: () => true, head: count, chunk: () => undefined, end: count, failed: count },
           );
-          await engine.until(() => engine.orders.length === 1);
+          await engine.until(() => engine.requests.length === 1);
           cut();
           await engine.until(() => engine.sockets.every(({ closed }) => closed));
           cut();
@@ -203,9 +209,9 @@
             make().send(
               { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
               {
-                mayGo: () => true,
+                maySend: () => true,
                 head: () => undefined,
-                part: (bytes) => {
+                chunk: (bytes) => {
                   assert.equal(waiting, 0, 'no chunk is delivered while one waits');
                   length += bytes.length;
                   waiting += 1;
@@ -222,7 +228,7 @@
               },
             );
           });
-          await engine.until(() => engine.orders.length === 1);
+          await engine.until(() => engine.requests.length === 1);
           while (waiting === 0) await turns(1);
           await turns(200);
           assert.ok((engine.sockets[0]?.writableLength ?? 0) > 0, 'the back end has bytes that it cannot send');
@@ -236,7 +242,7 @@
 };
 
 contract('new connections', () => new HttpBackEndSender(500_000));
-contract('pooled connections', () => new KeptConnSender(realClock));
+contract('pooled connections', () => new PooledSender(realClock));
 
 describe('pooled connections', () => {
   test('reuses the most recently used connection first and opens none while one is idle', () =>
@@ -247,15 +253,15 @@
       async (engine) => {
         const sender = pooledSender();
         for (let number = 0; number < 10; number += 1) await sendRaw(sender, engine.address);
-        assert.equal(engine.conns, 1);
+        assert.equal(engine.connections, 1);
         const running = sendRaw(sender, engine.address, { body: 'wait' });
-        await engine.until(() => engine.orders.length === 11);
+        await engine.until(() => engine.requests.length === 11);
         await sendRaw(sender, engine.address);
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
         engine.sockets[0]?.write(response('late'));
         assert.equal((await running).text, 'late');
         await sendRaw(sender, engine.address);
-        assert.deepEqual([engine.conns, engine.orders.at(-1)?.connection], [2, 1]);
+        assert.deepEqual([engine.connections, engine.requests.at(-1)?.connection], [2, 1]);
         assert.deepEqual(sender.counts(engine.address), { conns: 2, idle: 2 });
       },
     ));
@@ -274,7 +280,7 @@
           const sender = pooledSender();
           assert.equal((await sendRaw(sender, engine.address)).end, 'whole');
           assert.equal((await sendRaw(sender, engine.address)).end, 'whole');
-          assert.equal(engine.conns, 2, text);
+          assert.equal(engine.connections, 2, text);
         },
       );
   });
@@ -283,19 +289,19 @@
     withEngine(
       (socket) => socket.write(response('a', 'keep-alive: timeout=5\r\n')),
       async (engine) => {
-        const clock = new HandClock();
+        const clock = new ManualClock();
         const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
         clock.pass(3_900_000);
         await sendRaw(sender, engine.address);
-        assert.equal(engine.conns, 1);
+        assert.equal(engine.connections, 1);
         clock.pass(4_000_000);
         assert.deepEqual(sender.counts(engine.address), { conns: 0, idle: 0 });
         await sendRaw(sender, engine.address);
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
         clock.pass(60_000_000, true);
         await sendRaw(sender, engine.address);
-        assert.equal(engine.conns, 3);
+        assert.equal(engine.connections, 3);
       },
     ));
 
@@ -303,10 +309,10 @@
     withEngine(
       (socket) => socket.write(response('a')),
       async (engine) => {
-        const clock = new HandClock();
+        const clock = new ManualClock();
         const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.idleMicroseconds);
+        clock.pass(ConnectionPoolDefaults.idleMicroseconds);
         assert.equal(sender.counts(engine.address).conns, 0);
       },
     ));
@@ -315,18 +321,18 @@
     withEngine(
       (socket) => socket.write(response('a')),
       async (engine) => {
-        const clock = new HandClock();
+        const clock = new ManualClock();
         const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds - 1);
+        clock.pass(ConnectionPoolDefaults.maxIdleForOnceMicroseconds - 1);
         await sendRaw(sender, engine.address, { runsOnce: true });
-        assert.equal(engine.conns, 1);
-        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds);
+        assert.equal(engine.connections, 1);
+        clock.pass(ConnectionPoolDefaults.maxIdleForOnceMicroseconds);
         await sendRaw(sender, engine.address);
-        assert.equal(engine.conns, 1);
-        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds);
+        assert.equal(engine.connections, 1);
+        clock.pass(ConnectionPoolDefaults.maxIdleForOnceMicroseconds);
         await sendRaw(sender, engine.address, { runsOnce: true });
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
       },
     ));
 
@@ -334,15 +340,15 @@
     withEngine(
       (socket) => socket.write(response('a', 'keep-alive: timeout=60\r\n')),
       async (engine) => {
-        const clock = new HandClock();
+        const clock = new ManualClock();
         const sender = pooledSender(clock);
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.maxStatedIdleForOnceMicroseconds - 1);
+        clock.pass(ConnectionPoolDefaults.maxStatedIdleForOnceMicroseconds - 1);
         await sendRaw(sender, engine.address, { runsOnce: true });
-        assert.equal(engine.conns, 1);
-        clock.pass(KeptConnDefaults.maxStatedIdleForOnceMicroseconds);
+        assert.equal(engine.connections, 1);
+        clock.pass(ConnectionPoolDefaults.maxStatedIdleForOnceMicroseconds);
         await sendRaw(sender, engine.address, { runsOnce: true });
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
       },
     ));
 
@@ -356,7 +362,7 @@
           engine.sockets[0]?.[how]();
           while (sender.counts(engine.address).conns > 0) await turns(1);
           assert.equal((await sendRaw(sender, engine.address, { runsOnce: true })).end, 'whole');
-          assert.equal(engine.conns, 2);
+          assert.equal(engine.connections, 2);
         },
       );
   });
@@ -371,7 +377,7 @@
         const sender = pooledSender();
         await sendRaw(sender, engine.address);
         assert.equal((await sendRaw(sender, engine.address)).end, 'mayHaveRun');
-        assert.deepEqual([engine.conns, engine.orders.length], [1, 2]);
+        assert.deepEqual([engine.connections, engine.requests.length], [1, 2]);
       },
     ));
 
@@ -393,32 +399,32 @@
 
   test('detects a connection that the back end dropped, writes the request once and lowers the idle limit', () =>
     withDroppingEngine(async (engine, setDropping) => {
-      const clock = new HandClock();
+      const clock = new ManualClock();
       const sender = pooledSender(clock);
       await sendRaw(sender, engine.address);
       setDropping(true);
       clock.pass(2_000_000);
       const ended = await sendRaw(sender, engine.address);
-      assert.deepEqual([ended.end, ended.forgotten, engine.orders.length], ['mayHaveRun', true, 2]);
+      assert.deepEqual([ended.end, ended.forgotten, engine.requests.length], ['mayHaveRun', true, 2]);
       await sendRaw(sender, engine.address);
       clock.pass(999_999);
       setDropping(false);
       await sendRaw(sender, engine.address);
-      assert.equal(engine.conns, 2, 'idle for less than half of that time: reused');
+      assert.equal(engine.connections, 2, 'idle for less than half of that time: reused');
       clock.pass(1_000_000);
       await sendRaw(sender, engine.address);
-      assert.equal(engine.conns, 3, 'idle for half of that time: closed unused');
+      assert.equal(engine.connections, 3, 'idle for half of that time: closed unused');
       clock.pass(500_000);
       await sendRaw(sender, engine.address, { runsOnce: true });
-      assert.equal(engine.conns, 4, 'the limit is half of that for a request that must run at most once');
+      assert.equal(engine.connections, 4, 'the limit is half of that for a request that must run at most once');
       clock.pass(499_999);
       await sendRaw(sender, engine.address, { runsOnce: true });
-      assert.equal(engine.conns, 4);
+      assert.equal(engine.connections, 4);
     }));
 
   test('raises the idle limit again over time', () =>
     withDroppingEngine(async (engine, setDropping) => {
-      const clock = new HandClock();
+      const clock = new ManualClock();
       const sender = pooledSender(clock);
       await sendRaw(sender, engine.address);
       setDropping(true);
@@ -427,19 +433,19 @@
       setDropping(false);
       clock.pass(30_000_000);
       await sendRaw(sender, engine.address);
-      const { conns } = engine;
+      const { connections: conns } = engine;
       clock.pass(1_500_000);
       await sendRaw(sender, engine.address, { runsOnce: false });
-      assert.equal(engine.conns, conns, '0.2 s doubled three times');
+      assert.equal(engine.connections, conns, '0.2 s doubled three times');
     }));
 
   test('does not count a reset as a dropped connection on a new or barely idle one, or long after the request', () =>
     withDroppingEngine(async (engine, setDropping) => {
-      const clock = new HandClock();
+      const clock = new ManualClock();
       const sender = pooledSender(clock);
       await sendRaw(sender, engine.address);
       setDropping(true);
-      clock.pass(KeptConnDefaults.idleLimit.minDroppedIdleMicroseconds - 1);
+      clock.pass(ConnectionPoolDefaults.idleLimit.minDroppedIdleMicroseconds - 1);
       const busy = await sendRaw(sender, engine.address);
       assert.deepEqual([busy.end, busy.forgotten], ['mayHaveRun', false]);
       await withEngine(
@@ -454,8 +460,8 @@
           await sendRaw(sender, other.address);
           clock.pass(2_000_000);
           const late = sendRaw(sender, other.address);
-          await other.until(() => other.orders.length === 2);
-          clock.pass(KeptConnDefaults.idleLimit.maxResetDelayMicroseconds + 1);
+          await other.until(() => other.requests.length === 2);
+          clock.pass(ConnectionPoolDefaults.idleLimit.maxResetDelayMicroseconds + 1);
           other.sockets[0]?.resetAndDestroy();
           assert.deepEqual([(await late).end, (await late).forgotten], ['mayHaveRun', false]);
         },
@@ -470,17 +476,17 @@
           fc.tuple(fc.nat(20_000_000), fc.integer({ min: settings.minDroppedIdleMicroseconds, max: 15_000_000 })),
         ),
         (resets) => {
-          let state = IdleLimits.start;
+          let state = IdleLimits.initial;
           let now = 0;
           for (const [pause, idle] of resets) {
             now += pause;
-            const before = IdleLimits.of(state, 'a', now, settings);
-            state = IdleLimits.forgotten(state, 'a', idle, now, settings);
-            const after = IdleLimits.of(state, 'a', now, settings);
+            const before = IdleLimits.limitOf(state, 'a', now, settings);
+            state = IdleLimits.recordDropped(state, 'a', idle, now, settings);
+            const after = IdleLimits.limitOf(state, 'a', now, settings);
             assert.ok(after >= settings.minDroppedIdleMicroseconds && after <= Math.max(idle, before));
             assert.ok(after <= before || before < settings.minDroppedIdleMicroseconds);
-            assert.equal(IdleLimits.of(state, 'a', now + settings.doublingMicroseconds, settings), after * 2);
-            assert.equal(IdleLimits.of(state, 'b', now, settings), Infinity);
+            assert.equal(IdleLimits.limitOf(state, 'a', now + settings.doublingMicroseconds, settings), after * 2);
+            assert.equal(IdleLimits.limitOf(state, 'b', now, settings), Infinity);
           }
           assert.deepEqual(
             IdleLimits.removeExpired(state, now + 20 * settings.doublingMicroseconds, 15_000_000, settings),
@@ -498,7 +504,7 @@
         const sender = pooledSender();
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
       },
     );
     await withEngine(
@@ -509,7 +515,7 @@
         engine.sockets[0]?.write(response('late surplus'));
         while (sender.counts(engine.address).conns > 0) await turns(1);
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
       },
     );
   });
@@ -555,15 +561,15 @@
         const sender = pooledSender();
         await sendRaw(sender, engine.address);
         const seen = await new Promise<string>((resolve, reject) => {
-          const handle: SendHandle = sender.send(
+          const handle: RequestHandle = sender.send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
             {
-              mayGo: () => true,
+              maySend: () => true,
               head: ({ headers }) => {
                 handle.cut();
                 resolve(headers['x-id'] ?? '');
               },
-              part: () => {
+              chunk: () => {
                 reject(new Error('body of another response'));
                 return undefined;
               },
@@ -575,7 +581,7 @@
         assert.equal(seen, '1');
         assert.equal(sender.counts(engine.address).conns, 0);
         assert.equal((await sendRaw(sender, engine.address)).head?.headers['x-id'], '3');
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
       },
     ));
 
@@ -586,15 +592,15 @@
       async (engine) => {
         const sender = pooledSender();
         await new Promise<void>((resolve) => {
-          const handle: SendHandle = sender.send(
+          const handle: RequestHandle = sender.send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
             {
-              mayGo: () => true,
+              maySend: () => true,
               head: () => {
                 handle.leave?.();
                 resolve();
               },
-              part: () => assert.fail('body after leave'),
+              chunk: () => assert.fail('body after leave'),
               end: () => assert.fail('end after leave'),
               failed: () => assert.fail('failure after leave'),
             },
@@ -602,7 +608,7 @@
         });
         while (sender.counts(engine.address).idle === 0) await turns(1);
         assert.equal((await sendRaw(sender, engine.address)).text, 'a');
-        assert.equal(engine.conns, 1);
+        assert.equal(engine.connections, 1);
       },
     ));
 
@@ -613,25 +619,25 @@
       },
       async (engine) => {
         const sender = pooledSender();
-        const handle = await new Promise<SendHandle>((resolve) => {
-          const sent: SendHandle = sender.send(
+        const handle = await new Promise<RequestHandle>((resolve) => {
+          const sent: RequestHandle = sender.send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
             {
-              mayGo: () => true,
+              maySend: () => true,
               head: () => undefined,
-              part: () => undefined,
+              chunk: () => undefined,
               end: () => resolve(sent),
               failed: () => undefined,
             },
           );
         });
         const second = sendRaw(sender, engine.address, { body: 'wait' });
-        await engine.until(() => engine.orders.length === 2);
+        await engine.until(() => engine.requests.length === 2);
         handle.cut();
         handle.leave?.();
         engine.sockets[0]?.write(response('still'));
         assert.equal((await second).text, 'still');
-        assert.equal(engine.conns, 1);
+        assert.equal(engine.connections, 1);
       },
     ));
 
@@ -641,12 +647,12 @@
         if (body !== 'wait') socket.write(response('a'));
       },
       async (engine) => {
-        const sender = pooledSender(new HandClock(), { kept: 2, most: 4 });
+        const sender = pooledSender(new ManualClock(), { maxIdle: 2, maxOpen: 4 });
         const running = Array.from({ length: 4 }, () => sendRaw(sender, engine.address, { body: 'wait' }));
-        await engine.until(() => engine.orders.length === 4);
+        await engine.until(() => engine.requests.length === 4);
         const over = await sendRaw(sender, engine.address);
         assert.deepEqual([over.end, over.failureText], ['notRun', 'no connection is free']);
-        assert.equal(engine.conns, 4);
+        assert.equal(engine.connections, 4);
         for (const socket of engine.sockets) socket.write(response('b'));
         for (const { end } of await Promise.all(running)) assert.equal(end, 'whole');
         assert.deepEqual(sender.counts(engine.address), { conns: 2, idle: 2 });
@@ -657,12 +663,12 @@
     withEngine(
       (socket) => socket.write(response('a')),
       async (engine) => {
-        const clock = new HandClock();
-        const sender = pooledSender(clock, { kept: 1, most: 1 });
+        const clock = new ManualClock();
+        const sender = pooledSender(clock, { maxIdle: 1, maxOpen: 1 });
         await sendRaw(sender, engine.address);
-        clock.pass(KeptConnDefaults.maxIdleForOnceMicroseconds);
+        clock.pass(ConnectionPoolDefaults.maxIdleForOnceMicroseconds);
         assert.equal((await sendRaw(sender, engine.address, { runsOnce: true })).end, 'whole');
-        assert.equal(engine.conns, 2);
+        assert.equal(engine.connections, 2);
       },
     ));
 
@@ -675,22 +681,22 @@
         sender
           .send(
             { address: engine.address, method: 'POST', path: '/', headers: {}, body: 'x' },
-            { mayGo: () => true, head: unexpected, part: () => undefined, end: unexpected, failed: unexpected },
+            { maySend: () => true, head: unexpected, chunk: () => undefined, end: unexpected, failed: unexpected },
           )
           .cut();
         while (sender.counts(engine.address).idle === 0) await turns(1);
         assert.equal((await sendRaw(sender, engine.address, {}, () => false)).end, 'notRun');
         assert.equal((await sendRaw(sender, engine.address)).end, 'whole');
-        assert.deepEqual([engine.conns, engine.orders.length], [1, 1]);
+        assert.deepEqual([engine.connections, engine.requests.length], [1, 1]);
       },
     ));
 
   test('reports not run when the connection times out', async () => {
-    const clock = new HandClock();
+    const clock = new ManualClock();
     const sender = pooledSender(clock);
     // This address is reserved for documentation: nothing responds there, or the system reports an error at once.
     const ended = sendRaw(sender, '192.0.2.1:9');
-    clock.pass(KeptConnDefaults.connectMicroseconds);
+    clock.pass(ConnectionPoolDefaults.connectMicroseconds);
     assert.equal((await ended).end, 'notRun');
     assert.equal(sender.counts('192.0.2.1:9').conns, 0);
   });
@@ -700,7 +706,7 @@
       (socket) => socket.write(response('a')),
       async (engine) => {
         const sender = pooledSender();
-        const invalid: readonly Partial<SendOrder>[] = [
+        const invalid: readonly Partial<BackEndRequest>[] = [
           { path: '/a HTTP/1.1\r\nx: y' },
           { path: '/a b' },
           { path: '' },
@@ -714,8 +720,8 @@
         await sendRaw(sender, engine.address, {
           headers: { 'Content-Length': '987654321', 'transfer-encoding': 'chunked', connection: 'upgrade' },
         });
-        assert.equal(engine.orders.length, 1);
-        assert.doesNotMatch(engine.orders[0]?.text ?? '', /987654321|chunked|upgrade/i);
+        assert.equal(engine.requests.length, 1);
+        assert.doesNotMatch(engine.requests[0]?.text ?? '', /987654321|chunked|upgrade/i);
       },
     ));
 
@@ -727,7 +733,7 @@
       async (engine) => {
         const sender = pooledSender();
         const running = sendRaw(sender, engine.address, { body: 'wait' });
-        await engine.until(() => engine.orders.length === 1);
+        await engine.until(() => engine.requests.length === 1);
         await sendRaw(sender, engine.address);
         sender.close();
         assert.deepEqual(sender.counts(engine.address), { conns: 1, idle: 0 });
@@ -781,7 +787,7 @@
             [events[0]?.kind, events.at(-1)?.kind, events.filter(({ kind }) => kind === 'end').length],
             ['head', 'end', 1],
           );
-          assert.equal(reader.left, surplus.length);
+          assert.equal(reader.bufferedBytes, surplus.length);
         },
       ),
       { seed: 11, numRuns: 400 },
@@ -845,15 +851,15 @@
 test('the connection limit of an engine is divided between the daemons and observed in total', () => {
   const engine = { kind: 'engine', service: 's', address: '10.0.0.1:1', zone: 'z', state: 'ready' } as const;
   const pool = { kind: 'pool', shape: { conns: 210 } };
-  const shares = (daemons: number): ConnShares =>
-    new ConnShares(
+  const shares = (daemons: number): ConnectionShares =>
+    new ConnectionShares(
       () => ({ engines: { e: engine } }),
       () => ({ services: { s: pool } }) as never,
       () => daemons,
     );
   for (const daemons of [1, 9, 40]) {
-    const { kept: idle, most } = shares(daemons).of('10.0.0.1:1');
+    const { maxIdle: idle, maxOpen: most } = shares(daemons).of('10.0.0.1:1');
     assert.ok(idle >= 2 && idle <= most && (most * daemons <= 210 || most === 2));
   }
-  assert.ok(shares(9).of('10.0.0.2:1').most > 0);
+  assert.ok(shares(9).of('10.0.0.2:1').maxOpen > 0);
 });
--- a/tests/back-ends.test.ts
+++ b/tests/back-ends.test.ts
@@ -2,17 +2,27 @@
 import net from 'node:net';
 import http from 'node:http';
 import { describe, test } from 'node:test';
-import { HttpBackEndDoor, HttpBackEndSender } from '../source/shared/back-end/httpBackEnds';
-import { BackEndAnswers, CacheHeaders, type SendFailure, type SendHead } from '../source/shared/back-end/protocol';
-import { CallersDoor } from '../source/edge-proxy/door/callersDoor';
+import { HttpBackEndControl, HttpBackEndSender } from '../source/shared/back-end/httpBackEnds';
+import {
+  BackEndResponses,
+  CacheHeaders,
+  type RequestFailure,
+  type BackEndResponseHead,
+} from '../source/shared/back-end/protocol';
+import { ClientServer } from '../source/edge-proxy/client-api/clientServer';
 import type { EdgeProxy } from '../source/edge-proxy/edgeProxy';
 import type { ResponseSink } from '../source/edge-proxy/pipeline/request';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { realRandom } from '../source/shared/effects/random/random';
-import { HttpLimits } from '../source/shared/http/httpDoor';
+import { HttpLimits } from '../source/shared/http/httpApiServer';
 import { Metrics } from '../source/shared/metrics/metrics';
 
-type Ended = Readonly<{ head?: SendHead; text: string; end: 'whole' | SendFailure['kind'] | 'cut'; read: string }>;
+type Ended = Readonly<{
+  head?: BackEndResponseHead;
+  text: string;
+  end: 'whole' | RequestFailure['kind'] | 'cut';
+  read: string;
+}>;
 
 /** A back end that records what it receives and then lets the test act on the raw connection. */
 const openRawBackEnd = async (
@@ -48,7 +58,7 @@
 
 const send = (address: string, mayGo = true): Promise<Omit<Ended, 'read'>> =>
   new Promise((resolve) => {
-    let head: SendHead | undefined;
+    let head: BackEndResponseHead | undefined;
     let text = '';
     new HttpBackEndSender(500_000).send(
       {
@@ -59,11 +69,11 @@
         body: '{"at":"end"}',
       },
       {
-        mayGo: () => mayGo,
+        maySend: () => mayGo,
         head: (given) => {
           head = given;
         },
-        part: (bytes) => {
+        chunk: (bytes) => {
           text += Buffer.from(bytes).toString();
           // A promise pauses the response; a paused response that breaks off is the harder case.
           return Promise.resolve();
@@ -181,7 +191,7 @@
 });
 
 test('the control client rejects invalid responses', async () => {
-  const controlClient = new HttpBackEndDoor();
+  const controlClient = new HttpBackEndControl();
   const pages: Record<string, string> = {
     '/ready': '{"bootEpoch":"b","weights":7}',
     '/kv/list': '{"bootEpoch":"b","sequence":1,"keys":["no key"]}',
@@ -217,7 +227,7 @@
   );
   for (const text of ['', 'keys=xyz', 'from=a; epoch=b; keys=', `from=a; epoch=b; at=-1; keys=${key}`])
     assert.equal(CacheHeaders.readSource(text), undefined);
-  assert.equal(BackEndAnswers.events({ bootEpoch: 'b', last: 1, events: 'many' }), undefined);
+  assert.equal(BackEndResponses.events({ bootEpoch: 'b', last: 1, events: 'many' }), undefined);
 });
 
 test('back pressure: a client that does not read holds back the response, and its disconnect ends the wait', async () => {
@@ -257,7 +267,7 @@
     fresh: () => true,
     identifier: { tenantOf: () => ({ kind: 'tenant', tenant: 't' }) },
   } as unknown as EdgeProxy;
-  const server = await CallersDoor.open(proxy, '127.0.0.1:0', HttpLimits.usual, 1000, realClock, realRandom);
+  const server = await ClientServer.open(proxy, '127.0.0.1:0', HttpLimits.usual, 1000, realClock, realRandom);
   const [host, port] = server.address.split(':');
   const socket = net.connect(Number(port), host, () =>
     socket.write('POST /x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer kkkkkkkk\r\ncontent-length: 0\r\n\r\n'),
--- a/tests/doors-callers.test.ts
+++ b/tests/client-server.test.ts
@@ -1,36 +1,36 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import { PlatformCallerWords } from '../platform/callers/words';
-import { CallersDoor, type DoorOptions } from '../source/edge-proxy/door/callersDoor';
-import { ReadinessDoor } from '../source/edge-proxy/door/readinessDoor';
+import { PlatformClientApiFormat } from '../platform/callers/clientApiFormat';
+import { ClientServer, type ClientServerOptions } from '../source/edge-proxy/client-api/clientServer';
+import { ReadinessServer } from '../source/edge-proxy/client-api/readinessServer';
 import type { EdgeProxy } from '../source/edge-proxy/edgeProxy';
 import type { ResponseSink, ProxyRequest } from '../source/edge-proxy/pipeline/request';
-import { ProxyStops } from '../source/edge-proxy/proxyProgram';
-import type { CallerLimits } from '../source/shared/blueprint/types';
+import { GracefulStops } from '../source/edge-proxy/proxyProgram';
+import type { ClientLimits } from '../source/shared/configuration/types';
 import { realRandom } from '../source/shared/effects/random/random';
 import { HttpLimits } from '../source/shared/http/httpLimits';
 import { Metrics } from '../source/shared/metrics/metrics';
-import { RawCaller } from './support/rawCaller';
-import { HandClock } from './support/rawEngine';
+import { RawClient } from './support/rawClient';
+import { ManualClock } from './support/rawEngine';
 
 type ReceivedRequest = Readonly<{ order: ProxyRequest; answer: ResponseSink }>;
 
 /** A client server whose proxy is a stub that keeps the requests it receives and handles them as the test says. */
 class ServerHarness {
   public readonly received: ReceivedRequest[] = [];
-  public readonly clock = new HandClock();
+  public readonly clock = new ManualClock();
   private readonly listeners: (() => void)[] = [];
 
   public constructor(
     private readonly handle: (received: ReceivedRequest) => void,
-    public server: CallersDoor = undefined as unknown as CallersDoor,
+    public server: ClientServer = undefined as unknown as ClientServer,
   ) {}
 
   public static async open(
     handle: (received: ReceivedRequest) => void,
     limits: Partial<HttpLimits> = {},
-    options: Partial<DoorOptions> = {},
+    options: Partial<ClientServerOptions> = {},
     bodyBytes = 100_000,
   ): Promise<ServerHarness> {
     const harness = new ServerHarness(handle);
@@ -45,14 +45,14 @@
       metrics: new Metrics(),
       fresh: () => true,
     } as unknown as EdgeProxy;
-    harness.server = await CallersDoor.open(
+    harness.server = await ClientServer.open(
       proxy,
       '127.0.0.1:0',
       { ...HttpLimits.usual, ...limits },
       bodyBytes,
       harness.clock,
       realRandom,
-      { words: PlatformCallerWords, ...options },
+      { apiFormat: PlatformClientApiFormat, ...options },
     );
     return harness;
   }
@@ -62,8 +62,8 @@
     return this.received[count - 1] as ReceivedRequest;
   }
 
-  public connect(): Promise<RawCaller> {
-    return RawCaller.open(this.server.address);
+  public connect(): Promise<RawClient> {
+    return RawClient.open(this.server.address);
   }
 }
 
@@ -289,9 +289,9 @@
   });
 
   test("applies changed operators' limits at once and announces the idle timeout", async () => {
-    const operators: { limits?: CallerLimits } = {};
+    const operators: { limits?: ClientLimits } = {};
     const harness = await ServerHarness.open(respond('ok'), {}, { limits: () => operators.limits }, 1000);
-    const ask = async (bytes: number): Promise<RawCaller> => {
+    const ask = async (bytes: number): Promise<RawClient> => {
       const client = await harness.connect();
       client.write(head(bytes, `content-length: ${bytes}`)).write('x'.repeat(bytes));
       await client.until((text) => /ok$|tooLarge/.test(text));
@@ -331,7 +331,7 @@
 });
 
 describe('a graceful shutdown', () => {
-  const { drain } = ProxyStops.within(8_000_000);
+  const { drain } = GracefulStops.within(8_000_000);
 
   test('accepts connections until load balancers have reacted, then finishes the requests it has read', async () => {
     const harness = await ServerHarness.open(() => undefined);
@@ -394,7 +394,7 @@
   test('ends although new clients keep arriving', async () => {
     const harness = await ServerHarness.open(respond('ok'));
     const drained = harness.server.drain(drain);
-    for (let passed = 0; passed < drain.mostMicroseconds; passed += 500_000) {
+    for (let passed = 0; passed < drain.maxListenMicroseconds; passed += 500_000) {
       const client = await harness.connect();
       client.write(head(passed));
       await client.until(() => false);
@@ -432,7 +432,7 @@
     await persistent.until(() => false);
     assert.deepEqual(persistent.statuses(), [503], 'also on a connection that was already open');
     assert.equal(harness.received.length, 3);
-    harness.clock.pass(drain.mostMicroseconds);
+    harness.clock.pass(drain.maxListenMicroseconds);
     await eventLoopTurns();
     await drained;
   });
@@ -442,24 +442,29 @@
     const half = await harness.connect();
     half.write('POST /x HTTP/1.1\r\nhost: h');
     await eventLoopTurns();
-    await harness.server.drain({ ...drain, leastMicroseconds: 0, quietMicroseconds: 0, lateMicroseconds: 10_000 });
+    await harness.server.drain({
+      ...drain,
+      minListenMicroseconds: 0,
+      quietMicroseconds: 0,
+      incompleteRequestMicroseconds: 10_000,
+    });
     await half.until(() => false);
     assert.equal(half.text, '');
   });
 
   test('ends before the process is killed', () => {
     for (const grace of [4_000_000, 8_000_000, 30_000_000]) {
-      const stops = ProxyStops.within(grace);
+      const stops = GracefulStops.within(grace);
       assert.ok(stops.stopLimitMicroseconds < grace);
-      assert.ok(stops.drain.mostMicroseconds < stops.stopLimitMicroseconds);
+      assert.ok(stops.drain.maxListenMicroseconds < stops.stopLimitMicroseconds);
     }
   });
 });
 
 test('readiness is shown by the status code alone and changes at once', async () => {
   let ready = false;
-  const server = await ReadinessDoor.open('127.0.0.1:0', '/-/ready', () => ready);
-  const client = await RawCaller.open(server.address);
+  const server = await ReadinessServer.open('127.0.0.1:0', '/-/ready', () => ready);
+  const client = await RawClient.open(server.address);
   for (const [now, path, status] of [
     [false, '/-/ready', 503],
     [true, '/-/ready', 200],
--- a/tests/clocks.test.ts
+++ b/tests/clocks.test.ts
@@ -65,7 +65,7 @@
   const world = new World(3);
   const process = new SimProcess(world, 'proxy', '10.2.0.1');
   const freshness = new Freshness(process.clock);
-  const text = JSON.stringify(SimBlueprints.first());
+  const text = JSON.stringify(SimBlueprints.initial());
   const list = JSON.stringify({ engines: {} });
   const asked = process.clock.nowMicroseconds();
   for (const [key, body] of [
@@ -73,14 +73,14 @@
     ['engines', list],
   ] as const) {
     const digest = Digests.of(body);
-    freshness.hear({ key, revision: 1, digest, ageMicroseconds: 0, weights: {} }, asked);
-    assert.ok(freshness.give({ key, revision: 1, digest, text: body }));
+    freshness.applyStatement({ key, revision: 1, digest, ageMicroseconds: 0, weights: {} }, asked);
+    assert.ok(freshness.applyBody({ key, revision: 1, digest, text: body }));
   }
   await world.runFor(300_000);
   assert.ok(freshness.ageMicroseconds() < 400_000);
   process.suspend();
   await world.runFor(4_000_000);
-  process.wake();
+  process.resume();
   assert.ok(freshness.ageMicroseconds() > 4_200_000);
 });
 
@@ -92,7 +92,7 @@
   await world.runFor(400_000);
   process.suspend();
   await world.runFor(5_000_000);
-  process.wake();
+  process.resume();
   await world.runFor(500_000);
   assert.equal(hasFired, false);
   await world.runFor(110_000);
@@ -105,7 +105,7 @@
   const network = new SimNetwork(world);
   const keeperProcess = new SimProcess(world, 'k', '10.1.0.1', voterDrift);
   const ledger = new WriteAheadLog(
-    new SimDisk(world).of(keeperProcess),
+    new SimDisk(world).diskFor(keeperProcess),
     keeperProcess.clock,
     () => undefined,
     1_000_000,
--- a/tests/command-line-platform.test.ts
+++ b/tests/command-line-platform.test.ts
@@ -5,34 +5,37 @@
 import path from 'node:path';
 import { after, before, describe, test } from 'node:test';
 import { request } from 'undici';
-import { platformDialect } from '../platform/operators/dialect';
-import { platformManner } from '../platform/operators/manner';
-import { platformOperatorsWords } from '../platform/operators/words';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
+import { platformCommandLineFormat } from '../platform/operators/commandLineFormat';
+import { platformOperatorApiFormat } from '../platform/operators/words';
 import { ControlNodeDefaults } from '../source/core-keeper/controlNodeSettings';
 import type { OperatorApiFormat } from '../source/core-keeper/operators/operatorApiFormat';
 import { nativeOperatorApiFormat } from '../source/core-keeper/operators/nativeOperatorApiFormat';
 import { startControlNode, type RunningControlNode } from '../source/core-keeper/program/controlNodeProgram';
 import { AgentDefaults, EdgeAgent } from '../source/edge-agent/edgeAgent';
 import type { ListedEngine } from '../source/edge-agent/engine-list/engineLister';
-import { BlueprintChecks } from '../source/postdrum/checking/blueprintCheck';
-import type { BackEndDoor } from '../source/shared/back-end/protocol';
-import { ownDialect, type Dialect } from '../source/shared/blueprint/dialect';
+import { FleetChecks } from '../source/postdrum/checking/fleetCheck';
+import type { BackEndControl } from '../source/shared/back-end/protocol';
+import {
+  nativeConfigurationFormat,
+  type ConfigurationFormat,
+} from '../source/shared/configuration/configurationFormat';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { nodeDisk } from '../source/shared/effects/disk/nodeDisk';
 import { realRandom } from '../source/shared/effects/random/random';
 import { TcpTransport } from '../source/shared/effects/transport/tcpTransport';
-import { FactKeys, type EngineFact } from '../source/shared/news/factTypes';
+import { GossipKeys, type EngineEntry } from '../source/shared/gossip/entryTypes';
 import { freePort } from './support/freePort';
 import { platformDocument } from './support/platformDocument';
 import { until } from './support/realFleet';
-import { bundled } from './support/bundled';
+import { bundlePrograms } from './support/bundlePrograms';
 
 type CommandResult = Readonly<{ code: number | null; out: string; error: string }>;
 
 const folder = mkdtempSync(path.join(tmpdir(), 'postdrum-line-'));
 
 /** Starts a single control node with a real disk and real connections. */
-const startNode = async (format: OperatorApiFormat, dialect: Dialect): Promise<RunningControlNode> => {
+const startNode = async (format: OperatorApiFormat, dialect: ConfigurationFormat): Promise<RunningControlNode> => {
   const [fleetPort, operatorsPort] = [await freePort(), await freePort()];
   const member = { address: `127.0.0.1:${fleetPort}`, operatorsAddress: `127.0.0.1:${operatorsPort}`, zone: '' };
   return startControlNode({
@@ -64,12 +67,12 @@
 });
 
 /** Control endpoint of an engine that does not answer; the tests only read what agents report about it. */
-const unresponsiveEndpoint: BackEndDoor = {
+const unresponsiveEndpoint: BackEndControl = {
   status: () => Promise.resolve(undefined),
   events: () => Promise.resolve(undefined),
   list: () => Promise.resolve(undefined),
   directive: () => Promise.resolve('unreachable'),
-} as unknown as BackEndDoor;
+} as unknown as BackEndControl;
 
 const startAgent = async (seed: string): Promise<Readonly<{ agent: EdgeAgent; close: () => Promise<void> }>> => {
   const transport = new TcpTransport(realClock);
@@ -90,7 +93,7 @@
       page: () =>
         Promise.resolve({ engines: [listedEngine('i-1', 'lm', 11), listedEngine('i-2', 'desk', 12)], next: undefined }),
     },
-    platformDialect,
+    platformConfigurationFormat,
   );
   await agent.start();
   return {
@@ -107,10 +110,10 @@
   let nativeNode: RunningControlNode;
   const cleanups: (() => Promise<void>)[] = [];
   before(async () => {
-    await bundled({ postdrum: path.join('platform', 'operators', 'commandLine.ts') }, folder);
+    await bundlePrograms({ postdrum: path.join('platform', 'operators', 'commandLine.ts') }, folder);
     [controlNode, nativeNode] = await Promise.all([
-      startNode(platformOperatorsWords, platformDialect),
-      startNode(nativeOperatorApiFormat, ownDialect),
+      startNode(platformOperatorApiFormat, platformConfigurationFormat),
+      startNode(nativeOperatorApiFormat, nativeConfigurationFormat),
     ]);
   });
   after(async () => {
@@ -182,7 +185,7 @@
           Object.keys(agent.freshness.engines?.engines ?? {}).length === 2 &&
           controlNode.controlNode.agents().length === 1 &&
           // The findings below require that the stewards have reported the engines, which do not answer, as unreachable.
-          agent.facts.value<EngineFact>(FactKeys.engine('i-1'))?.reachable === false,
+          agent.facts.value<EngineEntry>(GossipKeys.engine('i-1'))?.reachable === false,
       ),
     );
     const status = await run(['status', '--json']);
@@ -245,9 +248,11 @@
 });
 
 test('a service used only in a traffic split and a class used only by tenants count as used', () => {
-  const read = platformManner.read(platformDocument(5, { tenants: [{ name: 't', apiKeys: ['k'], priority: 4 }] }));
+  const read = platformCommandLineFormat.read(
+    platformDocument(5, { tenants: [{ name: 't', apiKeys: ['k'], priority: 4 }] }),
+  );
   assert.ok(read.kind === 'good');
-  const { findings } = BlueprintChecks.run(read.value, read.value, { engines: {} }, [], false);
+  const { findings } = FleetChecks.run(read.value, read.value, { engines: {} }, [], false);
   assert.deepEqual(
     findings.filter(({ finding }) => finding.startsWith('no mapping')),
     [],
--- a/tests/blueprint.test.ts
+++ b/tests/configuration-documents.test.ts
@@ -4,20 +4,20 @@
 import fc from 'fast-check';
 import { Changes, emptyEntry } from '../source/core-keeper/register/changes';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
-import { Blueprints } from '../source/shared/blueprint/check';
-import { Documents, Pieces } from '../source/shared/blueprint/document';
+import { DocumentValidation } from '../source/shared/configuration/validation';
+import { JsonDocuments, JsonEdits } from '../source/shared/configuration/jsonDocument';
 
 const settings = { numRuns: Number(process.env['POSTDRUM_TEST_RUNS'] ?? 100), seed: 4711 };
 const first = (): Record<string, Record<string, Record<string, unknown>>> =>
-  structuredClone(SimBlueprints.first()) as never;
+  structuredClone(SimBlueprints.initial()) as never;
 const faultPaths = (text: string): readonly string[] => {
-  const checked = Blueprints.checkText('blueprint', text);
+  const checked = DocumentValidation.checkText('blueprint', text);
   return checked.kind === 'good' ? [] : checked.faults.map(({ path }) => path);
 };
 
 test('the example configurations are valid', () => {
   for (const name of ['koro-sea', 'swanreach'])
-    assert.equal(Blueprints.checkText('blueprint', readFileSync(`examples/${name}.json`, 'utf8')).kind, 'good');
+    assert.equal(DocumentValidation.checkText('blueprint', readFileSync(`examples/${name}.json`, 'utf8')).kind, 'good');
 });
 
 test('reports all faults at once, each with its path', () => {
@@ -56,7 +56,7 @@
 test('no fault message contains a key', () => {
   const blueprint = first();
   (blueprint['tenants'] ??= {})['thief'] = { keys: ['key-open2-a', 'tiny'] };
-  const checked = Blueprints.checkText('blueprint', JSON.stringify(blueprint));
+  const checked = DocumentValidation.checkText('blueprint', JSON.stringify(blueprint));
   assert.equal(checked.kind, 'faulty');
   assert.ok(!JSON.stringify(checked).includes('key-open2-a') && !JSON.stringify(checked).includes('tiny'));
 });
@@ -65,9 +65,9 @@
   assert.deepEqual(faultPaths('{"classes":{},"classes":{}}').includes('/classes'), true);
   assert.ok(faultPaths('{"tenants":{"__proto__":{}}}').some((path) => path.includes('__proto__')));
   for (const text of ['', '{', '{"a":1,}', '// c\n{}', '[1', 'nul', '{"a":01}', '{"a":"\u0001"}'])
-    assert.equal(Documents.read(text).kind, 'faulty', text);
-  assert.equal(Documents.read('['.repeat(50) + ']'.repeat(50)).kind, 'faulty');
-  assert.equal(Blueprints.checkText('blueprint', ' '.repeat(5 * 1024 * 1024)).kind, 'faulty');
+    assert.equal(JsonDocuments.read(text).kind, 'faulty', text);
+  assert.equal(JsonDocuments.read('['.repeat(50) + ']'.repeat(50)).kind, 'faulty');
+  assert.equal(DocumentValidation.checkText('blueprint', ' '.repeat(5 * 1024 * 1024)).kind, 'faulty');
 });
 
 test('the checker does not modify its input and adds no defaults to the stored text', () => {
@@ -94,14 +94,14 @@
         const outer = Object.keys(value)[one % Object.keys(value).length] ?? '';
         const inner = Object.keys(value[outer] ?? {});
         const name = inner[two % Math.max(1, inner.length)] ?? 'new';
-        const path = `/${Documents.escape(outer)}/${Documents.escape(name)}`;
-        const changed = Pieces.change(text, { kind: 'put', path, text: JSON.stringify(put) });
+        const path = `/${JsonDocuments.escape(outer)}/${JsonDocuments.escape(name)}`;
+        const changed = JsonEdits.apply(text, { kind: 'put', path, text: JSON.stringify(put) });
         assert.equal(changed.kind, 'changed');
         if (changed.kind !== 'changed') return;
         assert.deepEqual(JSON.parse(changed.text), { ...value, [outer]: { ...value[outer], [name]: put } });
         const back = inner.includes(name)
-          ? Pieces.change(changed.text, { kind: 'put', path, text: JSON.stringify((value[outer] ?? {})[name]) })
-          : Pieces.change(changed.text, { kind: 'remove', path });
+          ? JsonEdits.apply(changed.text, { kind: 'put', path, text: JSON.stringify((value[outer] ?? {})[name]) })
+          : JsonEdits.apply(changed.text, { kind: 'remove', path });
         assert.ok(
           back.kind === 'changed' &&
             (inner.includes(name)
--- a/tests/contracts.test.ts
+++ b/tests/contracts.test.ts
@@ -55,8 +55,8 @@
     });
     test('within limits how long it waits for the work', async () => {
       const { clock, run } = make();
-      assert.equal(await run(Clocks.within(clock, 50_000, Promise.resolve('in time'))), 'in time');
-      assert.equal(await run(Clocks.within(clock, 2000, new Promise<string>(() => undefined))), undefined);
+      assert.equal(await run(Clocks.withTimeout(clock, 50_000, Promise.resolve('in time'))), 'in time');
+      assert.equal(await run(Clocks.withTimeout(clock, 2000, new Promise<string>(() => undefined))), undefined);
     });
   });
 };
@@ -114,7 +114,7 @@
     test('delivers a message of many frames in both directions', async () => {
       const { one, two, address, run, end } = make();
       const listener = await run(two.listen(address(2), (message) => Promise.resolve({ ...message, kind: 'back' })));
-      const text = 'x'.repeat(TransportLimits.partBytes * 5 + 17);
+      const text = 'x'.repeat(TransportLimits.frameBytes * 5 + 17);
       const answer = await run(one.ask(listener.address, { kind: 'there', text }, 10_000_000));
       assert.ok(answer.kind === 'answered' && answer.message['text'] === text);
       await end();
@@ -241,7 +241,7 @@
   const world = new World(3);
   const disk = new SimDisk(world);
   return {
-    disk: () => Promise.resolve(disk.of(new SimProcess(world, 'one', '10.0.0.1'))),
+    disk: () => Promise.resolve(disk.diskFor(new SimProcess(world, 'one', '10.0.0.1'))),
     run: worldRun(world),
     end: () => undefined,
   };
--- a/tests/control-body-spread.test.ts
+++ b/tests/control-body-spread.test.ts
@@ -1,7 +1,7 @@
 /** Guards against all agents fetching a new configuration from one control node, whose link would then be the bottleneck. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { blueprintOf, startedFleet } from './support/largeConfiguration';
+import { configurationOf, startedFleet } from './support/largeConfiguration';
 
 /** 7 Mbit/s: the capacity of a machine's link. */
 const linkBytesPerSecond = 875_000;
@@ -14,8 +14,8 @@
     const fed = await startedFleet(3, { edges: agents, agents }, linkBytesPerSecond);
     const { fleet, world } = fed;
     await world.runFor(warmUpMicroseconds);
-    const sent = (): readonly number[] => fleet.keepers.map(({ machine }) => fleet.network.bytesFrom(machine));
-    assert.ok((await fleet.take('blueprint', blueprintOf(routes, 'w2'))) !== undefined);
+    const sent = (): readonly number[] => fleet.controlNodes.map(({ machine }) => fleet.network.bytesSentBy(machine));
+    assert.ok((await fleet.changeUntilAccepted('blueprint', configurationOf(routes, 'w2'))) !== undefined);
     // Counted from here on, so that the leader's traffic to the other control nodes is left out.
     const before = sent();
     await world.runFor(1_000_000);
--- a/tests/control-fuzz.test.ts
+++ b/tests/control-fuzz.test.ts
@@ -6,7 +6,7 @@
 import { describe, test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
 import fc from 'fast-check';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { ReplicaStates, type ReplicaEvent } from '../source/core-keeper/write-ahead-log/replicaState';
 import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
 import { RecordCodec } from '../source/core-keeper/write-ahead-log/recordCodec';
@@ -27,7 +27,7 @@
 const responseKindOf = async (fleet: ControlFleet, machine: ControlMachine, message: Message): Promise<string> => {
   const requester = new SimProcess(fleet.world, 'fuzz', '10.9.9.9');
   let kind = '';
-  requester.enter(
+  requester.execute(
     () =>
       void fleet.network
         .transportOf(requester)
@@ -44,7 +44,7 @@
 const asMessage = (value: unknown): Message => value as Message;
 
 const startedCluster = async (): Promise<ControlFleet> => {
-  const fleet = new ControlFleet(31, platformDialect);
+  const fleet = new ControlFleet(31, platformConfigurationFormat);
   assert.ok(await fleet.startAll(3));
   const text = platformDocument(1);
   const change = { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'first' } as const;
@@ -81,7 +81,7 @@
         settings,
       );
       assert.equal(machine.exits, 0);
-      const page = machine.controlNode?.metrics.page() ?? '';
+      const page = machine.controlNode?.metrics.render() ?? '';
       if (refused > 0)
         assert.match(page, new RegExp(`postdrum_messages_refused_total\\{message="${kind}"\\} ${refused}`));
     });
@@ -115,7 +115,7 @@
     const machine = fleet.machine(1);
     for (const kind of ['constructor', 'toString', '__proto__', 'of a later build'])
       assert.equal(await responseKindOf(fleet, machine, { kind }), 'refused');
-    assert.match(machine.controlNode?.metrics.page() ?? '', /postdrum_messages_refused_total\{message="unknown"\} 4/);
+    assert.match(machine.controlNode?.metrics.render() ?? '', /postdrum_messages_refused_total\{message="unknown"\} 4/);
   });
 
   test('ignores a response that does not match its schema', () => {
@@ -142,9 +142,9 @@
 const openLog = async (bytes: Buffer): Promise<Readonly<{ kind: string; state: unknown }>> => {
   const world = new World(1);
   const process = new SimProcess(world, 'core-1', '10.1.0.1');
-  const disk = new SimDisk(world).of(process);
+  const disk = new SimDisk(world).diskFor(process);
   let result = { kind: '', state: undefined as unknown };
-  process.enter(() => {
+  process.execute(() => {
     void disk.replace('keeper.ledger', bytes).then(async () => {
       const ledger = new WriteAheadLog(disk, process.clock, () => undefined, 1 << 30);
       const { kind } = await ledger.open();
--- a/tests/control-leave-while-silent.test.ts
+++ b/tests/control-leave-while-silent.test.ts
@@ -6,7 +6,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
 import { ControlFleet } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
@@ -22,7 +22,7 @@
 describe('a member stops for good while another one is silent', () => {
   test('waits until the silent member is back and keeps the only copy until then, 4 seeds', async () => {
     for (const seed of [901, 902, 903, 904]) {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       await fleet.world.runFor(3_000_000);
       assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
@@ -32,14 +32,14 @@
       const [leaving, behind] = fleet.machines.filter((machine) => machine !== leader);
       assert.ok(leader !== undefined && leaving !== undefined && behind !== undefined);
       const restoreLinks = [leader, leaving].flatMap(({ machine }) => [
-        fleet.network.cut(machine, behind.machine),
-        fleet.network.cut(behind.machine, machine),
+        fleet.network.cutLink(machine, behind.machine),
+        fleet.network.cutLink(behind.machine, machine),
       ]);
       assert.equal((await fleet.change(leader, put(2)))?.kind, 'taken');
       leader.kill(true);
       leader.disk.wipe();
       for (const restore of restoreLinks) restore();
-      fleet.world.plan(restartMicroseconds, () => leader.start());
+      fleet.world.schedule(restartMicroseconds, () => leader.start());
       await fleet.leave(leaving, 8_000_000);
       await fleet.world.runFor(2_000_000);
       const read = await fleet.read(behind);
--- a/tests/control-link.test.ts
+++ b/tests/control-link.test.ts
@@ -4,7 +4,7 @@
 import { AgentDefaults } from '../source/edge-agent/edgeAgent';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
-import { ownDialect } from '../source/shared/blueprint/dialect';
+import { nativeConfigurationFormat } from '../source/shared/configuration/configurationFormat';
 import { Ticker } from '../source/shared/effects/clock/ticker';
 import { FleetName } from '../source/shared/fleet/fleetName';
 import { FleetTransport } from '../source/shared/fleet/fleetTransport';
@@ -24,7 +24,7 @@
 
 /** One agent's link to three control nodes that run the real code, on virtual time. */
 class LinkedFleet {
-  public readonly fleet = new ControlFleet(11, ownDialect);
+  public readonly fleet = new ControlFleet(11, nativeConfigurationFormat);
   public readonly freshness: Freshness;
   public readonly link: ControlLink;
   /** Digests of documents that were requested although they were no longer wanted. */
@@ -75,7 +75,7 @@
     assert.ok(await linked.fleet.startAll(3), 'the control nodes are up');
     linked.ticker.start();
     const outcome = await linked.fleet.changeWithRetries(
-      { key: 'blueprint', form: 'whole', text: JSON.stringify(SimBlueprints.first()), ifMatch: 0, id: 'first' },
+      { key: 'blueprint', form: 'whole', text: JSON.stringify(SimBlueprints.initial()), ifMatch: 0, id: 'first' },
       5_000_000,
     );
     assert.equal(outcome?.kind, 'taken');
@@ -85,7 +85,7 @@
 
   /** Submits the next revision to any control node. */
   public async change(revision: number): Promise<void> {
-    const text = JSON.stringify(SimBlueprints.first(`w${revision}`));
+    const text = JSON.stringify(SimBlueprints.initial(`w${revision}`));
     const request = { key: 'blueprint', form: 'whole', text, ifMatch: revision - 1, id: `change-${revision}` } as const;
     const outcome = await this.fleet.changeWithRetries(request, 5_000_000);
     assert.equal(outcome?.kind, 'taken');
@@ -116,7 +116,7 @@
     const linked = await LinkedFleet.begin();
     const usualAge = await linked.worstAge(4_000_000);
     for (const number of [1, 2, 3]) {
-      const mend = linked.fleet.network.cut(edgeMachine, linked.machineOf(number));
+      const mend = linked.fleet.network.cutLink(edgeMachine, linked.machineOf(number));
       // The first read after the cut waits for the node's timeout and is left out; later reads do not wait for it.
       await linked.fleet.world.runFor(readMicroseconds + readAskMicroseconds * 2);
       const ageWhileCut = await linked.worstAge(4_000_000);
@@ -131,7 +131,7 @@
 
   test('a control node that is reachable again counts again, also when a majority needs it', async () => {
     const linked = await LinkedFleet.begin();
-    const cuts = [1, 2].map((number) => linked.fleet.network.cut(edgeMachine, linked.machineOf(number)));
+    const cuts = [1, 2].map((number) => linked.fleet.network.cutLink(edgeMachine, linked.machineOf(number)));
     await linked.fleet.world.runFor(5_000_000);
     assert.ok(linked.freshness.ageOf('blueprint') > 4_000_000, 'one control node of three confirms nothing');
     for (const mend of cuts) mend();
@@ -142,7 +142,7 @@
       ),
     );
     // The third node is cut off now, so the majority needs both nodes that came back.
-    linked.fleet.network.cut(edgeMachine, linked.machineOf(3));
+    linked.fleet.network.cutLink(edgeMachine, linked.machineOf(3));
     await linked.fleet.world.runFor(readMicroseconds + readAskMicroseconds * 2);
     assert.ok((await linked.worstAge(2_000_000)) < readMicroseconds * 2);
   });
@@ -152,13 +152,13 @@
     for (const number of [1, 2, 3]) {
       const linked = await LinkedFleet.begin();
       const { world, network } = linked.fleet;
-      const text = JSON.stringify(SimBlueprints.first('w2'));
+      const text = JSON.stringify(SimBlueprints.initial('w2'));
       const request = { key: 'blueprint', form: 'whole', text, ifMatch: 1, id: 'second' } as const;
       assert.equal((await linked.fleet.changeWithRetries(request, 5_000_000))?.kind, 'taken');
       const isWanted = (): boolean => linked.freshness.wanted().some(({ key }) => key === 'blueprint');
       assert.ok(await world.runUntil(isWanted, 1_000_000, 50));
-      network.cut(edgeMachine, linked.machineOf(number));
-      network.cut(linked.machineOf(number), edgeMachine);
+      network.cutLink(edgeMachine, linked.machineOf(number));
+      network.cutLink(linked.machineOf(number), edgeMachine);
       const isApplied = (): boolean => linked.freshness.revision('blueprint') === 2;
       assert.ok(await world.runUntil(isApplied, readAskMicroseconds * 2), `control node ${number}`);
     }
--- a/tests/control-measurements.test.ts
+++ b/tests/control-measurements.test.ts
@@ -1,7 +1,7 @@
 /** Measures the control nodes in virtual time, checks an upper bound for each figure and prints the figures as diagnostics. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
@@ -14,7 +14,7 @@
 };
 
 const startedFleet = async (seed: number, count: number): Promise<ControlFleet> => {
-  const fleet = new ControlFleet(seed, platformDialect, { membersWanted: count });
+  const fleet = new ControlFleet(seed, platformConfigurationFormat, { membersWanted: count });
   assert.ok(await fleet.startAll(count));
   await fleet.world.runFor(3_000_000);
   assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
@@ -42,8 +42,8 @@
   lost: (_, leader) => leader.kill(true),
   'cut off': (fleet, leader) => {
     for (const other of fleet.machines.filter((machine) => machine !== leader)) {
-      fleet.network.cut(leader.machine, other.machine);
-      fleet.network.cut(other.machine, leader.machine);
+      fleet.network.cutLink(leader.machine, other.machine);
+      fleet.network.cutLink(other.machine, leader.machine);
     }
   },
   'slowed by 300 ms each way': (fleet, leader) => {
--- a/tests/control-members.test.ts
+++ b/tests/control-members.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import { MemberPlans } from '../source/core-keeper/membership/memberPlan';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
@@ -22,7 +22,7 @@
 describe('founding and growth of a fleet', () => {
   for (const seed of [1, 2, 3])
     test(`five replicas with the same three seeds become five members, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, five);
       assert.ok(await fleet.startAll(5), 'five voting members');
       assert.ok(fleet.world.nowMicroseconds < 6_000_000, `${fleet.world.nowMicroseconds}`);
       assert.equal((await fleet.change(fleet.machine(5), put(3, 0)))?.kind, 'taken');
@@ -30,7 +30,7 @@
     });
 
   test('with three members wanted, the fourth and fifth replica stand by and forward requests of operators', async () => {
-    const fleet = new ControlFleet(4, platformDialect);
+    const fleet = new ControlFleet(4, platformConfigurationFormat);
     for (let number = 1; number <= 5; number += 1) fleet.add().start(true);
     assert.ok(await fleet.waitUntilSettled(3, 5_000_000));
     await fleet.world.runFor(3_000_000);
@@ -40,7 +40,7 @@
   });
 
   test('one founder and two replicas added later are no majority of the founders', async () => {
-    const fleet = new ControlFleet(5, platformDialect, five);
+    const fleet = new ControlFleet(5, platformConfigurationFormat, five);
     for (let number = 1; number <= 5; number += 1) fleet.add();
     for (const number of [1, 4, 5]) fleet.machine(number).start(true);
     await fleet.world.runFor(8_000_000);
@@ -51,7 +51,7 @@
   });
 
   test('empty disks without the setting of a first start never found a fleet', async () => {
-    const fleet = new ControlFleet(6, platformDialect);
+    const fleet = new ControlFleet(6, platformConfigurationFormat);
     for (let number = 1; number <= 3; number += 1) fleet.add().start(false);
     await fleet.world.runFor(6_000_000);
     assert.ok(fleet.machines.every(({ votes }) => !votes));
@@ -61,7 +61,7 @@
 describe('replacement of members', () => {
   for (const seed of [11, 12, 13, 14])
     test(`a standby replaces a silent member, which returns as a standby, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       fleet.machine(2).kill(true);
@@ -86,7 +86,7 @@
     });
 
   test('a member that was replaced while frozen commits no change after it resumes', async () => {
-    const fleet = new ControlFleet(15, platformDialect);
+    const fleet = new ControlFleet(15, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     fleet.machine(1).process.freeze();
@@ -94,7 +94,7 @@
     standby.start();
     assert.ok(await fleet.world.runUntil(() => standby.votes, 6_000_000));
     assert.equal((await fleet.changeWithRetries(put(2, 1), 3_000_000))?.kind, 'taken');
-    fleet.machine(1).process.thaw();
+    fleet.machine(1).process.unfreeze();
     const lateOutcome = await fleet.change(fleet.machine(1), put(4, 1, { note: 'late' }));
     assert.ok(lateOutcome?.kind !== 'taken', `${lateOutcome?.kind}`);
     await fleet.world.runFor(4_000_000);
@@ -103,7 +103,7 @@
   });
 
   test('a silent member stays on the list if there is no standby', async () => {
-    const fleet = new ControlFleet(16, platformDialect);
+    const fleet = new ControlFleet(16, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     fleet.machine(3).kill(true);
     await fleet.world.runFor(20_000_000);
@@ -127,7 +127,7 @@
 describe('failures right after a change was accepted', () => {
   for (let seed = 21; seed <= 32; seed += 1) {
     test(`all five lose power and keep their disks: the change persists, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, five);
       assert.ok(await fleet.startAll(5));
       assert.equal((await fleet.change(fleet.machine((seed % 5) + 1), put(7, 0)))?.kind, 'taken');
       for (const machine of fleet.machines) machine.kill(true);
@@ -139,7 +139,7 @@
     });
 
     test(`two of five lose their disks while the others lose power: the change persists, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, five);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, five);
       assert.ok(await fleet.startAll(5));
       const contacted = (seed % 5) + 1;
       assert.equal((await fleet.change(fleet.machine(contacted), put(7, 0)))?.kind, 'taken');
@@ -156,7 +156,7 @@
     });
 
     test(`one of three loses its disk while the others lose power: the change persists, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       const contacted = (seed % 3) + 1;
       assert.equal((await fleet.change(fleet.machine(contacted), put(7, 0)))?.kind, 'taken');
@@ -173,7 +173,7 @@
 describe('time to acknowledge', () => {
   for (let seed = 41; seed <= 48; seed += 1) {
     test(`the leader is cut off in both directions: a change sent at once is accepted in time, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = fleet.machines.find(
@@ -182,8 +182,8 @@
       assert.ok(leader !== undefined);
       for (const other of fleet.machines)
         if (other !== leader) {
-          fleet.network.cut(other.machine, leader.machine);
-          fleet.network.cut(leader.machine, other.machine);
+          fleet.network.cutLink(other.machine, leader.machine);
+          fleet.network.cutLink(leader.machine, other.machine);
         }
       const startedAt = fleet.world.nowMicroseconds;
       const others = fleet.machines.filter((machine) => machine !== leader);
@@ -193,14 +193,14 @@
     });
 
     test(`messages to the leader are lost in one direction: a change is accepted in time, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = fleet.machines.find(
         ({ controlNode: keeper, name }) => keeper?.keyLeaders()['blueprint']?.owner === name,
       );
       assert.ok(leader !== undefined);
-      for (const other of fleet.machines) if (other !== leader) fleet.network.cut(other.machine, leader.machine);
+      for (const other of fleet.machines) if (other !== leader) fleet.network.cutLink(other.machine, leader.machine);
       const startedAt = fleet.world.nowMicroseconds;
       const others = fleet.machines.filter((machine) => machine !== leader);
       assert.equal((await fleet.change(others[seed % 2] ?? leader, put(2, 1)))?.kind, 'taken');
@@ -208,7 +208,7 @@
     });
 
     test(`one disk stalls, then another one is full: changes are accepted in time, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       fleet.machine((seed % 3) + 1).disk.faults.stalled = true;
@@ -218,7 +218,7 @@
         fleet.world.nowMicroseconds - startedAt < 3_500_000,
         `stalled ${fleet.world.nowMicroseconds - startedAt}`,
       );
-      fleet.machine((seed % 3) + 1).disk.release();
+      fleet.machine((seed % 3) + 1).disk.endStall();
       await fleet.world.runFor(500_000);
       fleet.machine(((seed + 1) % 3) + 1).disk.faults.full = true;
       startedAt = fleet.world.nowMicroseconds;
--- a/tests/control-random.test.ts
+++ b/tests/control-random.test.ts
@@ -1,7 +1,7 @@
 /** Guards against lost, undone or conflicting changes while random faults hit the control nodes, their disks and their links. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import type { ChangeOrder, ChangeOutcome } from '../source/core-keeper/register/messages';
 import { Randoms } from '../source/shared/effects/random/random';
@@ -37,7 +37,7 @@
 
   private pause(microseconds: number): Promise<void> {
     return new Promise((resolve) => {
-      this.fleet.world.plan(microseconds, resolve);
+      this.fleet.world.schedule(microseconds, resolve);
     });
   }
 
@@ -50,7 +50,7 @@
   }
 
   private pickRunningMachine(): ControlMachine | undefined {
-    return Randoms.pick(
+    return Randoms.pickOne(
       this.fleet.world.random,
       this.fleet.machines.filter(({ process }) => process.alive),
     );
@@ -60,8 +60,8 @@
   private call<Result>(work: (machine: ControlMachine) => Promise<Result> | undefined): Promise<Result | undefined> {
     const machine = this.pickRunningMachine();
     return new Promise((resolve) => {
-      this.fleet.world.plan(1_000_000, () => resolve(undefined));
-      machine?.process.enter(() => {
+      this.fleet.world.schedule(1_000_000, () => resolve(undefined));
+      machine?.process.execute(() => {
         const process = machine.process;
         void work(machine)?.then((result) => {
           if (process.alive) resolve(result);
@@ -118,20 +118,23 @@
         repairs.push(() => machine.start());
       } else if (kind === 3) {
         machine.process.freeze();
-        repairs.push(() => machine.process.thaw());
+        repairs.push(() => machine.process.unfreeze());
       } else if (kind === 4) {
         machine.disk.faults.stalled = true;
-        repairs.push(() => machine.disk.release());
+        repairs.push(() => machine.disk.endStall());
       } else if (kind === 5) {
         machine.disk.faults.full = true;
         repairs.push(() => void (machine.disk.faults.full = false));
       } else if (kind === 6) {
         for (const other of fleet.machines)
           if (other !== machine)
-            repairs.push(network.cut(machine.machine, other.machine), network.cut(other.machine, machine.machine));
+            repairs.push(
+              network.cutLink(machine.machine, other.machine),
+              network.cutLink(other.machine, machine.machine),
+            );
       } else
         for (const other of fleet.machines)
-          if (other !== machine) repairs.push(network.cut(other.machine, machine.machine));
+          if (other !== machine) repairs.push(network.cutLink(other.machine, machine.machine));
     }
     await world.runFor(200_000 + Randoms.below(world.random, 4_000_000));
     for (const repair of repairs) repair();
@@ -182,7 +185,7 @@
   describe(`${count} control nodes and ${standbys} standbys with up to ${toleratedFailures} failed at once`, () => {
     for (let seed = 1; seed <= rounds; seed += 1)
       test(`seed ${seed}`, async () => {
-        const fleet = new ControlFleet(seed * 7919 + count, platformDialect, { membersWanted: count });
+        const fleet = new ControlFleet(seed * 7919 + count, platformConfigurationFormat, { membersWanted: count });
         assert.ok(await fleet.startAll(count));
         for (let number = 0; number < standbys; number += 1) fleet.add().start();
         await fleet.world.runFor(1_000_000);
--- a/tests/control-read-back.test.ts
+++ b/tests/control-read-back.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { largePut, linkBytesPerSecond } from './support/leaderDuel';
 
@@ -26,8 +26,8 @@
   fleet.machines
     .filter((other) => other !== machine)
     .flatMap(({ machine: other }) => [
-      fleet.network.cut(other, machine.machine),
-      fleet.network.cut(machine.machine, other),
+      fleet.network.cutLink(other, machine.machine),
+      fleet.network.cutLink(machine.machine, other),
     ]);
 
 type Confirmed = { version: number };
@@ -99,7 +99,7 @@
 describe('the configuration can be read after a loss of power on all nodes and of two disks', () => {
   for (let seed = firstSeed; seed < firstSeed + seeds; seed += 1)
     test(`seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, { membersWanted: 5 });
       assert.ok(await fleet.startAll(5));
       fleet.network.linkBytesPerSecond = linkBytesPerSecond;
       const confirmed: Confirmed = { version: 0 };
--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -1,7 +1,7 @@
 /** Reads of the configuration from control nodes: under faults, with full disks, and with a large document. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
@@ -35,8 +35,8 @@
 ): Heal => {
   const heals = first.flatMap((one) =>
     second.flatMap((two) => [
-      fleet.network.cut(one.machine, two.machine),
-      ...(ways === 'both' ? [fleet.network.cut(two.machine, one.machine)] : []),
+      fleet.network.cutLink(one.machine, two.machine),
+      ...(ways === 'both' ? [fleet.network.cutLink(two.machine, one.machine)] : []),
     ]),
   );
   return () => heals.forEach((heal) => heal());
@@ -69,7 +69,7 @@
   (fleet) => {
     const [machine] = shuffled(fleet);
     if (machine !== undefined) machine.disk.faults.stalled = true;
-    return () => machine?.disk.release();
+    return () => machine?.disk.endStall();
   },
   (fleet) => {
     const [one, two] = shuffled(fleet);
@@ -89,7 +89,7 @@
     const { version } = confirmed;
     const { controlNode: keeper, name } = machine;
     tally.asked += 1;
-    machine.process.enter(
+    machine.process.execute(
       () =>
         void keeper.read('blueprint', 900_000).then((read) => {
           if (read.kind !== 'read') return;
@@ -103,7 +103,7 @@
 describe('a read is never older than the last change confirmed before it began', () => {
   for (let seed = 1; seed <= seeds; seed += 1)
     test(`under partitions, one-way cuts, kills and disk faults, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, fiveMembers);
       assert.ok(await fleet.startAll(5));
       const confirmed = { version: 0 };
       const tally: Tally = { stale: [], answered: 0, asked: 0 };
@@ -138,7 +138,7 @@
 describe('full disks', () => {
   for (const seed of [1, 2, 3])
     test(`the leader's disk is full: changes are confirmed and every node answers reads, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, fiveMembers);
       assert.ok(await fleet.startAll(5));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = fleet.machines.find(
@@ -164,7 +164,7 @@
     });
 
   test('all disks are full: changes are refused temporarily, reads are answered, and the same change is accepted later', async () => {
-    const fleet = new ControlFleet(7, platformDialect, fiveMembers);
+    const fleet = new ControlFleet(7, platformConfigurationFormat, fiveMembers);
     assert.ok(await fleet.startAll(5));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     for (const { disk } of fleet.machines) disk.faults.full = true;
@@ -196,7 +196,7 @@
 
   for (const seed of [1, 2])
     test(`is put, changed by one route and read at each node within the time limits, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect, fiveMembers);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, fiveMembers);
       assert.ok(await fleet.startAll(5));
       fleet.network.linkBytesPerSecond = 15_000_000;
       const timed = async (order: ChangeOrder, machine: ControlMachine): Promise<void> => {
