--- a/tests/control-safety.test.ts
+++ b/tests/control-safety.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import { ReplicaStates, type ReplicaEvent } from '../source/core-keeper/write-ahead-log/replicaState';
 import { Changes, Digests, emptyEntry } from '../source/core-keeper/register/changes';
@@ -33,8 +33,8 @@
   const heals = fleet.machines
     .filter((other) => other !== machine)
     .flatMap((other) => [
-      ...(ways === 'out' ? [] : [fleet.network.cut(other.machine, machine.machine)]),
-      ...(ways === 'in' ? [] : [fleet.network.cut(machine.machine, other.machine)]),
+      ...(ways === 'out' ? [] : [fleet.network.cutLink(other.machine, machine.machine)]),
+      ...(ways === 'in' ? [] : [fleet.network.cutLink(machine.machine, other.machine)]),
     ]);
   return () => heals.forEach((heal) => heal());
 };
@@ -46,7 +46,7 @@
   for (const ways of ['both', 'in', 'out'] as const)
     for (const seed of [101, 102, 103])
       test(`a leader with links cut ${ways} confirms, refuses and returns nothing, seed ${seed}`, async () => {
-        const fleet = new ControlFleet(seed, platformDialect);
+        const fleet = new ControlFleet(seed, platformConfigurationFormat);
         assert.ok(await fleet.startAll(3));
         assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
         const cut = leaderOf(fleet);
@@ -79,7 +79,7 @@
 
   for (const seed of [111, 112, 113, 114])
     test(`a member that returns does not depose the leader, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const leader = leaderOf(fleet);
@@ -98,15 +98,15 @@
     });
 
   test('a member cut off from the leader alone does not depose it', async () => {
-    const fleet = new ControlFleet(121, platformDialect);
+    const fleet = new ControlFleet(121, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     const leader = leaderOf(fleet);
     const [left] = fleet.machines.filter((machine) => machine !== leader);
     assert.ok(left !== undefined);
     const before = leader.controlNode?.keyLeaders()['blueprint'];
-    fleet.network.cut(leader.machine, left.machine);
-    fleet.network.cut(left.machine, leader.machine);
+    fleet.network.cutLink(leader.machine, left.machine);
+    fleet.network.cutLink(left.machine, leader.machine);
     await fleet.world.runFor(15_000_000);
     assert.deepEqual(leader.controlNode?.keyLeaders()['blueprint'], before);
     assert.equal(
@@ -118,7 +118,7 @@
   });
 
   test('a joining member follows the majority although the first seed is a restarted, partitioned member', async () => {
-    const fleet = new ControlFleet(131, platformDialect);
+    const fleet = new ControlFleet(131, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     const cut = fleet.machine(2);
@@ -144,7 +144,7 @@
 
 describe('concurrent and repeated changes', () => {
   const outcomeOfRepeat = (entry: Entry, order: ChangeOrder): ChangeOutcome | undefined => {
-    const planned = Changes.plan(entry, order, platformDialect);
+    const planned = Changes.plan(entry, order, platformConfigurationFormat);
     return planned.kind === 'answer' ? planned.outcome : undefined;
   };
 
@@ -154,7 +154,7 @@
     const sizes: number[] = [];
     for (let version = 1; version <= maxRememberedChanges + 200; version += 1) {
       const order = put(version * 3, (version - 1) * 3);
-      const planned = Changes.plan(entry, order, platformDialect);
+      const planned = Changes.plan(entry, order, platformConfigurationFormat);
       assert.ok(planned.kind === 'write');
       entry = planned.entry;
       orders.push(order);
@@ -173,7 +173,7 @@
 
   test('reads the history format of earlier builds, with its outcomes', () => {
     const order = put(9, 0);
-    const first = Changes.plan(emptyEntry, order, platformDialect);
+    const first = Changes.plan(emptyEntry, order, platformConfigurationFormat);
     assert.ok(first.kind === 'write');
     const { outcomes, ...entry } = first.entry;
     assert.equal(outcomes.records.length > 0, true);
@@ -194,7 +194,7 @@
 
   for (const seed of [201, 202, 203, 204, 205, 206])
     test(`different documents under one number, resent over lost answers and new leaders, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       let base = 1;
@@ -229,7 +229,7 @@
 describe('a second loss right after a repair or a replacement', () => {
   for (const seed of [301, 302, 303, 304, 305, 306])
     test(`a majority remains if a member is lost right after a planned replacement, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const spare = fleet.add();
@@ -253,7 +253,7 @@
 
   for (const seed of [311, 312, 313, 314])
     test(`a change survives if one of its two holders leaves and the other is lost right after, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const spare = fleet.add();
@@ -280,7 +280,7 @@
   for (const seed of [321, 322, 323])
     test(`after each crash, wipe or replacement another member may be lost once the catch-up time has passed, seed ${seed}`, async () => {
       const catchUp = 4_000_000;
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       let version = 1;
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
@@ -308,7 +308,7 @@
     });
 
   test('a joining member that dies while it catches up blocks neither changes nor the next joining member', async () => {
-    const fleet = new ControlFleet(331, platformDialect);
+    const fleet = new ControlFleet(331, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
     fleet.machine(3).kill(true);
@@ -335,7 +335,7 @@
     [3, 403],
   ] as const)
     test(`seed ${missing} is partitioned from the start: the others found the fleet, and it joins later`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       for (let number = 1; number <= 3; number += 1) fleet.add();
       const heal = cutOff(fleet, fleet.machine(missing));
       for (const machine of fleet.machines) machine.start(true);
@@ -354,14 +354,14 @@
 
   test('a seed that two founders ask at the same time agrees to one of them, 20 seeds', async () => {
     for (let seed = 421; seed <= 440; seed += 1) {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       const asked = fleet.add();
       asked.start(true);
       await fleet.world.runFor(100_000);
       const answers: string[] = [];
       const founder = new SimProcess(fleet.world, 'founder', '10.1.0.9');
       for (const name of ['one', 'other'])
-        founder.enter(
+        founder.execute(
           () =>
             void fleet.network
               .transportOf(founder)
@@ -375,7 +375,7 @@
   });
 
   test('a node that lost its disk since the first start does not found a second fleet with one that was partitioned', async () => {
-    const fleet = new ControlFleet(411, platformDialect);
+    const fleet = new ControlFleet(411, platformConfigurationFormat);
     for (let number = 1; number <= 3; number += 1) fleet.add();
     const heal = cutOff(fleet, fleet.machine(3));
     for (const machine of fleet.machines) machine.start(true);
@@ -391,7 +391,7 @@
   });
 
   test('standby replicas configured as seeds never found a fleet among themselves', async () => {
-    const fleet = new ControlFleet(421, platformDialect);
+    const fleet = new ControlFleet(421, platformConfigurationFormat);
     for (let number = 1; number <= 6; number += 1) fleet.add().start(true);
     assert.ok(await fleet.waitUntilSettled(3, 5_000_000));
     fleet.seedNumbers = [4, 5, 6];
@@ -406,7 +406,7 @@
 
   for (const seed of [431, 432, 433])
     test(`nodes killed before founding found the fleet after a restart that is not marked as the first, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       for (let number = 1; number <= 3; number += 1) fleet.add().start(true);
       await fleet.world.runFor(15_000);
       for (const machine of fleet.machines) machine.kill();
@@ -423,7 +423,7 @@
     ['power', 503],
   ] as const)
     test(`a member lost for 300 changes (${how}) catches up and never leads or answers from outdated state`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1, 0)))?.kind, 'taken');
       const lost = fleet.machine(2);
@@ -479,7 +479,7 @@
 
   for (const seed of [601, 602, 603])
     test(`candidates with the old and the new member list never hold the same lease, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       const [first, second, cut] = fleet.machines;
       assert.ok(first !== undefined && second !== undefined && cut !== undefined);
@@ -501,7 +501,7 @@
 
   for (const seed of [611, 612])
     test(`the fencing token never decreases across wipes, a replacement and a loss of power on all, seed ${seed}`, async () => {
-      const fleet = new ControlFleet(seed, platformDialect);
+      const fleet = new ControlFleet(seed, platformConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       const revision = (): number =>
         Math.max(...fleet.machines.map(({ controlNode: keeper }) => keeper?.core.members().revision ?? 0));
--- a/tests/control-unreachable-leader.test.ts
+++ b/tests/control-unreachable-leader.test.ts
@@ -6,7 +6,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
@@ -37,7 +37,7 @@
   for (const count of [3, 5])
     test(`changes at every other of ${count} nodes are confirmed, 3 seeds`, async () => {
       for (const seed of [701, 702, 703]) {
-        const fleet = new ControlFleet(seed, platformDialect, { membersWanted: count });
+        const fleet = new ControlFleet(seed, platformConfigurationFormat, { membersWanted: count });
         assert.ok(await fleet.startAll(count));
         assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
         const leader = leaderOf(fleet);
@@ -55,15 +55,15 @@
     });
 
   test('a member that missed a change receives it over a connection opened by the leader', async () => {
-    const fleet = new ControlFleet(721, platformDialect);
+    const fleet = new ControlFleet(721, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
     const leader = leaderOf(fleet);
     const [behind, other] = fleet.machines.filter((machine) => machine !== leader);
     assert.ok(behind !== undefined && other !== undefined);
     const heals = [leader, other].flatMap(({ machine }) => [
-      fleet.network.cut(machine, behind.machine),
-      fleet.network.cut(behind.machine, machine),
+      fleet.network.cutLink(machine, behind.machine),
+      fleet.network.cutLink(behind.machine, machine),
     ]);
     assert.equal((await fleet.change(other, put(2)))?.kind, 'taken');
     fleet.network.refuseConnections(behind.machine, leader.machine);
@@ -74,7 +74,7 @@
   });
 
   test('no change is confirmed twice or lost when that leader dies', async () => {
-    const fleet = new ControlFleet(711, platformDialect);
+    const fleet = new ControlFleet(711, platformConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
     const leader = leaderOf(fleet);
--- a/tests/demand.test.ts
+++ b/tests/demand.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { describe, test } from 'node:test';
-import { DemandTeller } from '../source/edge-proxy/demand/demandTeller';
-import { WorkDesk } from '../source/edge-agent/desk/workDesk';
+import { DemandPublisher } from '../source/edge-proxy/demand/demandPublisher';
+import { RequestScheduler } from '../source/edge-agent/scheduler/requestScheduler';
 import { DemandSettings, DemandView } from '../source/edge-proxy/demand/demandView';
-import { LinkSpeeds } from '../source/edge-proxy/fetch/linkSpeeds';
-import { MoveSettings, PartMoves } from '../source/edge-proxy/fetch/partMoves';
+import { LinkSpeeds } from '../source/edge-proxy/cache-imports/linkSpeeds';
+import { PartImportSettings, PartImports } from '../source/edge-proxy/cache-imports/partImports';
 import type { ProxyRequest, ResolvedRequest } from '../source/edge-proxy/pipeline/request';
 import { PlacementCostSettings } from '../source/edge-proxy/placement/placementCosts';
 import type { SchedulerClient } from '../source/edge-proxy/placement/schedulerClient';
@@ -14,16 +14,20 @@
 import { PromptKeys } from '../source/edge-proxy/placement/placementPolicies';
 import { PrefillSpeeds } from '../source/edge-proxy/placement/prefillSpeeds';
 import { CostPlacer } from '../source/edge-proxy/placement/costPlacer';
-import { CopyPlaces } from '../source/shared/demand/copyPlaces';
+import { CopyPlacement } from '../source/shared/demand/copyPlacement';
 import { HeavyHitters } from '../source/shared/demand/heavyHitters';
-import { DemandLimits, PrefixDemand, type DemandFact, type Wanted } from '../source/shared/demand/prefixDemand';
-import { DeskMessages, type DeskOffer, type DeskOrder } from '../source/shared/desk/messages';
-import type { LookUp } from '../source/shared/directory/lookup';
+import { DemandLimits, PrefixDemand, type DemandEntry, type RankedPrefix } from '../source/shared/demand/prefixDemand';
+import {
+  SchedulerMessages,
+  type SchedulerOffer,
+  type SchedulerRequest,
+} from '../source/shared/scheduler/schedulerMessages';
+import type { LookupResult } from '../source/shared/directory/lookup';
 import { seededRandom } from '../source/shared/effects/random/random';
 import { Metrics } from '../source/shared/metrics/metrics';
-import { FactBook } from '../source/shared/news/facts';
-import { FactKeys, type MemberState } from '../source/shared/news/factTypes';
-import { handClock } from './support/handClock';
+import { GossipStore } from '../source/shared/gossip/gossipStore';
+import { GossipKeys, type MemberState } from '../source/shared/gossip/entryTypes';
+import { timerlessClock } from './support/timerlessClock';
 import { pool } from './support/pool';
 
 const name = fc.constantFrom(...'abcdefghijkl');
@@ -41,7 +45,7 @@
           now += pause;
           for (const [known, count] of exact) exact.set(known, count * 2 ** (-pause / halfLife));
           exact.set(seenName, (exact.get(seenName) ?? 0) + 1);
-          sketch.saw(seenName, now);
+          sketch.record(seenName, now);
         }
         const total = [...exact.values()].reduce((sum, count) => sum + count, 0);
         const tolerance = total * 1e-9;
@@ -72,10 +76,10 @@
 
   test('counts halve with each half-life, also after a long time', () => {
     const sketch = new HeavyHitters(4, halfLife);
-    for (let turn = 0; turn < 8; turn += 1) sketch.saw('a', 0);
+    for (let turn = 0; turn < 8; turn += 1) sketch.record('a', 0);
     assert.equal(sketch.total(halfLife), 4);
     assert.deepEqual(sketch.top(1, 3 * halfLife), [{ name: 'a', count: 1 }]);
-    for (let turn = 1; turn <= 500; turn += 1) sketch.saw('b', turn * halfLife);
+    for (let turn = 1; turn <= 500; turn += 1) sketch.record('b', turn * halfLife);
     assert.ok(Math.abs(sketch.total(500 * halfLife) - 2) < 1e-6);
     assert.deepEqual(
       sketch.top(4, 500 * halfLife).map(({ name: kept }) => kept),
@@ -86,7 +90,7 @@
 
   test('of equal counts the most recently requested prefix ranks first', () => {
     const sketch = new HeavyHitters(4, 1e15);
-    for (const [index, seen] of ['b', 'c', 'a'].entries()) sketch.saw(seen, index);
+    for (const [index, seen] of ['b', 'c', 'a'].entries()) sketch.record(seen, index);
     assert.deepEqual(
       sketch.top(3, 3).map(({ name: kept }) => kept),
       ['a', 'c', 'b'],
@@ -108,8 +112,8 @@
           .map((item) => ({ item, draw: draws.next().value as number }))
           .sort((left, right) => left.draw - right.draw)
           .map(({ item }) => item);
-        const ranked = PrefixDemand.ranked(facts);
-        assert.deepEqual(PrefixDemand.ranked(shuffled), ranked);
+        const ranked = PrefixDemand.rank(facts);
+        assert.deepEqual(PrefixDemand.rank(shuffled), ranked);
         assert.equal(new Set(ranked.map(({ name: wanted }) => wanted)).size, ranked.length);
         for (const [index, { count, sharePerMille }] of ranked.entries()) {
           assert.ok(count > 0 && sharePerMille >= 0 && sharePerMille <= 1000);
@@ -123,24 +127,24 @@
 
   test('equal counts are ranked by name, and the ranking is bounded', () => {
     const prefixes = Array.from({ length: 16 }, (_, index) => [`n${String(99 - index)}`, 1] as const);
-    assert.equal(PrefixDemand.ranked([{ agent: 'p', total: 16, prefixes }])[0]?.name, 'n84');
-    const facts = Array.from({ length: 20 }, (_, agent): DemandFact => ({
+    assert.equal(PrefixDemand.rank([{ agent: 'p', total: 16, prefixes }])[0]?.name, 'n84');
+    const facts = Array.from({ length: 20 }, (_, agent): DemandEntry => ({
       agent: String(agent),
       total: 16,
       prefixes: Array.from({ length: 16 }, (__, index) => [`${agent}/${index}`, 1] as const),
     }));
-    assert.equal(PrefixDemand.ranked(facts).length, DemandLimits.ranked);
+    assert.equal(PrefixDemand.rank(facts).length, DemandLimits.maxRankedPrefixes);
   });
 
   test('rejects malformed facts', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
-        assert.equal(PrefixDemand.isFact(value), false);
+        assert.equal(PrefixDemand.isEntry(value), false);
       }),
       { seed: 13, numRuns: 300 },
     );
-    const good: DemandFact = { agent: 'p', total: 3, prefixes: [['a', 2]] };
-    assert.ok(PrefixDemand.isFact(good));
+    const good: DemandEntry = { agent: 'p', total: 3, prefixes: [['a', 2]] };
+    assert.ok(PrefixDemand.isEntry(good));
     for (const wrong of [
       { total: -1 },
       { total: 0.5 },
@@ -149,14 +153,14 @@
       { prefixes: [['x'.repeat(33), 1]] },
       { prefixes: Array.from({ length: 33 }, (_, index) => [String(index), 1]) },
     ])
-      assert.equal(PrefixDemand.isFact({ ...good, ...wrong }), false);
+      assert.equal(PrefixDemand.isEntry({ ...good, ...wrong }), false);
   });
 });
 
 const places = { copiesPerMille: 1500, mostCopies: 4 };
 const wantedList = fc
   .uniqueArray(fc.tuple(name, fc.nat(400)), { selector: ([first]) => first, minLength: 1, maxLength: 12 })
-  .map((items): readonly Wanted[] =>
+  .map((items): readonly RankedPrefix[] =>
     items.map(([wanted, sharePerMille]) => ({ name: wanted, count: sharePerMille + 1, sharePerMille })),
   );
 const engineNames = fc.uniqueArray(
@@ -168,12 +172,12 @@
   test('each prefix has at least one engine, as many as its share of the demand requires, and no engine has too many prefixes', () => {
     fc.assert(
       fc.property(wantedList, engineNames, (wanted, engines) => {
-        const given = CopyPlaces.assign(wanted, engines, places);
+        const given = CopyPlacement.assign(wanted, engines, places);
         const taken = new Map<string, number>();
         let all = 0;
         for (const { name: prefix, sharePerMille } of wanted) {
           const own = given.get(prefix) ?? [];
-          assert.equal(own.length, CopyPlaces.copies(sharePerMille, engines.length, places));
+          assert.equal(own.length, CopyPlacement.copyCount(sharePerMille, engines.length, places));
           assert.ok(own.length >= 1 && own.length <= Math.min(4, engines.length));
           assert.equal(new Set(own).size, own.length, 'all copies are on different engines');
           for (const engine of own) taken.set(engine, (taken.get(engine) ?? 0) + 1);
@@ -183,7 +187,7 @@
           assert.ok(engines.includes(engine));
           assert.ok(count <= Math.ceil(all / engines.length) + 4, 'no engine has too many copies');
         }
-        assert.deepEqual(CopyPlaces.assign(wanted, [...engines], places), given);
+        assert.deepEqual(CopyPlacement.assign(wanted, [...engines], places), given);
       }),
       { seed: 14, numRuns: 300 },
     );
@@ -191,20 +195,24 @@
 
   test('as many prefixes as engines, with equal demand, get one engine each', () => {
     const engines = ['e1', 'e2', 'e3', 'e4', 'e5'];
-    const wanted = ['a', 'b', 'c', 'd', 'e'].map((prefix): Wanted => ({ name: prefix, count: 9, sharePerMille: 100 }));
-    const given = CopyPlaces.assign(wanted, engines, places);
+    const wanted = ['a', 'b', 'c', 'd', 'e'].map((prefix): RankedPrefix => ({
+      name: prefix,
+      count: 9,
+      sharePerMille: 100,
+    }));
+    const given = CopyPlacement.assign(wanted, engines, places);
     assert.equal(new Set([...given.values()].flat()).size, 5);
   });
 
   test('removing an engine moves few of the copies on the other engines', () => {
     const engines = Array.from({ length: 10 }, (_, index) => `e${index}`);
-    const wanted = Array.from({ length: 40 }, (_, index): Wanted => ({
+    const wanted = Array.from({ length: 40 }, (_, index): RankedPrefix => ({
       name: `p${index}`,
       count: 40 - index,
       sharePerMille: 20,
     }));
-    const before = CopyPlaces.assign(wanted, engines, places);
-    const after = CopyPlaces.assign(wanted, engines.slice(1), places);
+    const before = CopyPlacement.assign(wanted, engines, places);
+    const after = CopyPlacement.assign(wanted, engines.slice(1), places);
     const moved = wanted.filter(
       ({ name: prefix }) => before.get(prefix)?.[0] !== 'e0' && before.get(prefix)?.[0] !== after.get(prefix)?.[0],
     );
@@ -212,25 +220,25 @@
   });
 });
 
-const member = (facts: FactBook, agent: string, state: MemberState = 'alive', version = 1): void => {
-  facts.put({ key: FactKeys.member(agent), version: [version, 0], value: { name: agent, state } });
+const member = (facts: GossipStore, agent: string, state: MemberState = 'alive', version = 1): void => {
+  facts.put({ key: GossipKeys.member(agent), version: [version, 0], value: { name: agent, state } });
 };
-const say = (facts: FactBook, agent: string, prefixes: DemandFact['prefixes'], version = 1): void => {
-  const value: DemandFact = { agent, total: prefixes.reduce((sum, [, count]) => sum + count, 0), prefixes };
-  facts.put({ key: FactKeys.demand(agent), version: [1, version], value });
+const publishDemand = (facts: GossipStore, agent: string, prefixes: DemandEntry['prefixes'], version = 1): void => {
+  const value: DemandEntry = { agent, total: prefixes.reduce((sum, [, count]) => sum + count, 0), prefixes };
+  facts.put({ key: GossipKeys.demand(agent), version: [1, version], value });
 };
 const engines = ['e3', 'e1', 'e2'];
 
 describe('the demand as a proxy sees it', () => {
   test('proxies with the same facts assign the same engines, whatever requests each has received itself', () => {
     const views = [1, 2].map((which) => {
-      const facts = new FactBook();
-      const clock = handClock();
+      const facts = new GossipStore();
+      const clock = timerlessClock();
       const view = new DemandView(facts, clock, DemandSettings.usual);
-      if (which === 1) view.saw('only here');
+      if (which === 1) view.countRequest('only here');
       for (const agent of which === 1 ? ['p', 'q'] : ['q', 'p']) {
         member(facts, agent);
-        say(
+        publishDemand(
           facts,
           agent,
           agent === 'p'
@@ -247,9 +255,9 @@
       return view;
     });
     const [one, two] = views;
-    assert.deepEqual(one?.wanted(), two?.wanted());
+    assert.deepEqual(one?.ranking(), two?.ranking());
     assert.deepEqual(
-      one?.wanted().map(({ name: prefix }) => prefix),
+      one?.ranking().map(({ name: prefix }) => prefix),
       ['a', 'b', 'c'],
     );
     for (const prefix of ['a', 'b', 'c', 'unknown'])
@@ -260,54 +268,54 @@
   });
 
   test('the demand published by a daemon counts while the daemon is present', () => {
-    const facts = new FactBook();
-    const clock = handClock();
+    const facts = new GossipStore();
+    const clock = timerlessClock();
     const view = new DemandView(facts, clock, DemandSettings.usual);
     const later = (): void => void (clock.now += 1_000_000);
-    say(facts, 'p', [['a', 9]]);
-    assert.deepEqual(view.wanted(), [], 'the daemon is not a known member');
+    publishDemand(facts, 'p', [['a', 9]]);
+    assert.deepEqual(view.ranking(), [], 'the daemon is not a known member');
     member(facts, 'p');
-    assert.deepEqual(view.wanted(), [], 'the ranking is not computed again with every fact');
+    assert.deepEqual(view.ranking(), [], 'the ranking is not computed again with every fact');
     later();
-    assert.equal(view.wanted().length, 1);
+    assert.equal(view.ranking().length, 1);
     member(facts, 'p', 'gone', 2);
     later();
-    assert.deepEqual(view.wanted(), []);
-    facts.put({ key: FactKeys.demand('q'), version: [1, 1], value: 'nonsense' });
+    assert.deepEqual(view.ranking(), []);
+    facts.put({ key: GossipKeys.demand('q'), version: [1, 1], value: 'nonsense' });
     member(facts, 'q');
     later();
-    assert.deepEqual(view.wanted(), []);
+    assert.deepEqual(view.ranking(), []);
   });
 
   test('publishes once a second', () => {
-    const clock = handClock();
-    const view = new DemandView(new FactBook(), clock, DemandSettings.usual);
-    view.saw('a');
-    assert.deepEqual(view.telling(), { demand: { total: 1, prefixes: [['a', 1]] } });
-    assert.deepEqual(view.telling(), {});
+    const clock = timerlessClock();
+    const view = new DemandView(new GossipStore(), clock, DemandSettings.usual);
+    view.countRequest('a');
+    assert.deepEqual(view.countsToPublish(), { demand: { total: 1, prefixes: [['a', 1]] } });
+    assert.deepEqual(view.countsToPublish(), {});
     clock.now = 1_000_000;
-    view.saw('a');
-    assert.deepEqual(view.telling().demand?.prefixes, [['a', 2]]);
+    view.countRequest('a');
+    assert.deepEqual(view.countsToPublish().demand?.prefixes, [['a', 2]]);
   });
 
   test('counts, publishes and ranks nothing if switched off', () => {
-    const facts = new FactBook();
+    const facts = new GossipStore();
     member(facts, 'p');
-    say(facts, 'p', [['a', 9]]);
-    const view = new DemandView(facts, handClock(), DemandSettings.off(DemandSettings.usual));
-    view.saw('a');
-    assert.deepEqual(view.telling(), {});
-    assert.deepEqual(view.wanted(), []);
+    publishDemand(facts, 'p', [['a', 9]]);
+    const view = new DemandView(facts, timerlessClock(), DemandSettings.off(DemandSettings.usual));
+    view.countRequest('a');
+    assert.deepEqual(view.countsToPublish(), {});
+    assert.deepEqual(view.ranking(), []);
     assert.ok(!view.isWanted('a'));
   });
 });
 
 const publisher = (
   daemons = 9,
-): Readonly<{ clock: ReturnType<typeof handClock>; facts: FactBook; one: DemandTeller }> => {
-  const clock = handClock();
-  const facts = new FactBook();
-  const one = new DemandTeller(
+): Readonly<{ clock: ReturnType<typeof timerlessClock>; facts: GossipStore; one: DemandPublisher }> => {
+  const clock = timerlessClock();
+  const facts = new GossipStore();
+  const one = new DemandPublisher(
     'p',
     facts,
     clock,
@@ -316,48 +324,48 @@
   );
   return { clock, facts, one };
 };
-const published = (facts: FactBook): DemandFact | undefined => facts.value(FactKeys.demand('p'));
+const published = (facts: GossipStore): DemandEntry | undefined => facts.value(GossipKeys.demand('p'));
 
 describe('publication of the demand of a proxy', () => {
   test('publishes rarely, and only changes', () => {
     const { clock, facts, one } = publisher();
-    one.hear({ total: 10, prefixes: [['a', 5]] });
+    one.publish({ total: 10, prefixes: [['a', 5]] });
     assert.equal(published(facts)?.total, 10);
     const { changes } = facts;
     clock.now = 500_000;
-    one.hear({ total: 30, prefixes: [['b', 9]] });
+    one.publish({ total: 30, prefixes: [['b', 9]] });
     assert.equal(facts.changes, changes, 'it has published a moment ago');
     clock.now = 3_000_000;
-    one.hear({ total: 11, prefixes: [['a', 6]] });
+    one.publish({ total: 11, prefixes: [['a', 6]] });
     assert.equal(facts.changes, changes, 'the counts are about the same');
-    one.hear({ total: 11, prefixes: [['a', 8]] });
+    one.publish({ total: 11, prefixes: [['a', 8]] });
     assert.deepEqual(published(facts)?.prefixes, [['a', 8]]);
     clock.now = 6_000_000;
-    one.clear();
+    one.publishNone();
     assert.deepEqual(published(facts), { agent: 'p', total: 0, prefixes: [] });
     clock.now = 9_000_000;
     const after = facts.changes;
-    one.clear();
+    one.publishNone();
     assert.equal(facts.changes, after, 'the empty demand is published only once');
   });
 
   test('each proxy of a large fleet publishes fewer entries less often, so that the total stays about the same', () => {
     const prefixes = Array.from({ length: 16 }, (_, index) => [`n${index}`, 20 - index] as const);
     const { clock, facts, one } = publisher(73);
-    one.hear({ total: 100, prefixes });
+    one.publish({ total: 100, prefixes });
     assert.equal(published(facts)?.prefixes.length, 4);
     clock.now = 5_000_000;
-    one.hear({ total: 900, prefixes: [] });
+    one.publish({ total: 900, prefixes: [] });
     assert.equal(published(facts)?.total, 100);
     clock.now = 10_000_000;
-    one.hear({ total: 900, prefixes: [] });
+    one.publish({ total: 900, prefixes: [] });
     assert.equal(published(facts)?.total, 900);
   });
 
   test('does not publish malformed demand', () => {
     const { facts, one } = publisher();
     for (const malformed of [undefined, null, 'x', {}, { total: 1 }, { total: 1, prefixes: [['a', -1]] }])
-      one.hear(malformed);
+      one.publish(malformed);
     assert.equal(published(facts), undefined);
   });
 });
@@ -382,8 +390,8 @@
   holders: readonly string[],
   copyEngines: readonly string[],
   { isOn = true, waits = {} }: { isOn?: boolean; waits?: Readonly<Record<string, number>> } = {},
-): Promise<Readonly<{ engine: string | undefined; offers: readonly DeskOffer[]; counted: Metrics }>> => {
-  const clock = handClock();
+): Promise<Readonly<{ engine: string | undefined; offers: readonly SchedulerOffer[]; counted: Metrics }>> => {
+  const clock = timerlessClock();
   const request = requestWithPrefix('rules', 'own');
   const shape = { linkBytesPerSecond: 137_500_000_000, tokenBytes: 163_840, keptTokens: 150_000 };
   const service = { ...pool, shape };
@@ -401,9 +409,9 @@
     settings: { ...DemandSettings.usual, isOn },
     places: () => copyEngines,
   } as unknown as DemandView;
-  const offers: DeskOffer[] = [];
+  const offers: SchedulerOffer[] = [];
   const scheduler = {
-    reserve: (asked: DeskOrder) => {
+    reserve: (asked: SchedulerRequest) => {
       offers.push(...asked.offers);
       return Promise.resolve(undefined);
     },
@@ -411,7 +419,7 @@
   const counted = new Metrics();
   const placer = new CostPlacer(
     view,
-    new PartMoves(view, new LinkSpeeds(1000, 64), MoveSettings.usual),
+    new PartImports(view, new LinkSpeeds(1000, 64), PartImportSettings.usual),
     new PrefillSpeeds(),
     seededRandom(1),
     'z',
@@ -432,7 +440,8 @@
     work: { pendingPrefillTokens: waits[engine] ?? 0, tokens: 0 },
   }));
   const found = holders.map((holder) => ({ holder, matched: 1, bootEpoch: 'b', epoch: 1 }));
-  const lookUp = (): LookUp => (found.length === 0 ? { kind: 'miss', reason: 'absent' } : { kind: 'prefixHit', found });
+  const lookUp = (): LookupResult =>
+    found.length === 0 ? { kind: 'miss', reason: 'absent' } : { kind: 'prefixHit', found };
   const chosen = await placer.place(candidates, request, resolved, keys, lookUp);
   return { engine: chosen?.engine, offers, counted };
 };
@@ -466,9 +475,9 @@
     assert.equal(copies['e2'], 130_000);
     assert.ok((copies['e3'] ?? 0) < 0);
     assert.equal(counted.value('postdrum_prefix_copies_total', { copy: 'kept' }), 1);
-    assert.ok(DeskMessages.isOrder({ order: 'o', prefix: 'p', offers }));
-    const scheduler = new WorkDesk(handClock());
-    const offer = (engine: string, copy: number): DeskOffer => [engine, 0, 250_000, 50_000, 20_000, copy];
+    assert.ok(SchedulerMessages.isRequest({ order: 'o', prefix: 'p', offers }));
+    const scheduler = new RequestScheduler(timerlessClock());
+    const offer = (engine: string, copy: number): SchedulerOffer => [engine, 0, 250_000, 50_000, 20_000, copy];
     assert.equal(
       scheduler.reserve({ order: 'x', prefix: 'p', offers: [offer('a', 100_000), offer('b', 0)] }).engine,
       'b',
--- a/tests/directory.test.ts
+++ b/tests/directory.test.ts
@@ -4,10 +4,10 @@
 import { BlockStates, type BlockEvent, type BlockState } from '../source/shared/directory/blockState';
 import { HashChains, type NamedKey } from '../source/shared/directory/hashChain';
 import { Identities, type CacheIdentity } from '../source/shared/directory/identity';
-import { LookUps } from '../source/shared/directory/lookup';
-import { ShardBook } from '../source/shared/directory/shardBook';
+import { Lookups } from '../source/shared/directory/lookup';
+import { ShardCatalog } from '../source/shared/directory/shardCatalog';
 import { ShardDirectory, ShardLimits } from '../source/shared/directory/shardDirectory';
-import { ShardMarks, ShardNews } from '../source/shared/directory/shardNews';
+import { ShardPositions, ShardIndex } from '../source/shared/directory/shardIndex';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 
 const settings = { numRuns: Number(process.env['POSTDRUM_TEST_RUNS'] ?? 100), seed: 4711 };
@@ -125,7 +125,7 @@
 });
 
 const keysOf = (count: number, fill: string): readonly NamedKey[] =>
-  HashChains.named(
+  HashChains.withFillNames(
     Array.from({ length: count }, (_, index) => ({ physical: `p${index}`, logical: `l${index}` })),
     fill,
   );
@@ -133,7 +133,7 @@
 const shardAt = (bootEpoch = 'boot', weights = 'w'): ShardDirectory => {
   const shard = new ShardDirectory('engine', 1, ShardLimits.usual, true);
   shard.observe(bootEpoch, weights);
-  shard.list({ bootEpoch, sequence: 0, keys: [] });
+  shard.applyListing({ bootEpoch, sequence: 0, keys: [] });
   return shard;
 };
 const stored = (
@@ -149,20 +149,20 @@
   for (const eventFirst of [true, false]) {
     const shard = shardAt();
     const keys = keysOf(3, 'f');
-    shard.note({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
-    if (eventFirst) shard.events(stored(keys));
-    assert.equal(shard.news.size, 0);
-    shard.note({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
-    if (!eventFirst) shard.events(stored(keys));
-    assert.equal(shard.news.size, 3);
+    shard.applyReport({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
+    if (eventFirst) shard.applyEvents(stored(keys));
+    assert.equal(shard.index.size, 0);
+    shard.applyReport({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
+    if (!eventFirst) shard.applyEvents(stored(keys));
+    assert.equal(shard.index.size, 3);
   }
 });
 
 test('shard: a key that was not requested is no hit, whether an event or a listing reports it', () => {
   const shard = shardAt();
-  shard.events(stored(keysOf(2, 'stranger')));
-  shard.list({ bootEpoch: 'boot', sequence: 2, keys: keysOf(2, 'stranger').map(({ name }) => name) });
-  assert.equal(shard.news.size, 0);
+  shard.applyEvents(stored(keysOf(2, 'stranger')));
+  shard.applyListing({ bootEpoch: 'boot', sequence: 2, keys: keysOf(2, 'stranger').map(({ name }) => name) });
+  assert.equal(shard.index.size, 0);
 });
 
 test('shard: an answer under another boot or other weights commits nothing', () => {
@@ -172,24 +172,24 @@
   ] as const) {
     const shard = shardAt();
     const keys = keysOf(2, 'f');
-    shard.note({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
-    shard.events(stored(keys));
-    shard.note({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch, weights });
-    assert.equal(shard.news.size, 0);
+    shard.applyReport({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
+    shard.applyEvents(stored(keys));
+    shard.applyReport({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch, weights });
+    assert.equal(shard.index.size, 0);
   }
 });
 
 test('shard: a gap in the events requires a listing, which removes absent blocks and confirms requested ones', () => {
   const shard = shardAt();
   const keys = keysOf(3, 'f');
-  shard.note({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
-  shard.note({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
+  shard.applyReport({ kind: 'register', holder: 'engine', epoch: shard.epoch, fill: 'f', moves: false, keys });
+  shard.applyReport({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
   const reported = stored(keys);
-  assert.equal(shard.events({ ...reported, events: reported.events.slice(1) }), false);
-  shard.list({ bootEpoch: 'boot', sequence: 3, keys: keys.slice(0, 2).map(({ name }) => name) });
-  assert.equal(shard.news.size, 2);
-  assert.equal(shard.events({ ...reported, last: 3 }), true);
-  assert.equal(shard.news.size, 2);
+  assert.equal(shard.applyEvents({ ...reported, events: reported.events.slice(1) }), false);
+  shard.applyListing({ bootEpoch: 'boot', sequence: 3, keys: keys.slice(0, 2).map(({ name }) => name) });
+  assert.equal(shard.index.size, 2);
+  assert.equal(shard.applyEvents({ ...reported, last: 3 }), true);
+  assert.equal(shard.index.size, 2);
 });
 
 test('shard: blocks of a failed import are quarantined, count as used, are refused to others and are freed by a new boot', () => {
@@ -197,13 +197,13 @@
   const keys = keysOf(4, 'f');
   assert.equal(shard.grant('f', shard.epoch, keys).kind, 'granted');
   assert.deepEqual(shard.grant('g', shard.epoch, keysOf(2, 'g')), { kind: 'joined', fill: 'f', notice: 'pending' });
-  shard.note({ kind: 'abandon', holder: 'engine', fill: 'f' });
+  shard.applyReport({ kind: 'abandon', holder: 'engine', fill: 'f' });
   assert.equal(shard.quarantined, 4);
   assert.equal(shard.used, 4);
-  assert.equal(shard.fillNotice('f'), 'failed');
+  assert.equal(shard.fillStatus('f'), 'failed');
   assert.deepEqual(shard.grant('h', shard.epoch, keysOf(1, 'h')), { kind: 'refused', reason: 'quarantined' });
-  shard.events(stored(keys));
-  assert.equal(shard.news.size, 0);
+  shard.applyEvents(stored(keys));
+  assert.equal(shard.index.size, 0);
   const epoch = shard.epoch;
   shard.observe('boot-2', 'w');
   assert.equal(shard.epoch, epoch + 1);
@@ -219,14 +219,14 @@
   assert.equal(shard.grant('f', shard.epoch, keys).kind, 'granted');
   assert.equal(shard.charged, 4);
   now = 30_000_001;
-  shard.giveUpFills(now - 30_000_000);
-  assert.deepEqual([shard.charged, shard.quarantined, shard.fillNotice('f')], [0, 4, 'failed']);
+  shard.abandonFills(now - 30_000_000);
+  assert.deepEqual([shard.charged, shard.quarantined, shard.fillStatus('f')], [0, 4, 'failed']);
   assert.deepEqual(shard.grant('g', shard.epoch, keysOf(1, 'g')), { kind: 'refused', reason: 'quarantined' });
   // Time alone never frees them.
   now = 9_000_000_000;
-  shard.giveUpFills(now);
+  shard.abandonFills(now);
   assert.equal(shard.quarantined, 4);
-  shard.note({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
+  shard.applyReport({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot', weights: 'w' });
   assert.equal(shard.quarantined, 0);
 });
 
@@ -235,16 +235,16 @@
   const keys = keysOf(2, 'f');
   assert.equal(shard.grant('f', shard.epoch, keys).kind, 'granted');
   shard.observe('boot-2', 'w');
-  assert.equal(shard.fillNotice('f'), 'fenced');
-  shard.note({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot-2', weights: 'w' });
-  shard.list({ bootEpoch: 'boot-2', sequence: 2, keys: keys.map(({ name }) => name) });
-  assert.equal(shard.news.size, 0);
+  assert.equal(shard.fillStatus('f'), 'fenced');
+  shard.applyReport({ kind: 'attest', holder: 'engine', fill: 'f', bootEpoch: 'boot-2', weights: 'w' });
+  shard.applyListing({ bootEpoch: 'boot-2', sequence: 2, keys: keys.map(({ name }) => name) });
+  assert.equal(shard.index.size, 0);
 });
 
 test('shard: a request that was never sent leaves no blocks behind', () => {
   const shard = shardAt();
   assert.equal(shard.grant('f', shard.epoch, keysOf(2, 'f')).kind, 'granted');
-  shard.note({ kind: 'notSent', holder: 'engine', fill: 'f' });
+  shard.applyReport({ kind: 'notSent', holder: 'engine', fill: 'f' });
   assert.deepEqual([shard.quarantined, shard.used], [0, 0]);
   assert.equal(shard.grant('g', shard.epoch, keysOf(2, 'g')).kind, 'granted');
 });
@@ -253,12 +253,12 @@
   const shard = new ShardDirectory(
     'engine',
     1,
-    { blocks: 100, chargedBlocks: 5, quarantinedBlocks: 100, unclaimed: 10 },
+    { blocks: 100, chargedBlocks: 5, quarantinedBlocks: 100, maxUnclaimedNames: 10 },
     true,
   );
   shard.observe('boot', 'w');
   assert.equal(shard.grant('f', shard.epoch, keysOf(4, 'f')).kind, 'granted');
-  const others = HashChains.named(
+  const others = HashChains.withFillNames(
     [
       { physical: 'q1', logical: 'm1' },
       { physical: 'q2', logical: 'm2' },
@@ -278,9 +278,9 @@
   );
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-      const leader = new ShardNews({ holder: 'e', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 });
-      const book = new ShardBook();
-      let lastChange = leader.since(undefined);
+      const leader = new ShardIndex({ holder: 'e', term: 1, epoch: 1, bootEpoch: 'b', weights: 'w', version: 0 });
+      const book = new ShardCatalog();
+      let lastChange = leader.changesSince(undefined);
       let epoch = 1;
       for (const item of steps) {
         if ('put' in item) leader.put({ physical: `p${item.put}`, logical: `l${item.put}`, name: `n${item.put}` });
@@ -289,7 +289,7 @@
         else if ('late' in item) {
           if (lastChange !== undefined) book.apply(lastChange);
         } else {
-          lastChange = leader.since(book.marks()['e']);
+          lastChange = leader.changesSince(book.marks()['e']);
           if (lastChange !== undefined) book.apply(lastChange);
           assert.deepEqual(
             [...(book.get('e')?.entries() ?? [])].map(({ name }) => name).sort(),
@@ -301,9 +301,11 @@
         }
         const follower = book.get('e');
         if (follower !== undefined)
-          assert.ok(ShardMarks.compare(ShardMarks.of(follower.present), ShardMarks.of(leader.present)) <= 0);
+          assert.ok(
+            ShardPositions.compare(ShardPositions.of(follower.present), ShardPositions.of(leader.present)) <= 0,
+          );
       }
-      const last = leader.since(book.marks()['e']);
+      const last = leader.changesSince(book.marks()['e']);
       if (last !== undefined) book.apply(last);
       assert.deepEqual(
         [...(book.get('e')?.entries() ?? [])].map(({ name }) => name).sort(),
@@ -318,36 +320,36 @@
 });
 
 test('lookup: hit, prefix hit and each reason of a miss', () => {
-  const pool = SimBlueprints.first().services['pool'];
+  const pool = SimBlueprints.initial().services['pool'];
   assert.ok(pool?.kind === 'pool');
   if (pool?.kind !== 'pool') return;
   const chain = HashChains.blocks('x'.repeat(pool.blockCharacters * 4), pool.blockCharacters, 10);
   const keys = HashChains.keys(chain, pool, 'w1', 'shared');
-  const book = new ShardBook();
-  const shard = new ShardNews({ holder: 'e', term: 1, epoch: 2, bootEpoch: 'b', weights: 'w1', version: 0 });
+  const book = new ShardCatalog();
+  const shard = new ShardIndex({ holder: 'e', term: 1, epoch: 2, bootEpoch: 'b', weights: 'w1', version: 0 });
   book.set('e', shard);
   const boot = (): string => 'b';
-  assert.deepEqual(LookUps.find(book, [], boot), { kind: 'miss', reason: 'noBlocks' });
-  assert.deepEqual(LookUps.find(book, keys, boot), { kind: 'miss', reason: 'absent' });
+  assert.deepEqual(Lookups.find(book, [], boot), { kind: 'miss', reason: 'noBlocks' });
+  assert.deepEqual(Lookups.find(book, keys, boot), { kind: 'miss', reason: 'absent' });
   const otherLayout = HashChains.keys(chain, { ...pool, layout: 'paged-2' }, 'w1', 'shared');
-  for (const key of HashChains.named(otherLayout, 'f')) shard.put(key);
-  assert.deepEqual(LookUps.find(book, keys, boot), { kind: 'miss', reason: 'incompatible' });
-  for (const key of HashChains.named(keys, 'f').slice(0, 2)) shard.put(key);
-  assert.deepEqual(LookUps.find(book, keys, boot), {
+  for (const key of HashChains.withFillNames(otherLayout, 'f')) shard.put(key);
+  assert.deepEqual(Lookups.find(book, keys, boot), { kind: 'miss', reason: 'incompatible' });
+  for (const key of HashChains.withFillNames(keys, 'f').slice(0, 2)) shard.put(key);
+  assert.deepEqual(Lookups.find(book, keys, boot), {
     kind: 'prefixHit',
     found: [{ holder: 'e', matched: 2, bootEpoch: 'b', epoch: 2 }],
   });
-  for (const key of HashChains.named(keys, 'f')) shard.put(key);
-  assert.equal(LookUps.find(book, keys, boot).kind, 'hit');
+  for (const key of HashChains.withFillNames(keys, 'f')) shard.put(key);
+  assert.equal(Lookups.find(book, keys, boot).kind, 'hit');
   assert.deepEqual(
-    LookUps.find(book, keys, () => 'other'),
+    Lookups.find(book, keys, () => 'other'),
     { kind: 'miss', reason: 'otherBoot' },
   );
   for (const [weights, domain] of [
     ['w2', 'shared'],
     ['w1', 'walled/a'],
   ] as const)
-    assert.deepEqual(LookUps.find(book, HashChains.keys(chain, pool, weights, domain), boot), {
+    assert.deepEqual(Lookups.find(book, HashChains.keys(chain, pool, weights, domain), boot), {
       kind: 'miss',
       reason: 'absent',
     });
--- a/tests/bodies.test.ts
+++ b/tests/document-bodies.test.ts
@@ -2,12 +2,12 @@
 import { createHash } from 'node:crypto';
 import { test } from 'node:test';
 import { deflateRawSync } from 'node:zlib';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { World } from '../source/fleet-simulator/world/world';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { TcpTransport } from '../source/shared/effects/transport/tcpTransport';
 import type { Message } from '../source/shared/effects/transport/transport';
-import { Bodies, BodyPacker, type Body } from '../source/shared/freshness/bodies';
+import { DocumentBodies, BodyEncoder, type DocumentBody } from '../source/shared/freshness/documentBodies';
 import { Freshness } from '../source/shared/freshness/freshness';
 import { platformDocument } from './support/platformDocument';
 
@@ -21,7 +21,7 @@
     name: `r-${index}`,
     pathPrefix: `/p${index}/`,
   }));
-  const applied = platformDialect.apply(
+  const applied = platformConfigurationFormat.apply(
     { revision: 0, text: '' },
     { form: 'whole', ifMatch: 0, text: JSON.stringify(document) },
   );
@@ -29,35 +29,35 @@
   return applied.kind === 'write' ? applied.text : '';
 };
 
-const bodyOf = (text: string): Body => ({ key: 'blueprint', revision: 1, digest: digestOf(text), text });
+const bodyOf = (text: string): DocumentBody => ({ key: 'blueprint', revision: 1, digest: digestOf(text), text });
 
 test('long texts are sent compressed to less than a fifth of their size and decompress unchanged', () => {
-  const packer = new BodyPacker();
+  const packer = new BodyEncoder();
   const body = bodyOf(longText());
-  const sent = packer.sent(body);
-  assert.ok(Bodies.is(sent) && 'packed' in sent);
+  const sent = packer.encode(body);
+  assert.ok(DocumentBodies.is(sent) && 'packed' in sent);
   if (!('packed' in sent)) return;
   assert.ok(sent.packed.length * 5 < body.text.length, `${sent.packed.length} of ${body.text.length}`);
-  assert.equal(Bodies.text(sent), body.text);
-  assert.equal((packer.sent(body) as typeof sent).packed, sent.packed, 'compressed once');
+  assert.equal(DocumentBodies.text(sent), body.text);
+  assert.equal((packer.encode(body) as typeof sent).packed, sent.packed, 'compressed once');
   const short = bodyOf('short');
-  assert.equal(packer.sent(short), short);
+  assert.equal(packer.encode(short), short);
 });
 
 test('applies a compressed body like a plain one, and rejects a damaged, oversized or wrong one', () => {
   const world = new World(1);
-  const freshness = new Freshness(world.clock, platformDialect);
+  const freshness = new Freshness(world.clock, platformConfigurationFormat);
   const body = bodyOf(longText());
-  freshness.hear({ key: 'blueprint', revision: 1, digest: body.digest, ageMicroseconds: 0, weights: {} }, 0);
-  const sent = new BodyPacker().sent(body);
+  freshness.applyStatement({ key: 'blueprint', revision: 1, digest: body.digest, ageMicroseconds: 0, weights: {} }, 0);
+  const sent = new BodyEncoder().encode(body);
   assert.ok('packed' in sent);
   if (!('packed' in sent)) return;
-  assert.equal(freshness.give({ ...sent, packed: sent.packed.subarray(0, 40) }), false);
-  assert.equal(freshness.give({ ...sent, packed: deflateRawSync(Buffer.alloc(64 * 1024 * 1024)) }), false);
-  assert.equal(freshness.give({ ...sent, packed: deflateRawSync('another text') }), false);
-  assert.equal(freshness.give(sent), true);
+  assert.equal(freshness.applyBody({ ...sent, packed: sent.packed.subarray(0, 40) }), false);
+  assert.equal(freshness.applyBody({ ...sent, packed: deflateRawSync(Buffer.alloc(64 * 1024 * 1024)) }), false);
+  assert.equal(freshness.applyBody({ ...sent, packed: deflateRawSync('another text') }), false);
+  assert.equal(freshness.applyBody(sent), true);
   assert.equal(Object.keys(freshness.blueprint?.mappings ?? {}).length, 500);
-  assert.deepEqual(freshness.sent('blueprint'), sent);
+  assert.deepEqual(freshness.encodedBody('blueprint'), sent);
 });
 
 test('a request without an answer does not close the connection of another request whose answer is under way', async () => {
--- a/tests/body-parts.test.ts
+++ b/tests/document-parts.test.ts
@@ -2,28 +2,28 @@
 import { createHash } from 'node:crypto';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import type { Answer, Message, Transport } from '../source/shared/effects/transport/transport';
-import { partBytes } from '../source/shared/freshness/bodies';
-import { BodyParts, BodyTransfers } from '../source/shared/freshness/bodyParts';
+import type { RequestOutcome, Message, Transport } from '../source/shared/effects/transport/transport';
+import { partBytes } from '../source/shared/freshness/documentBodies';
+import { DocumentParts, DocumentTransfers } from '../source/shared/freshness/documentParts';
 import { TextDeltas } from '../source/shared/freshness/textDelta';
 import { Freshness } from '../source/shared/freshness/freshness';
-import { handClock } from './support/handClock';
-import { blueprintOf } from './support/largeConfiguration';
+import { timerlessClock } from './support/timerlessClock';
+import { configurationOf } from './support/largeConfiguration';
 
 const digestOf = (text: string): string => createHash('sha256').update(text).digest('hex').slice(0, 32);
-const textOf = (weights: string, routes = 1_500): string => JSON.stringify(blueprintOf(routes, weights));
+const textOf = (weights: string, routes = 1_500): string => JSON.stringify(configurationOf(routes, weights));
 
 const hear = (freshness: Freshness, revision: number, text: string): void =>
-  freshness.hear({ key: 'blueprint', revision, digest: digestOf(text), ageMicroseconds: 0, weights: {} }, 0);
+  freshness.applyStatement({ key: 'blueprint', revision, digest: digestOf(text), ageMicroseconds: 0, weights: {} }, 0);
 
 const holderOf = (revision: number, text: string): Freshness => {
-  const holder = new Freshness(handClock());
+  const holder = new Freshness(timerlessClock());
   hear(holder, revision, text);
-  assert.ok(holder.give({ key: 'blueprint', revision, digest: digestOf(text), text }));
+  assert.ok(holder.applyBody({ key: 'blueprint', revision, digest: digestOf(text), text }));
   return holder;
 };
 
-type Ask = Readonly<{ address: string; message: Message; settle: (answer: Answer) => void }>;
+type Ask = Readonly<{ address: string; message: Message; settle: (answer: RequestOutcome) => void }>;
 
 /** A transport whose answers are given by the test. */
 const heldTransport = () => {
@@ -39,17 +39,17 @@
 const pendingPromisesRun = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 const setUp = (revision: number, text: string) => {
-  const receiver = new Freshness(handClock());
+  const receiver = new Freshness(timerlessClock());
   hear(receiver, revision, text);
   const { asks, transport } = heldTransport();
-  const clock = handClock();
-  const transfers = new BodyTransfers(receiver, transport, clock);
+  const clock = timerlessClock();
+  const transfers = new DocumentTransfers(receiver, transport, clock);
   /** The default `tookMicroseconds` is that of a slow sender, so that parts stay small. */
   const answerNext = async (holder: Freshness, tookMicroseconds = 700_000): Promise<Message> => {
     const ask = asks.shift();
     assert.ok(ask !== undefined);
     clock.now += tookMicroseconds;
-    ask.settle({ kind: 'answered', message: BodyParts.answer(holder, ask.message) });
+    ask.settle({ kind: 'answered', message: DocumentParts.answer(holder, ask.message) });
     await pendingPromisesRun();
     return ask.message;
   };
@@ -63,18 +63,18 @@
   test('applying the delta to the base gives the new text', () => {
     fc.assert(
       fc.property(text, text, (before, after) => {
-        const delta: unknown = JSON.parse(JSON.stringify(TextDeltas.between(before, after)));
-        assert.equal(TextDeltas.applied(before, delta), after);
+        const delta: unknown = JSON.parse(JSON.stringify(TextDeltas.diff(before, after)));
+        assert.equal(TextDeltas.apply(before, delta), after);
       }),
     );
   });
 
   test('the delta of a long list with one changed item is short, and an invalid delta is not applied', () => {
     const [before, after] = [textOf('w1'), textOf('w2')];
-    const delta = TextDeltas.between(before, after);
+    const delta = TextDeltas.diff(before, after);
     assert.ok(JSON.stringify(delta).length < 2_000, JSON.stringify(delta).slice(0, 200));
     for (const wrong of [{}, [5], [[0]], [[0, 1e9]], [[-1, 1]], [null]])
-      assert.equal(TextDeltas.applied(before, wrong), undefined);
+      assert.equal(TextDeltas.apply(before, wrong), undefined);
   });
 });
 
@@ -83,10 +83,10 @@
     const text = textOf('w1');
     const holder = holderOf(3, text);
     const { receiver, asks, transfers, answerNext } = setUp(3, text);
-    transfers.answered('a:1', { blueprint: 2 });
+    transfers.handleAnswer('a:1', { blueprint: 2 });
     assert.equal(asks.length, 0, 'this sender does not have the revision yet');
-    transfers.answered('a:1', { blueprint: 3 });
-    transfers.answered('b:1', { blueprint: 3 });
+    transfers.handleAnswer('a:1', { blueprint: 3 });
+    transfers.handleAnswer('b:1', { blueprint: 3 });
     let parts = 0;
     for (; receiver.revision('blueprint') === 0; parts += 1) {
       assert.equal(asks.length, 1, 'one request at a time, to one sender');
@@ -103,12 +103,12 @@
     const text = textOf('w1', 4_000);
     const holder = holderOf(3, text);
     const { receiver, asks, transfers, answerNext } = setUp(3, text);
-    transfers.answered('a:1', { blueprint: 3 });
+    transfers.handleAnswer('a:1', { blueprint: 3 });
     assert.equal((await answerNext(holder, 100_000))['mostBytes'], 4 * partBytes);
     assert.equal(asks[0]?.message['mostBytes'], 8 * partBytes);
     asks.shift()?.settle({ kind: 'silent', reason: 'limit passed' });
     await pendingPromisesRun();
-    transfers.answered('a:1', { blueprint: 3 });
+    transfers.handleAnswer('a:1', { blueprint: 3 });
     assert.equal((await answerNext(holder, 300_000))['mostBytes'], partBytes);
     assert.equal(asks[0]?.message['mostBytes'], partBytes, 'neither fast nor slow');
     for (let asked = 0; receiver.revision('blueprint') === 0 && asked < 100; asked += 1)
@@ -120,10 +120,10 @@
     const text = textOf('w1');
     const holder = holderOf(3, text);
     const { receiver, asks, transfers, answerNext } = setUp(3, text);
-    transfers.answered('a:1', { blueprint: 3 });
+    transfers.handleAnswer('a:1', { blueprint: 3 });
     await answerNext(holder);
-    transfers.silent('a:1');
-    transfers.answered('b:1', { blueprint: 3 });
+    transfers.handleTimeout('a:1');
+    transfers.handleAnswer('b:1', { blueprint: 3 });
     assert.deepEqual(
       asks.map(({ address, message }) => [address, message['from']]),
       [
@@ -140,17 +140,17 @@
     const [first, second] = [textOf('w1'), textOf('w2')];
     const holder = holderOf(3, first);
     const { receiver, transfers, answerNext } = setUp(3, first);
-    transfers.answered('a:1', { blueprint: 3 });
+    transfers.handleAnswer('a:1', { blueprint: 3 });
     await answerNext(holder);
     hear(holder, 4, second);
-    assert.ok(holder.give({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
+    assert.ok(holder.applyBody({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
     hear(receiver, 4, second);
-    transfers.answered('a:1', { blueprint: 4 });
+    transfers.handleAnswer('a:1', { blueprint: 4 });
     const applied: number[] = [];
     for (let asked = 0; receiver.revision('blueprint') < 4 && asked < 100; asked += 1) {
       await answerNext(holder);
       if (applied.at(-1) !== receiver.revision('blueprint')) applied.push(receiver.revision('blueprint'));
-      transfers.answered('a:1', { blueprint: 4 });
+      transfers.handleAnswer('a:1', { blueprint: 4 });
     }
     assert.deepEqual(applied, [0, 3, 4]);
   });
@@ -158,12 +158,12 @@
   test('requests the present revision of a sender that does not have the wanted one any more', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const { receiver, transfers, answerNext } = setUp(3, first);
-    transfers.answered('a:1', { blueprint: 4 });
+    transfers.handleAnswer('a:1', { blueprint: 4 });
     await answerNext(holderOf(4, second));
     hear(receiver, 4, second);
     const holder = holderOf(4, second);
     for (let asked = 0; receiver.revision('blueprint') === 0 && asked < 100; asked += 1) {
-      transfers.answered('a:1', { blueprint: 4 });
+      transfers.handleAnswer('a:1', { blueprint: 4 });
       await answerNext(holder);
     }
     assert.equal(receiver.revision('blueprint'), 4);
@@ -173,11 +173,11 @@
     const [first, second] = [textOf('w1'), textOf('w2')];
     const sender = holderOf(3, first);
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
-    assert.ok(receiver.give({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
-    sender.sent('blueprint');
+    assert.ok(receiver.applyBody({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
+    sender.encodedBody('blueprint');
     for (const freshness of [sender, receiver]) hear(freshness, 4, second);
-    assert.ok(sender.give({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
-    transfers.answered('a:1', { blueprint: 4 });
+    assert.ok(sender.applyBody({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
+    transfers.handleAnswer('a:1', { blueprint: 4 });
     await answerNext(sender);
     assert.equal(receiver.applied('blueprint')?.text, second);
     assert.equal(asks.length, 0);
@@ -186,14 +186,14 @@
   test('a receiver whose text the sender skipped is sent a delta against an earlier common text in one part', async () => {
     const [first, second, third] = [textOf('w1'), textOf('w2'), textOf('w3')];
     const sender = holderOf(3, first);
-    sender.sent('blueprint');
+    sender.encodedBody('blueprint');
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
-    assert.ok(receiver.give({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
+    assert.ok(receiver.applyBody({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
     hear(receiver, 4, second);
-    assert.ok(receiver.give({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
+    assert.ok(receiver.applyBody({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
     for (const freshness of [sender, receiver]) hear(freshness, 5, third);
-    assert.ok(sender.give({ key: 'blueprint', revision: 5, digest: digestOf(third), text: third }));
-    transfers.answered('a:1', { blueprint: 5 });
+    assert.ok(sender.applyBody({ key: 'blueprint', revision: 5, digest: digestOf(third), text: third }));
+    transfers.handleAnswer('a:1', { blueprint: 5 });
     await answerNext(sender);
     assert.equal(receiver.applied('blueprint')?.text, third);
     assert.equal(asks.length, 0);
@@ -203,10 +203,10 @@
     const [first, second] = [textOf('w1'), textOf('w2')];
     const sender = holderOf(3, first);
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
-    assert.ok(receiver.give({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
+    assert.ok(receiver.applyBody({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
     for (const freshness of [sender, receiver]) hear(freshness, 4, second);
-    assert.ok(sender.give({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
-    transfers.answered('a:1', { blueprint: 4 });
+    assert.ok(sender.applyBody({ key: 'blueprint', revision: 4, digest: digestOf(second), text: second }));
+    transfers.handleAnswer('a:1', { blueprint: 4 });
     await answerNext(sender);
     assert.equal(receiver.applied('blueprint')?.text, second);
     assert.equal(asks.length, 0);
@@ -215,14 +215,14 @@
   test('requests the whole document after an invalid delta', async () => {
     const [first, second] = [textOf('w1'), textOf('w2')];
     const { receiver, transfers, answerNext, asks } = setUp(3, first);
-    assert.ok(receiver.give({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
+    assert.ok(receiver.applyBody({ key: 'blueprint', revision: 3, digest: digestOf(first), text: first }));
     hear(receiver, 4, second);
-    transfers.answered('a:1', { blueprint: 4 });
+    transfers.handleAnswer('a:1', { blueprint: 4 });
     const bytes = Buffer.from('no delta');
     const message = { kind: 'bodyPart', digest: digestOf(second), base: digestOf(first), from: 0, total: 8, bytes };
     asks.shift()?.settle({ kind: 'answered', message });
     await pendingPromisesRun();
-    transfers.answered('a:1', { blueprint: 4 });
+    transfers.handleAnswer('a:1', { blueprint: 4 });
     assert.equal(asks[0]?.message['base'], '');
     const sender = holderOf(4, second);
     for (let asked = 0; receiver.revision('blueprint') < 4 && asked < 100; asked += 1) await answerNext(sender);
@@ -238,13 +238,13 @@
       { kind: 'bodyPart', digest: digestOf(text), base: '', from: 0, total: 3, bytes: new Uint8Array(3) },
       { kind: 'heard' },
     ]) {
-      transfers.answered('a:1', { blueprint: 3 });
+      transfers.handleAnswer('a:1', { blueprint: 3 });
       asks.shift()?.settle({ kind: 'answered', message });
       await pendingPromisesRun();
     }
     assert.equal(receiver.revision('blueprint'), 0);
     assert.equal(
-      BodyParts.answer(receiver, { kind: 'bodyPart', key: 'blueprint', digest: 'x', from: 0 }).kind,
+      DocumentParts.answer(receiver, { kind: 'bodyPart', key: 'blueprint', digest: 'x', from: 0 }).kind,
       'noBody',
     );
   });
--- a/tests/engine-controllers.test.ts
+++ b/tests/engine-controllers.test.ts
@@ -4,22 +4,30 @@
 import { PromptParts } from '../source/shared/directory/promptParts';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import { World } from '../source/fleet-simulator/world/world';
-import { FactKeys, type EngineFact } from '../source/shared/news/factTypes';
-import { directiveFaults, HeldFleet, weightsWithinMicroseconds } from './support/heldFleet';
+import { GossipKeys, type EngineEntry } from '../source/shared/gossip/entryTypes';
+import { directiveViolations, LongPollFleet, weightsWithinMicroseconds } from './support/longPollFleet';
 
-const startFleet = async (seed: number, agents: number, engines: number, checksTerms = true): Promise<HeldFleet> => {
-  const fleet = new HeldFleet(new World(seed), agents);
+const startFleet = async (
+  seed: number,
+  agents: number,
+  engines: number,
+  checksTerms = true,
+): Promise<LongPollFleet> => {
+  const fleet = new LongPollFleet(new World(seed), agents);
   const names = fleet.addEngines(engines, 'w1', checksTerms);
   await fleet.start();
-  assert.ok(await fleet.world.runUntil(() => fleet.settled(names), 12_000_000), 'every engine has a controller');
+  assert.ok(
+    await fleet.world.runUntil(() => fleet.hasAllLeaseHolders(names), 12_000_000),
+    'every engine has a controller',
+  );
   await fleet.world.runFor(1_000_000);
   return fleet;
 };
 
-const factAt = (fleet: HeldFleet, agent: number, engine: string): EngineFact | undefined =>
-  fleet.agent(agent).agent.facts.value<EngineFact>(FactKeys.engine(engine));
+const factAt = (fleet: LongPollFleet, agent: number, engine: string): EngineEntry | undefined =>
+  fleet.agent(agent).agent.facts.value<EngineEntry>(GossipKeys.engine(engine));
 
-const allRun = (fleet: HeldFleet, weights: string): boolean =>
+const allRun = (fleet: LongPollFleet, weights: string): boolean =>
   [...fleet.engines.engines.values()].every((engine) => !engine.alive || engine.weights === weights);
 
 for (const [engines, agents] of [
@@ -32,19 +40,19 @@
     const fleet = await startFleet(engines, agents, engines);
     const before = { ...fleet.engines.calls };
     const startMicroseconds = fleet.world.nowMicroseconds;
-    await fleet.name('w2');
+    await fleet.configureWeights('w2');
     assert.ok(await fleet.world.runUntil(() => allRun(fleet, 'w2'), weightsWithinMicroseconds));
     assert.ok(
       fleet.world.nowMicroseconds - startMicroseconds < 6_500_000,
       `${fleet.world.nowMicroseconds - startMicroseconds} us`,
     );
     await fleet.world.runFor(2_000_000);
-    assert.equal(fleet.engines.got.length, engines, 'no directive in effect is repeated');
+    assert.equal(fleet.engines.receivedDirectives.length, engines, 'no directive in effect is repeated');
     assert.ok(
       fleet.engines.calls.status - before.status <= engines * 6,
       `${fleet.engines.calls.status} status requests`,
     );
-    assert.deepEqual(directiveFaults(fleet.engines.got), []);
+    assert.deepEqual(directiveViolations(fleet.engines.receivedDirectives), []);
     for (const name of fleet.engines.engines.keys()) {
       const fact = factAt(fleet, 0, name);
       assert.deepEqual([fact?.weights, fact?.changing, fact?.reachable], ['w2', false, true]);
@@ -53,7 +61,7 @@
 
 test('only a part of a pool changes at once', async () => {
   const fleet = await startFleet(4, 4, 8);
-  await fleet.name('w2');
+  await fleet.configureWeights('w2');
   let maxLoading = 0;
   while (!allRun(fleet, 'w2')) {
     await fleet.world.runFor(20_000);
@@ -69,28 +77,28 @@
   test(`a controller is killed during a weights change: terms never repeat or decrease, holders keep apart (${checks ? 'checked' : 'unchecked'})`, async () => {
     for (const seed of [1, 2, 3, 4]) {
       const fleet = await startFleet(seed, 4, 8, checks);
-      await fleet.name('w2');
+      await fleet.configureWeights('w2');
       await fleet.world.runFor(300_000 + seed * 350_000);
-      const killed = fleet.stewardOf('engine-1') ?? fleet.agent(0);
+      const killed = fleet.controllerOf('engine-1') ?? fleet.agent(0);
       fleet.restart(killed);
       assert.ok(await fleet.world.runUntil(() => allRun(fleet, 'w2'), 16_000_000), `seed ${seed}`);
       await fleet.world.runFor(3_000_000);
-      assert.deepEqual(directiveFaults(fleet.engines.got), [], `seed ${seed}`);
+      assert.deepEqual(directiveViolations(fleet.engines.receivedDirectives), [], `seed ${seed}`);
     }
   });
 
 test('after a controller resigns right after its directive, its successor waits before it sends one', async () => {
   for (const seed of [1, 2, 3]) {
     const fleet = await startFleet(seed, 4, 3, false);
-    await fleet.name('w2');
-    assert.ok(await fleet.world.runUntil(() => fleet.engines.got.length > 0, weightsWithinMicroseconds));
-    const first = fleet.engines.got[0];
+    await fleet.configureWeights('w2');
+    assert.ok(await fleet.world.runUntil(() => fleet.engines.receivedDirectives.length > 0, weightsWithinMicroseconds));
+    const first = fleet.engines.receivedDirectives[0];
     const leaving = fleet.agents.find(({ name }) => name === first?.holder);
     assert.ok(leaving !== undefined);
     void leaving.agent.leave().then(() => fleet.kill(leaving));
-    await fleet.name('w3');
+    await fleet.configureWeights('w3');
     assert.ok(await fleet.world.runUntil(() => allRun(fleet, 'w3'), 16_000_000), `seed ${seed}`);
-    assert.deepEqual(directiveFaults(fleet.engines.got), [], `seed ${seed}`);
+    assert.deepEqual(directiveViolations(fleet.engines.receivedDirectives), [], `seed ${seed}`);
   }
 });
 
@@ -98,48 +106,48 @@
   for (const seed of [1, 2, 3]) {
     const fleet = await startFleet(seed, 4, 2, false);
     await fleet.world.runFor(8_000_000);
-    const leaving = fleet.stewardOf('engine-1');
+    const leaving = fleet.controllerOf('engine-1');
     assert.ok(leaving !== undefined);
     void leaving.agent.leave().then(() => fleet.kill(leaving));
-    assert.ok(await fleet.world.runUntil(() => fleet.settled(['engine-1', 'engine-2']), 6_000_000));
+    assert.ok(await fleet.world.runUntil(() => fleet.hasAllLeaseHolders(['engine-1', 'engine-2']), 6_000_000));
     const startMicroseconds = fleet.world.nowMicroseconds;
-    await fleet.name('w2');
+    await fleet.configureWeights('w2');
     assert.ok(await fleet.world.runUntil(() => fleet.engines.get('engine-1').weights === 'w2', 8_000_000));
     const elapsedMicroseconds = fleet.world.nowMicroseconds - startMicroseconds;
-    const fact = fleet.agents.find(({ process }) => process.alive)?.agent.stewardship.holderOf('engine-1');
+    const fact = fleet.agents.find(({ process }) => process.alive)?.agent.leaseManager.holderOf('engine-1');
     // The wait is only dropped if the new term directly follows: a term in between may have been held.
-    if (fact?.term === (leaving.agent.stewardship.holderOf('engine-1')?.term ?? 0) + 1)
+    if (fact?.term === (leaving.agent.leaseManager.holderOf('engine-1')?.term ?? 0) + 1)
       assert.ok(elapsedMicroseconds < 3_300_000, `seed ${seed}: ${elapsedMicroseconds}`);
-    assert.deepEqual(directiveFaults(fleet.engines.got), []);
+    assert.deepEqual(directiveViolations(fleet.engines.receivedDirectives), []);
   }
 });
 
 test('a frozen controller sends no directive when it resumes, and restarted controllers send none too soon', async () => {
   for (const seed of [5, 6, 7]) {
     const fleet = await startFleet(seed, 4, 6, false);
-    await fleet.name('w2');
+    await fleet.configureWeights('w2');
     await fleet.world.runFor(seed * 150_000);
-    const frozen = fleet.stewardOf('engine-2') ?? fleet.agent(0);
+    const frozen = fleet.controllerOf('engine-2') ?? fleet.agent(0);
     frozen.process.freeze();
     await fleet.world.runFor(4_000_000);
-    frozen.process.thaw();
+    frozen.process.unfreeze();
     await fleet.world.runFor(500_000);
     for (const agent of fleet.agents) fleet.restart(agent);
-    await fleet.name('w3');
+    await fleet.configureWeights('w3');
     assert.ok(await fleet.world.runUntil(() => allRun(fleet, 'w3'), 20_000_000), `seed ${seed}`);
-    assert.deepEqual(directiveFaults(fleet.engines.got), [], `seed ${seed}`);
+    assert.deepEqual(directiveViolations(fleet.engines.receivedDirectives), [], `seed ${seed}`);
   }
 });
 
 test('an engine that returns with old weights gets the directive again', async () => {
   const fleet = await startFleet(8, 3, 3);
-  await fleet.name('w2');
+  await fleet.configureWeights('w2');
   assert.ok(await fleet.world.runUntil(() => allRun(fleet, 'w2'), weightsWithinMicroseconds));
   fleet.engines.crash('engine-1');
   fleet.engines.engines.delete('engine-1');
   fleet.engines.add('engine-9', '10.3.0.1', 'w1');
   assert.ok(await fleet.world.runUntil(() => allRun(fleet, 'w2'), 12_000_000));
-  assert.deepEqual(directiveFaults(fleet.engines.got), []);
+  assert.deepEqual(directiveViolations(fleet.engines.receivedDirectives), []);
 });
 
 test('all agents soon see a crashed or silent engine as unreachable, and as reachable when it answers again', async () => {
@@ -150,8 +158,8 @@
   assert.ok(await fleet.world.runUntil(() => seen('engine-3', false), 1_800_000), 'crashed');
   // The second engine runs, but no agent can exchange messages with it.
   const restores = fleet.agents.flatMap(({ machine }) => [
-    fleet.keepers.network.cut(machine, '10.3.0.4'),
-    fleet.keepers.network.cut('10.3.0.4', machine),
+    fleet.controlFleet.network.cutLink(machine, '10.3.0.4'),
+    fleet.controlFleet.network.cutLink('10.3.0.4', machine),
   ]);
   assert.ok(await fleet.world.runUntil(() => seen('engine-4', false), 2_000_000), 'silent');
   assert.ok(seen('engine-1', true) && seen('engine-2', true));
@@ -163,8 +171,8 @@
   test(`a new engine at the address of a failed one does not make that one reachable (events ${eventsNameEngine ? 'name the engine' : 'do not name the engine'})`, async () => {
     const fleet = await startFleet(15, 4, 4);
     const listed = fleet.engines.listed();
-    fleet.engines.eventsHearMeant = eventsNameEngine;
-    fleet.engines.listAnswer = () => ({ engines: listed, next: undefined });
+    fleet.engines.eventsCheckEngineName = eventsNameEngine;
+    fleet.engines.listOverride = () => ({ engines: listed, next: undefined });
     const seen = (): boolean => fleet.agents.every((_, index) => factAt(fleet, index, 'engine-3')?.reachable === false);
     fleet.engines.crash('engine-3');
     assert.ok(await fleet.world.runUntil(seen, 1_800_000));
@@ -176,7 +184,7 @@
     // Without names in events only the boot epoch distinguishes the engines, and a later controller does not know it.
     if (!eventsNameEngine) return;
     // A later controller has never seen the failed engine.
-    const steward = fleet.stewardOf('engine-3');
+    const steward = fleet.controllerOf('engine-3');
     assert.ok(steward !== undefined);
     fleet.kill(steward);
     await fleet.world.runFor(6_000_000);
@@ -195,13 +203,13 @@
   assert.ok(pages - before.pages <= 21, `${pages - before.pages} pages`);
 });
 
-const saltOf = (fleet: HeldFleet, weights: string): string => {
+const saltOf = (fleet: LongPollFleet, weights: string): string => {
   const blueprint = fleet.blueprint(weights);
   const pool = blueprint.services['pool'];
   assert.ok(pool?.kind === 'pool');
   return PromptParts.salt(pool, weights, Identities.sharedDomain(blueprint.tenants));
 };
-const partCounts = (fleet: HeldFleet): readonly number[] =>
+const partCounts = (fleet: LongPollFleet): readonly number[] =>
   fleet.agents.map(({ agent }) => agent.shards.get('engine-1')?.size ?? -1);
 
 test('prompt parts spread to every agent by name, except small ones and those that no request can use', async () => {
@@ -222,11 +230,11 @@
   for (let part = 0; part < 300; part += 1) fleet.engines.keep('engine-1', `${salt}/p${part}`, 600);
   await fleet.world.runFor(2_000_000);
   const lists = fleet.engines.calls.list;
-  const killed = fleet.stewardOf('engine-1');
+  const killed = fleet.controllerOf('engine-1');
   assert.ok(killed !== undefined);
   fleet.kill(killed);
   // Until then the agents keep the entries of the previous controller.
-  while (fleet.stewardOf('engine-1') === undefined) {
+  while (fleet.controllerOf('engine-1') === undefined) {
     assert.ok(
       fleet.agents
         .filter(({ process }) => process.alive)
@@ -249,7 +257,7 @@
   const [before, after] = [saltOf(fleet, 'w1'), saltOf(fleet, 'w2')];
   for (let part = 0; part < 20; part += 1) fleet.engines.keep('engine-1', `${before}/p${part}`, 600);
   await fleet.world.runFor(2_000_000);
-  await fleet.name('w2');
+  await fleet.configureWeights('w2');
   assert.ok(
     await fleet.world.runUntil(() => fleet.engines.get('engine-1').weights === 'w2', weightsWithinMicroseconds),
   );
@@ -274,14 +282,14 @@
   const fleet = await startFleet(14, 4, 4);
   const { world } = fleet;
   await world.runFor(4_000_000);
-  const leaving = fleet.lister();
+  const leaving = fleet.listReader();
   assert.ok(leaving !== undefined);
   const proxy = new SimProcess(world, 'proxy', leaving.machine);
-  const transport = fleet.keepers.network.transportOf(proxy);
+  const transport = fleet.controlFleet.network.transportOf(proxy);
   const answers: string[] = [];
   const load = { agent: leaving.name, engines: { 'engine-1': 2 }, classes: {}, waiting: {}, tenants: {} };
-  const facts = [{ key: FactKeys.load(leaving.name), version: [1, 1], value: load }];
-  const ask = { kind: 'news', fleet: leaving.agent.link.fleet, sums: {}, proxy: leaving.name, facts };
+  const facts = [{ key: GossipKeys.load(leaving.name), version: [1, 1], value: load }];
+  const ask = { kind: 'news', fleet: leaving.agent.controlLink.fleet, sums: {}, proxy: leaving.name, facts };
   const sendLoad = (): void =>
     void transport
       .ask(`${leaving.machine}:1`, ask, 500_000)
@@ -291,8 +299,8 @@
   const startMicroseconds = world.nowMicroseconds;
   let stoppedMicroseconds = Infinity;
   void leaving.agent
-    .resign()
-    .then(() => leaving.agent.linger(5_000_000))
+    .handOverLeases()
+    .then(() => leaving.agent.waitForProxy(5_000_000))
     .then(() => {
       stoppedMicroseconds = world.nowMicroseconds;
     });
@@ -300,8 +308,8 @@
   for (let round = 0; round < 20; round += 1) {
     sendLoad();
     await world.runFor(100_000);
-    assert.equal(leaving.agent.stewardship.activeControllers().length, 0, 'it requests no lease again');
-    if (!fleet.settled(['engine-1', 'engine-2', 'engine-3', 'engine-4'])) vacantMicroseconds += 100_000;
+    assert.equal(leaving.agent.leaseManager.activeControllers().length, 0, 'it requests no lease again');
+    if (!fleet.hasAllLeaseHolders(['engine-1', 'engine-2', 'engine-3', 'engine-4'])) vacantMicroseconds += 100_000;
   }
   assert.ok(vacantMicroseconds <= 1_500_000, `${vacantMicroseconds} us without a controller or a reader of the list`);
   assert.equal(stoppedMicroseconds, Infinity, 'it stays while its proxy sends requests');
--- a/tests/agent-doors.test.ts
+++ b/tests/engine-protocols.test.ts
@@ -1,23 +1,28 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { describe, test } from 'node:test';
-import { EngineDoor } from '../platform/engines/engineDoor';
+import { EngineControlClient } from '../platform/engines/engineControlClient';
 import { InstanceLister } from '../platform/engines/instanceLister';
 import type { ListPage } from '../source/edge-agent/engine-list/engineLister';
-import { HttpBackEndDoor } from '../source/shared/back-end/httpBackEnds';
-import { DoorTraits, type BackEndDoor, type Directive, type EngineStatus } from '../source/shared/back-end/protocol';
+import { HttpBackEndControl } from '../source/shared/back-end/httpBackEnds';
+import {
+  ControlTraits,
+  type BackEndControl,
+  type Directive,
+  type EngineStatus,
+} from '../source/shared/back-end/protocol';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { seededRandom } from '../source/shared/effects/random/random';
 import { EngineHttp, httpNeighbours } from '../source/stand-in-engine/engineHttp';
 import { StandInEngine } from '../source/stand-in-engine/standInEngine';
-import { PlatformEngine, PlatformList, type Misdeed } from './support/platformEngine';
+import { PlatformEngine, PlatformList, type ServerFault } from './support/platformEngine';
 
 const limit = 2_000_000;
 
 /** One engine with the protocol client under test. */
 type EngineSetup = Readonly<{
   address: string;
-  door: BackEndDoor;
+  door: BackEndControl;
   /** Caches a part and returns the key under which the engine reports it. */
   keep: (part: string) => string;
   restart: () => void;
@@ -45,7 +50,7 @@
     httpNeighbours,
   );
   const server = await EngineHttp.open(engine, '127.0.0.1:0');
-  const door = new HttpBackEndDoor();
+  const door = new HttpBackEndControl();
   return {
     address: server.address,
     door,
@@ -67,7 +72,7 @@
 const openPlatform = async (): Promise<EngineSetup> => {
   const engine = new PlatformEngine('e');
   const address = await engine.open();
-  const door = new EngineDoor();
+  const door = new EngineControlClient();
   return {
     address,
     door,
@@ -219,11 +224,11 @@
   });
 
 const withEngine = async (
-  act: (engine: PlatformEngine, door: EngineDoor, address: string) => Promise<void>,
+  act: (engine: PlatformEngine, door: EngineControlClient, address: string) => Promise<void>,
 ): Promise<void> => {
   const engine = new PlatformEngine('i-7', 3);
   const address = await engine.open();
-  const door = new EngineDoor();
+  const door = new EngineControlClient();
   try {
     await act(engine, door, address);
   } finally {
@@ -234,14 +239,14 @@
 
 test('platform: invalid, truncated and error responses of an engine count as no response', async () => {
   await withEngine(async (engine, door, address) => {
-    for (const misdeed of ['garbage', 'wrongShape', 'cut', 'error', 'silent'] satisfies readonly Misdeed[]) {
-      engine.misdeed = misdeed;
+    for (const misdeed of ['garbage', 'wrongShape', 'cut', 'error', 'silent'] satisfies readonly ServerFault[]) {
+      engine.serverFault = misdeed;
       const short = misdeed === 'silent' ? 50_000 : limit;
       assert.equal(await door.status(address, short), undefined, misdeed);
       assert.equal(await door.events(address, 0, '', short), undefined, misdeed);
       assert.equal(await door.list(address, short), undefined, misdeed);
     }
-    engine.misdeed = 'tooMany';
+    engine.serverFault = 'tooMany';
     assert.equal(await door.events(address, 0, '', limit), 'later', 'the engine is alive but rejects the call');
   });
 });
@@ -345,7 +350,7 @@
   const second = await page(first.next);
   assert.deepEqual([second?.engines.map(({ name }) => name), second?.next], [['i-3'], undefined]);
   for (const misdeed of ['tooMany', 'garbage', 'wrongShape'] as const) {
-    list.misdeed = misdeed;
+    list.serverFault = misdeed;
     const said = misdeed === 'tooMany' ? 'overRate' : undefined;
     assert.equal(await lister.page(undefined, limit, address), said, misdeed);
   }
@@ -354,8 +359,13 @@
 });
 
 test('the native protocol drains engines and is polled; the platform protocol does neither', () => {
-  assert.deepEqual(DoorTraits.usual, { drains: true, holdsEvents: false, derivedNames: false, storesHaveStatus: true });
-  const door = new EngineDoor();
+  assert.deepEqual(ControlTraits.usual, {
+    drains: true,
+    holdsEvents: false,
+    derivedNames: false,
+    storesHaveStatus: true,
+  });
+  const door = new EngineControlClient();
   assert.deepEqual([door.traits.drains, door.traits.holdsEvents, door.traits.derivedNames], [false, true, true]);
   door.close();
 });
--- a/tests/engine-answers.test.ts
+++ b/tests/engine-responses.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { SendStage } from './support/sendStage';
+import { AttemptHarness } from './support/attemptHarness';
 
 const sealed = { 'postdrum-request-id': 'r1', 'postdrum-server-seal': 'seal', 'content-type': 'text/event-stream' };
 const without = (name: keyof typeof sealed): Readonly<Record<string, string>> =>
@@ -8,22 +8,22 @@
 
 describe('a successful response is forwarded only with the seal of its engine and the id of its request', () => {
   test('forwards a response with both', async () => {
-    const stage = new SendStage();
+    const stage = new AttemptHarness();
     stage.head(200, sealed);
     stage.part('id: 1\ndata: x\n\n');
     await stage.end();
     assert.equal(stage.step?.kind, 'done');
-    assert.equal(stage.caller.given?.headers['postdrum-server-seal'], 'seal');
-    assert.equal(stage.caller.text, 'id: 1\ndata: x\n\n');
+    assert.equal(stage.client.given?.headers['postdrum-server-seal'], 'seal');
+    assert.equal(stage.client.text, 'id: 1\ndata: x\n\n');
   });
 
   for (const missing of ['postdrum-server-seal', 'postdrum-request-id'] as const)
     test(`answers 502 and closes the connection without ${missing}`, async () => {
-      const stage = new SendStage();
+      const stage = new AttemptHarness();
       stage.head(200, without(missing));
       stage.part('id: 1\ndata: x\n\n');
       await stage.end();
-      assert.equal(stage.caller.begun(), false);
+      assert.equal(stage.client.begun(), false);
       assert.equal(stage.cuts, 1);
       assert.equal(
         stage.step?.kind === 'refuse' ? `${stage.step.refusal.status} ${stage.step.refusal.verdict}` : '',
@@ -32,18 +32,18 @@
     });
 
   test('forwards an error response without a seal unchanged', async () => {
-    const stage = new SendStage();
+    const stage = new AttemptHarness();
     stage.head(500, { 'postdrum-request-id': 'r1' });
     stage.part('x');
     await stage.end();
-    assert.equal(stage.caller.given?.status, 500);
+    assert.equal(stage.client.given?.status, 500);
     assert.equal(stage.step?.kind, 'done');
   });
 });
 
 describe('each request to an engine carries a deadline within the limits of its client and its route', () => {
-  const deadlineOf = (settings: ConstructorParameters<typeof SendStage>[0]): string | undefined =>
-    new SendStage(settings).sent?.headers['postdrum-deadline-ms'];
+  const deadlineOf = (settings: ConstructorParameters<typeof AttemptHarness>[0]): string | undefined =>
+    new AttemptHarness(settings).sent?.headers['postdrum-deadline-ms'];
 
   test("uses the client's limit, or the route's if that is shorter", () => {
     assert.equal(deadlineOf({ limitMicroseconds: 3_000_000, mapping: { limitMicroseconds: 6_000_000 } }), '3000');
@@ -65,55 +65,55 @@
   const event = (number: number): string => `id: ${number}\ndata: x\n\n`;
 
   test('is complete when the connection closes', async () => {
-    const stage = new SendStage();
+    const stage = new AttemptHarness();
     stage.head(200, sealed, false);
     stage.part(event(1));
     stage.part(event(2));
     await stage.end();
     assert.equal(stage.step?.kind, 'done');
-    assert.equal(stage.caller.ended, true);
-    assert.equal(stage.caller.text, event(1) + event(2));
+    assert.equal(stage.client.ended, true);
+    assert.equal(stage.client.text, event(1) + event(2));
   });
 
   test('is incomplete when the connection is reset', async () => {
-    const stage = new SendStage();
+    const stage = new AttemptHarness();
     stage.head(200, sealed, false);
     stage.part(event(1));
     await stage.reset();
     assert.equal(stage.step?.kind, 'refuse');
-    assert.equal(stage.caller.ended, false);
+    assert.equal(stage.client.ended, false);
   });
 
   test('is incomplete when the connection closes in the middle of an event', async () => {
-    const stage = new SendStage();
+    const stage = new AttemptHarness();
     stage.head(200, sealed, false);
     stage.part(event(1));
     stage.part('id: 2\nda');
     await stage.end();
     assert.equal(stage.step?.kind, 'refuse');
-    assert.equal(stage.caller.ended, false);
-    assert.equal(stage.caller.text, event(1));
+    assert.equal(stage.client.ended, false);
+    assert.equal(stage.client.text, event(1));
   });
 
   test('is incomplete when the connection closes before the first event', async () => {
-    const stage = new SendStage();
+    const stage = new AttemptHarness();
     stage.head(200, sealed, false);
     await stage.end();
     assert.equal(stage.step?.kind, 'refuse');
-    assert.equal(stage.caller.begun(), false);
+    assert.equal(stage.client.begun(), false);
   });
 });
 
 describe('a client that disconnects', () => {
   for (const begun of [false, true])
     test(`cancels the request to the engine at once, ${begun ? 'in the middle of the response' : 'before the response'}`, async () => {
-      const stage = new SendStage({ mapping: { resumable: true } });
+      const stage = new AttemptHarness({ mapping: { resumable: true } });
       if (begun) {
         stage.head(200, sealed);
         stage.part('id: 1\ndata: x\n\n');
       }
       assert.equal(stage.cuts, 0);
-      stage.caller.leave();
+      stage.client.leave();
       assert.equal(stage.cuts, 1, 'cancelled without waiting');
       await stage.settle();
       assert.equal(stage.step?.kind, 'refuse', 'not sent to another engine');
--- a/tests/engine-view.test.ts
+++ b/tests/engine-view.test.ts
@@ -7,15 +7,15 @@
 import type { Clock } from '../source/shared/effects/clock/clock';
 import { seededRandom } from '../source/shared/effects/random/random';
 import { Freshness } from '../source/shared/freshness/freshness';
-import { FactBook } from '../source/shared/news/facts';
-import { WeightsClocks } from '../source/shared/weights/weightsClocks';
+import { GossipStore } from '../source/shared/gossip/gossipStore';
+import { WeightsDeadlines } from '../source/shared/weights/weightsDeadlines';
 
 /** One proxy's view of the engines of one service, with a clock that the test advances. */
 const setUp = (
   engines = 2,
 ): Readonly<{
   view: EngineView;
-  facts: FactBook;
+  facts: GossipStore;
   freshness: Freshness;
   clock: Clock;
   now: () => number;
@@ -24,7 +24,7 @@
 }> => {
   let now = 1_000_000;
   const clock: Clock = { nowMicroseconds: () => now, steadyMicroseconds: () => now, after: () => () => undefined };
-  const facts = new FactBook();
+  const facts = new GossipStore();
   Made.fill(facts, Made.facts(1, engines, seededRandom(1)));
   const freshness = new Freshness(clock, undefined, 'listed');
   Made.give(freshness, clock, 'blueprint', JSON.stringify(Made.blueprint(1, 1, 1)));
@@ -81,9 +81,9 @@
   const { view } = setUp(4);
   const names = (): readonly string[] => view.candidates(Made.service(1)).map(({ name }) => name);
   for (const engine of [1, 2, 3, 4])
-    for (let count = 0; count < 6; count += 1) view.outliers.answered(Made.engine(engine), 'good');
+    for (let count = 0; count < 6; count += 1) view.outliers.recordAnswer(Made.engine(engine), 'good');
   assert.equal(names().length, 4);
-  for (let count = 0; count < 4; count += 1) view.outliers.answered(Made.engine(2), 'failed');
+  for (let count = 0; count < 4; count += 1) view.outliers.recordAnswer(Made.engine(2), 'failed');
   view.detectOutliers();
   assert.ok(!names().includes(Made.engine(2)));
   const { bootEpoch } = Made.engineFact(2);
@@ -101,12 +101,12 @@
   report(2, false, false);
   assert.equal(isCandidate(), false);
   advance(2_000);
-  view.outliers.answered(Made.engine(1), 'good');
+  view.outliers.recordAnswer(Made.engine(1), 'good');
   advance(2_000);
   assert.equal(isCandidate(), true);
   advance(1_500_000);
   assert.equal(isCandidate(), false, 'no candidate for longer without answers');
-  view.outliers.answered(Made.engine(1), 'good');
+  view.outliers.recordAnswer(Made.engine(1), 'good');
   report(3, true, false);
   advance(2_000);
   assert.equal(isCandidate(), false, 'reachable, but not accepting');
@@ -122,7 +122,7 @@
   const next = JSON.parse(JSON.stringify(Made.blueprint(1, 1, 1))) as { services: Record<string, { weights: string }> };
   for (const service of Object.values(next.services)) service.weights = 'w2';
   Made.give(freshness, clock, 'blueprint', JSON.stringify(next), 2);
-  freshness.hear(
+  freshness.applyStatement(
     {
       key: 'blueprint',
       revision: 2,
@@ -139,7 +139,7 @@
     'both change in the next two rounds',
   );
   assert.equal(view.candidates(Made.service(1)).length, 2);
-  advance(WeightsClocks.cutMicroseconds - 1_000_000 - 100);
+  advance(WeightsDeadlines.cutMicroseconds - 1_000_000 - 100);
   assert.equal(isUsable(), true, 'just before the cutoff');
   advance(2_000);
   assert.equal(isUsable(), false);
--- a/tests/blueprint-check.test.ts
+++ b/tests/fleet-check.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
-import { BlueprintChecks } from '../source/postdrum/checking/blueprintCheck';
-import type { AgentStatus } from '../source/postdrum/reaching/fleetReach';
-import type { EngineList } from '../source/shared/blueprint/types';
+import { FleetChecks } from '../source/postdrum/checking/fleetCheck';
+import type { AgentStatus } from '../source/postdrum/client/fleetClient';
+import type { EngineList } from '../source/shared/configuration/types';
 
-const present = SimBlueprints.first();
+const present = SimBlueprints.initial();
 const engineNames = ['e1', 'e2', 'e3', 'e4'];
 const engines: EngineList = {
   engines: Object.fromEntries([
@@ -33,7 +33,7 @@
 };
 
 const findings = (intended: typeof present, running: number, waiting: number): readonly string[] =>
-  BlueprintChecks.run(intended, present, engines, agentsWith(running, waiting), false).findings.map(
+  FleetChecks.run(intended, present, engines, agentsWith(running, waiting), false).findings.map(
     ({ path, finding }) => `${path} ${finding}`,
   );
 
@@ -42,7 +42,7 @@
 });
 
 test('check reports one finding per pool if no agent answered, and claims nothing about its engines', () => {
-  const reported = BlueprintChecks.run(present, present, engines, [], true).findings;
+  const reported = FleetChecks.run(present, present, engines, [], true).findings;
   const pools = Object.entries(present.services).flatMap(([name, { kind }]) => (kind === 'pool' ? [name] : []));
   assert.ok(pools.length > 1);
   assert.deepEqual(
@@ -54,7 +54,7 @@
   );
   const unreached = agentsWith(0, 0).map((status) => ({ ...status, engines: [] }));
   assert.ok(
-    BlueprintChecks.run(present, present, engines, unreached, true).findings.some(
+    FleetChecks.run(present, present, engines, unreached, true).findings.some(
       ({ finding }) => finding === 'engine e1 is listed as ready and no steward reaches it',
     ),
   );
--- a/tests/incident-busy-agents.test.ts
+++ b/tests/incident-busy-agents.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { SimProcessor } from '../source/fleet-simulator/world/simProcessor';
-import { blueprintOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
+import { configurationOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
 /** 7 Mbit/s, the capacity of an edge machine's link. */
 const linkBytesPerSecond = 875_000;
@@ -26,13 +26,13 @@
 };
 
 const controlNodesStop = async ({ world, fleet }: FedFleet, microseconds: number): Promise<void> => {
-  for (const { process } of fleet.keepers) process.freeze();
+  for (const { process } of fleet.controlNodes) process.freeze();
   await world.runFor(microseconds);
-  for (const { process } of fleet.keepers) process.thaw();
+  for (const { process } of fleet.controlNodes) process.unfreeze();
 };
 
 const confirmed = async ({ fleet }: FedFleet, weights: string): Promise<void> =>
-  assert.ok((await fleet.take('blueprint', blueprintOf(routes, weights))) !== undefined);
+  assert.ok((await fleet.changeUntilAccepted('blueprint', configurationOf(routes, weights))) !== undefined);
 
 describe('incident: agents that are busy feeding proxies while the control nodes are away', () => {
   for (const seed of [3, 4])
--- a/tests/incident-skipped-revisions.test.ts
+++ b/tests/incident-skipped-revisions.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { blueprintOf, keepTalking, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
+import { configurationOf, generateGossip, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
 /** Bandwidth of an edge machine's link: 7 Mbit/s. */
 const linkBytesPerSecond = 875_000;
@@ -20,14 +20,14 @@
 const engineTraffic = { facts: 56, periodMicroseconds: 150_000, bytes: 200 };
 
 const changeWeights = async ({ fleet }: FedFleet, weights: string): Promise<void> =>
-  assert.ok((await fleet.take('blueprint', blueprintOf(routeCount, weights))) !== undefined);
+  assert.ok((await fleet.changeUntilAccepted('blueprint', configurationOf(routeCount, weights))) !== undefined);
 
 /** Partitions all agents but the first from it and from the control nodes; the result heals the partition. */
 const partitionAgents = ({ fleet }: FedFleet): (() => void) => {
   const [first, ...others] = fleet.edges.filter((edge) => fleet.hasAgent(edge)).map(({ machine }) => machine);
-  const far = [...fleet.keepers.map(({ machine }) => machine), first ?? ''];
+  const far = [...fleet.controlNodes.map(({ machine }) => machine), first ?? ''];
   const heals = others.flatMap((agent) =>
-    far.flatMap((machine) => [fleet.network.cut(agent, machine), fleet.network.cut(machine, agent)]),
+    far.flatMap((machine) => [fleet.network.cutLink(agent, machine), fleet.network.cutLink(machine, agent)]),
   );
   return () => heals.forEach((heal) => heal());
 };
@@ -38,8 +38,8 @@
       const fed = await startedFleet(seed, { edges: proxyCount, agents: 3 }, linkBytesPerSecond);
       await changeWeights(fed, 'w2');
       await fed.world.runFor(settledMicroseconds);
-      keepTalking(fed, loadTraffic);
-      keepTalking(fed, engineTraffic);
+      generateGossip(fed, loadTraffic);
+      generateGossip(fed, engineTraffic);
       await fed.world.runFor(settledMicroseconds);
       const heal = partitionAgents(fed);
       await changeWeights(fed, 'w3');
--- a/tests/incident-starved-proxies.test.ts
+++ b/tests/incident-starved-proxies.test.ts
@@ -18,7 +18,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { blueprintOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
+import { configurationOf, proxiesOn, startedFleet, type FedFleet } from './support/largeConfiguration';
 
 /** 7 Mbit/s, the capacity of an edge machine's link. */
 const linkBytesPerSecond = 875_000;
@@ -29,7 +29,7 @@
 const movedMicroseconds = 4_000_000;
 
 const confirmed = async ({ world, fleet }: FedFleet, routes: number, weights: string): Promise<void> => {
-  assert.ok((await fleet.take('blueprint', blueprintOf(routes, weights))) !== undefined);
+  assert.ok((await fleet.changeUntilAccepted('blueprint', configurationOf(routes, weights))) !== undefined);
   await world.runFor(applyMicroseconds);
 };
 
@@ -50,7 +50,7 @@
 /** Adds entries to the index of every engine at once, as after new weights. */
 const growIndex = ({ fleet }: FedFleet, entries: number): void => {
   for (const { agent } of fleet.edges.filter((edge) => fleet.hasAgent(edge)))
-    for (const { name } of agent.stewardship
+    for (const { name } of agent.leaseManager
       .activeControllers()
       .filter(({ name: engine }) => engine.startsWith('engine-')))
       for (let index = 0; index < entries; index += 1) {
@@ -94,7 +94,7 @@
     }
     await fed.world.runFor(applyMicroseconds);
     assert.deepEqual(unconfirmedProxies(fed), []);
-    assert.ok(fed.fleet.edges.every(({ proxy }) => proxy.ready()));
+    assert.ok(fed.fleet.edges.every(({ proxy }) => proxy.isReady()));
     await fed.world.runFor(settledMicroseconds);
     const agents = fed.fleet.edges.filter((edge) => fed.fleet.hasAgent(edge));
     const whole = Math.max(...agents.map(({ agent }) => agent.shards.size));
@@ -107,7 +107,9 @@
     const fed = await startedFleet(5, { edges: 30, agents: 3 }, linkBytesPerSecond);
     await loseAgents(fed, 1);
     for (let change = 2; change <= 9; change += 1) {
-      assert.ok((await fed.fleet.take('blueprint', blueprintOf(manyRoutes, `w${change}`))) !== undefined);
+      assert.ok(
+        (await fed.fleet.changeUntilAccepted('blueprint', configurationOf(manyRoutes, `w${change}`))) !== undefined,
+      );
       await fed.world.runFor(330_000);
     }
     await fed.world.runFor(applyMicroseconds - 330_000);
--- a/tests/list-rate.test.ts
+++ b/tests/list-rate.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { CallPace } from '../source/edge-agent/engine-list/callPace';
-import { EngineLives } from '../source/edge-agent/engine-list/engineLives';
-import { EngineListDefaults, EngineListKeeper } from '../source/edge-agent/engine-list/engineListKeeper';
+import { CallRateLimiter } from '../source/edge-agent/engine-list/callRateLimiter';
+import { EngineLifetimes } from '../source/edge-agent/engine-list/engineLifetimes';
+import { EngineListDefaults, EngineListReader } from '../source/edge-agent/engine-list/engineListReader';
 import type { EngineLister, ListedEngine } from '../source/edge-agent/engine-list/engineLister';
 import { World } from '../source/fleet-simulator/world/world';
 import { Freshness } from '../source/shared/freshness/freshness';
-import { HeldFleet } from './support/heldFleet';
+import { LongPollFleet } from './support/longPollFleet';
 
 const engine = (number: number): ListedEngine => ({
   name: `e-${number}`,
@@ -31,7 +31,7 @@
   world: World;
   calls: number[];
   freshness: Freshness;
-  reader: EngineListKeeper;
+  reader: EngineListReader;
   setResponse: (answer: 'overRate' | undefined) => void;
   run: (microseconds: number) => Promise<void>;
 }> => {
@@ -47,7 +47,7 @@
     },
   };
   const freshness = new Freshness(world.clock, undefined, 'listed');
-  const reader = new EngineListKeeper(
+  const reader = new EngineListReader(
     lister,
     freshness,
     () => term,
@@ -57,7 +57,7 @@
     () => 3,
     () => undefined,
   );
-  const repeatRead = (): void => void reader.read().then(() => world.plan(500_000, repeatRead));
+  const repeatRead = (): void => void reader.read().then(() => world.schedule(500_000, repeatRead));
   return {
     world,
     calls,
@@ -143,18 +143,18 @@
 
   test('the rate limiter allows a small burst and otherwise no more than the rate', async () => {
     const world = new World(1);
-    const rateLimiter = new CallPace(world.clock);
-    const waits = Array.from({ length: 12 }, () => rateLimiter.waitMicroseconds(20));
+    const rateLimiter = new CallRateLimiter(world.clock);
+    const waits = Array.from({ length: 12 }, () => rateLimiter.reserveCall(20));
     assert.deepEqual(waits.slice(0, 7), [0, 0, 0, 0, 0, 50_000, 100_000]);
     await world.runFor(10_000_000);
-    assert.equal(rateLimiter.waitMicroseconds(20), 0);
+    assert.equal(rateLimiter.reserveCall(20), 0);
   });
 
   test('a long read ends no engine before it is missing for longer than the lag of the list', () => {
-    const lifetimes = new EngineLives(() => 1_000_000);
-    lifetimes.heard([engine(1), engine(2)], [], 0, 10_000_000);
+    const lifetimes = new EngineLifetimes(() => 1_000_000);
+    lifetimes.applyResponse([engine(1), engine(2)], [], 0, 10_000_000);
     const names = (listed: readonly ListedEngine[], asked: number): readonly string[] =>
-      lifetimes.heard(listed, [], asked).map(({ name }) => name);
+      lifetimes.applyResponse(listed, [], asked).map(({ name }) => name);
     assert.deepEqual(names([engine(1)], 10_500_000), ['e-1', 'e-2'], 'the last page was seen half a second earlier');
     assert.deepEqual(names([engine(1)], 11_000_000), ['e-1']);
   });
@@ -163,15 +163,18 @@
     const { reader, freshness, world } = setUpReader(Infinity, 1, 1);
     await reader.read();
     const alone = setUpReader(Infinity, 2, undefined);
-    alone.freshness.hear(freshness.statements().find(({ key }) => key === 'engines') as never, 0);
-    alone.freshness.give(freshness.sent('engines') as never);
+    alone.freshness.applyStatement(freshness.statements().find(({ key }) => key === 'engines') as never, 0);
+    alone.freshness.applyBody(freshness.encodedBody('engines') as never);
     await alone.world.runFor(10_000_000);
     await alone.reader.read();
     const otherRevision = alone.freshness.revision('engines');
     assert.equal(otherRevision, freshness.revision('engines') + 1);
     await world.runFor(10_000_000);
-    freshness.hear(alone.freshness.statements().find(({ key }) => key === 'engines') as never, world.nowMicroseconds);
-    freshness.give(alone.freshness.sent('engines') as never);
+    freshness.applyStatement(
+      alone.freshness.statements().find(({ key }) => key === 'engines') as never,
+      world.nowMicroseconds,
+    );
+    freshness.applyBody(alone.freshness.encodedBody('engines') as never);
     assert.equal(freshness.revision('engines'), otherRevision);
     await reader.read();
     // Whether the engine of the second page is listed does not matter here; each revision must have only one text.
@@ -183,7 +186,7 @@
   test('in a fleet all agents together stay within the rate, also when the lease holder is killed, and all know the list', async () => {
     for (const seed of [1, 2, 3]) {
       const rate = 4;
-      const fleet = new HeldFleet(new World(seed), 5, { listCallsPerSecond: rate });
+      const fleet = new LongPollFleet(new World(seed), 5, { listCallsPerSecond: rate });
       const names = fleet.addEngines(3);
       fleet.engines.pageSize = 2;
       await fleet.start();
@@ -193,14 +196,14 @@
           ({ process, agent }) =>
             !process.alive || Object.keys(agent.freshness.engines?.engines ?? {}).length === names.length,
         );
-      assert.ok(await world.runUntil(() => knows() && fleet.settled(names), 30_000_000), `seed ${seed}`);
-      const lister = fleet.lister();
+      assert.ok(await world.runUntil(() => knows() && fleet.hasAllLeaseHolders(names), 30_000_000), `seed ${seed}`);
+      const lister = fleet.listReader();
       assert.ok(lister !== undefined);
       fleet.kill(lister);
       await world.runFor(10_000_000);
       fleet.restart(lister);
       await world.runFor(10_000_000);
-      assert.ok(knows() && fleet.settled(names), `seed ${seed}`);
+      assert.ok(knows() && fleet.hasAllLeaseHolders(names), `seed ${seed}`);
       const most = maxCallsPerSecond(engines.pageCalls.map(({ atMicroseconds }) => atMicroseconds));
       assert.ok(most <= rate, `seed ${seed}: ${most} calls in a second`);
     }
--- a/tests/member-list-deadlock.test.ts
+++ b/tests/member-list-deadlock.test.ts
@@ -7,7 +7,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
@@ -22,7 +22,7 @@
 describe('the leader of the member list is lost while one member lacks the changed list', () => {
   test('the joining member gets a vote and changes are confirmed, 8 seeds', async () => {
     for (let seed = 801; seed <= 808; seed += 1) {
-      const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
+      const fleet = new ControlFleet(seed, platformConfigurationFormat, { membersWanted: 5 });
       assert.ok(await fleet.startAll(3));
       assert.equal((await fleet.change(fleet.machine(1), put(1)))?.kind, 'taken');
       await fleet.world.runFor(3_000_000);
@@ -40,7 +40,7 @@
         'the leader and one other member hold the changed list',
       );
       leader.kill(true);
-      fleet.network.cut(leader.machine, uninformed.machine);
+      fleet.network.cutLink(leader.machine, uninformed.machine);
       assert.equal(isJoint(uninformed), false);
       assert.equal((await fleet.changeWithRetriesAt(others, put(2), 10_000_000))?.kind, 'taken', `seed ${seed}`);
       assert.ok(
--- a/tests/operator-api.test.ts
+++ b/tests/operator-api.test.ts
@@ -4,14 +4,17 @@
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import { describe, test } from 'node:test';
-import { platformDialect } from '../platform/operators/dialect';
-import { platformOperatorsWords } from '../platform/operators/words';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
+import { platformOperatorApiFormat } from '../platform/operators/words';
 import { ControlNodeDefaults } from '../source/core-keeper/controlNodeSettings';
 import type { OperatorApiFormat } from '../source/core-keeper/operators/operatorApiFormat';
 import { nativeOperatorApiFormat } from '../source/core-keeper/operators/nativeOperatorApiFormat';
 import { startControlNode, type RunningControlNode } from '../source/core-keeper/program/controlNodeProgram';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
-import { ownDialect, type Dialect } from '../source/shared/blueprint/dialect';
+import {
+  nativeConfigurationFormat,
+  type ConfigurationFormat,
+} from '../source/shared/configuration/configurationFormat';
 import { realClock } from '../source/shared/effects/clock/realClock';
 import { nodeDisk } from '../source/shared/effects/disk/nodeDisk';
 import { realRandom } from '../source/shared/effects/random/random';
@@ -50,7 +53,7 @@
 /** Starts a single control node on a real disk and real connections. With unreachable seeds it never gets a majority. */
 const withControlNode = async (
   words: OperatorApiFormat,
-  dialect: Dialect,
+  dialect: ConfigurationFormat,
   work: (program: RunningControlNode) => Promise<void>,
   seeds?: readonly string[],
 ): Promise<void> => {
@@ -89,12 +92,12 @@
 };
 
 describe('operator API in each format', () => {
-  const own = JSON.stringify(SimBlueprints.first(), undefined, 1);
+  const own = JSON.stringify(SimBlueprints.initial(), undefined, 1);
   const formats = [
     {
       name: 'own',
       words: nativeOperatorApiFormat,
-      dialect: ownDialect,
+      dialect: nativeConfigurationFormat,
       path: '/blueprint',
       document: own,
       next: own.replace('1', '1 '),
@@ -103,8 +106,8 @@
     },
     {
       name: 'platform',
-      words: platformOperatorsWords,
-      dialect: platformDialect,
+      words: platformOperatorApiFormat,
+      dialect: platformConfigurationFormat,
       path: '/-/config',
       document: platformDocument(5),
       next: platformDocument(8),
@@ -160,8 +163,8 @@
 
 test('platform: changes named items and weights at their own paths', () =>
   withControlNode(
-    platformOperatorsWords,
-    platformDialect,
+    platformOperatorApiFormat,
+    platformConfigurationFormat,
     async ({ controlNode: keeper, operatorApi: { address } }) => {
       const target = '/-/config';
       assert.equal(
--- a/tests/outdated-denials.test.ts
+++ b/tests/outdated-denials.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { stringify } from 'yaml';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
-import { PlatformBackEndWords } from '../platform/back-ends/words';
+import { PlatformBackEndCodec } from '../platform/back-ends/backEndCodec';
 import { PlatformSettings } from '../platform/settings/platformSettings';
 import { PlatformProxySettings } from '../platform/settings/proxySettings';
 import { Digests } from '../source/core-keeper/register/changes';
@@ -40,7 +40,7 @@
     { clock: world.clock, random: world.random, transport: {} as Transport },
     {} as BackEndSender,
     PlatformProxySettings.of(settings(revokeEverywhere)),
-    { backEnds: PlatformBackEndWords, dialect: platformDialect },
+    { backEnds: PlatformBackEndCodec, dialect: platformConfigurationFormat },
   );
   const text = Envelopes.close({
     weights: {},
@@ -48,8 +48,8 @@
   });
   const digest = Digests.of(text);
   const confirmed = { key: 'blueprint', revision: 1, digest } as const;
-  proxy.freshness.hear({ ...confirmed, ageMicroseconds: 0, weights: {} }, world.nowMicroseconds);
-  assert.ok(proxy.freshness.give({ ...confirmed, text } as SentBody));
+  proxy.freshness.applyStatement({ ...confirmed, ageMicroseconds: 0, weights: {} }, world.nowMicroseconds);
+  assert.ok(proxy.freshness.applyBody({ ...confirmed, text } as SentBody));
   return proxy;
 };
 
@@ -104,8 +104,8 @@
     const text = Envelopes.close({ weights: {}, document: platformDocument(4, { tenants: [] }) });
     const digest = Digests.of(text);
     const confirmed = { key: 'blueprint', revision: 2, digest } as const;
-    proxy.freshness.hear({ ...confirmed, ageMicroseconds: 0, weights: {} }, world.nowMicroseconds);
-    assert.ok(proxy.freshness.give({ ...confirmed, text } as SentBody));
+    proxy.freshness.applyStatement({ ...confirmed, ageMicroseconds: 0, weights: {} }, world.nowMicroseconds);
+    assert.ok(proxy.freshness.applyBody({ ...confirmed, text } as SentBody));
     await world.runFor(applyWithinMs * 1000);
     const validity = found.kind === 'resolved' ? proxy.identifier.revalidate(request, found.resolved) : undefined;
     assert.equal(validity?.kind === 'refuse' ? validity.refusal.status : undefined, 503);
@@ -116,7 +116,7 @@
     const proxy = proxyOf(world);
     await world.runFor(2 * applyWithinMs * 1000);
     const { digest = '' } = proxy.freshness.applied('blueprint') ?? {};
-    proxy.freshness.hear(
+    proxy.freshness.applyStatement(
       { key: 'blueprint', revision: 1, digest, ageMicroseconds: 0, weights: {} },
       world.nowMicroseconds,
     );
--- a/tests/outliers-fleet.test.ts
+++ b/tests/outliers-fleet.test.ts
@@ -2,20 +2,20 @@
 import { test } from 'node:test';
 import { OutlierSettings } from '../source/edge-proxy/outliers/outlierSettings';
 import { runScenario } from '../source/fleet-simulator/faults/scenario';
-import { judgeAll } from '../source/fleet-simulator/judges/judges';
-import { SimFleet, SimKinds, usualShape, type SimShape } from '../source/fleet-simulator/machines/simFleet';
-import type { SimCall } from '../source/fleet-simulator/machines/simCallers';
+import { checkInvariants } from '../source/fleet-simulator/invariants/invariantCheckers';
+import { SimFleet, RequestKinds, defaultShape, type FleetShape } from '../source/fleet-simulator/machines/simFleet';
+import type { SimRequest } from '../source/fleet-simulator/machines/simClients';
 import { World } from '../source/fleet-simulator/world/world';
-import { FactKeys, type LoadFact } from '../source/shared/news/factTypes';
+import { GossipKeys, type LoadEntry } from '../source/shared/gossip/entryTypes';
 
-const withoutEjection: SimShape = {
-  ...usualShape,
+const withoutEjection: FleetShape = {
+  ...defaultShape,
   proxy: { outliers: { ...OutlierSettings.usual, ejectPerMille: 0 } },
 };
 
 const started = async (
   seed: number,
-  shape: SimShape = usualShape,
+  shape: FleetShape = defaultShape,
 ): Promise<Readonly<{ world: World; fleet: SimFleet }>> => {
   const world = new World(seed);
   const fleet = new SimFleet(world, shape);
@@ -25,14 +25,14 @@
 };
 
 /** Sends a short request every 12 ms, to each proxy in turn, until `stop` is called. */
-const traffic = (world: World, fleet: SimFleet): Readonly<{ calls: readonly SimCall[]; stop: () => void }> => {
-  const calls: SimCall[] = [];
+const traffic = (world: World, fleet: SimFleet): Readonly<{ calls: readonly SimRequest[]; stop: () => void }> => {
+  const calls: SimRequest[] = [];
   let stopped = false;
   const one = (): void => {
     if (stopped) return;
-    const kind = calls.length % 2 === 0 ? SimKinds.once : SimKinds.short;
-    calls.push(fleet.callers.call(fleet.handle(fleet.edge(calls.length % 4)), kind, 'open1', 'key-open1-a'));
-    world.plan(12_000, one);
+    const kind = calls.length % 2 === 0 ? RequestKinds.once : RequestKinds.short;
+    calls.push(fleet.clients.send(fleet.handle(fleet.edge(calls.length % 4)), kind, 'open1', 'key-open1-a'));
+    world.schedule(12_000, one);
   };
   one();
   return {
@@ -51,13 +51,13 @@
 const hasFailureReports = (fleet: SimFleet): boolean =>
   fleet.edges.some(({ agent }) =>
     fleet.edges.some(({ name }) => {
-      const load = agent.facts.value<LoadFact>(FactKeys.load(name));
+      const load = agent.facts.value<LoadEntry>(GossipKeys.load(name));
       return load?.failing !== undefined || load?.answering !== undefined;
     }),
   );
 
 test('with ejection, less than half as many requests fail in days with a partly failing engine as without it', async () => {
-  const failed = async (shape: SimShape): Promise<number> => {
+  const failed = async (shape: FleetShape): Promise<number> => {
     let sum = 0;
     for (let seed = 1; seed <= 4; seed += 1) {
       const { calls, answered } = await runScenario({ seed, faults: ['engineGrey'], ending: 'healed', shape });
@@ -65,7 +65,7 @@
     }
     return sum;
   };
-  const [failedWith, failedWithout] = [await failed(usualShape), await failed(withoutEjection)];
+  const [failedWith, failedWithout] = [await failed(defaultShape), await failed(withoutEjection)];
   assert.ok(failedWith * 2 < failedWithout, `${failedWith} with ejection, ${failedWithout} without`);
 });
 
@@ -75,7 +75,7 @@
   await world.runFor(2_000_000);
   assert.equal(hasFailureReports(fleet), false, 'nothing is reported without failures');
   const failing = fleet.engineNames[2] ?? '';
-  const recover = fleet.backEnds.sicken(failing, 'fails', 500);
+  const recover = fleet.backEnds.injectEngineFault(failing, 'fails', 500);
   await world.runFor(3_000_000);
   const from = world.nowMicroseconds;
   await world.runFor(2_000_000);
@@ -89,13 +89,13 @@
   assert.equal(hasFailureReports(fleet), false, 'nothing is reported after the recovery');
   await world.runFor(3_000_000);
   assert.deepEqual(
-    judgeAll(fleet).broken.filter(({ point }) => point !== 'failingServed'),
+    checkInvariants(fleet).violations.filter(({ invariant }) => invariant !== 'failingServed'),
     [],
   );
 });
 
 /** Without ejection, and with a retry budget that cannot run out: a request is retried whenever it may run again. */
-const unlimitedRetries: SimShape = {
+const unlimitedRetries: FleetShape = {
   ...withoutEjection,
   proxy: {
     ...withoutEjection.proxy,
@@ -107,12 +107,12 @@
 
 const runWithFailingEngine = async (
   seed: number,
-  shape: SimShape,
+  shape: FleetShape,
 ): Promise<Readonly<{ fleet: SimFleet; serverErrors: (resumable: boolean) => number }>> => {
   const { world, fleet } = await started(seed, shape);
   const { calls, stop } = traffic(world, fleet);
   await world.runFor(4_000_000);
-  fleet.backEnds.sicken(fleet.engineNames[1] ?? '', 'fails', 300);
+  fleet.backEnds.injectEngineFault(fleet.engineNames[1] ?? '', 'fails', 300);
   await world.runFor(6_000_000);
   stop();
   await world.runFor(3_000_000);
@@ -128,7 +128,9 @@
     assert.equal(serverErrors(true), 0);
     // The judge of retries checks the default budget, which is exceeded here.
     assert.deepEqual(
-      judgeAll(fleet).broken.filter(({ point }) => point !== 'failingServed' && point !== 'retries'),
+      checkInvariants(fleet).violations.filter(
+        ({ invariant }) => invariant !== 'failingServed' && invariant !== 'retries',
+      ),
       [],
     );
   });
@@ -137,7 +139,7 @@
   const { fleet, serverErrors } = await runWithFailingEngine(34, withoutEjection);
   assert.ok(serverErrors(false) >= 3, `${serverErrors(false)}`);
   assert.deepEqual(
-    judgeAll(fleet).broken.filter(({ point }) => point !== 'failingServed'),
+    checkInvariants(fleet).violations.filter(({ invariant }) => invariant !== 'failingServed'),
     [],
   );
 });
@@ -145,7 +147,7 @@
 test('keeps all engines if all fail alike', async () => {
   const { world, fleet } = await started(32);
   const { stop } = traffic(world, fleet);
-  for (const name of fleet.engineNames) fleet.backEnds.sicken(name, 'fails', 500);
+  for (const name of fleet.engineNames) fleet.backEnds.injectEngineFault(name, 'fails', 500);
   await world.runFor(6_000_000);
   const from = world.nowMicroseconds;
   await world.runFor(4_000_000);
@@ -160,7 +162,7 @@
   const { world, fleet } = await started(33);
   const { calls, stop } = traffic(world, fleet);
   const [silent = '', dead = ''] = fleet.engineNames;
-  fleet.backEnds.sicken(silent, 'controlSilent');
+  fleet.backEnds.injectEngineFault(silent, 'controlSilent');
   fleet.backEnds.kill(dead);
   await world.runFor(5_000_000);
   const from = world.nowMicroseconds;
@@ -173,5 +175,5 @@
   );
   await world.runFor(3_000_000);
   const late = calls.filter(({ sentMicroseconds }) => sentMicroseconds >= from);
-  assert.ok(late.every(({ status, right }) => status === 200 && right));
+  assert.ok(late.every(({ status, isCorrect: right }) => status === 200 && right));
 });
--- a/tests/outliers.test.ts
+++ b/tests/outliers.test.ts
@@ -2,14 +2,14 @@
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
 import { AnswerCounts } from '../source/edge-proxy/outliers/answerCounts';
-import { EjectionBound, type PoolMember } from '../source/edge-proxy/outliers/ejectionBound';
+import { EjectionLimit, type PoolMember } from '../source/edge-proxy/outliers/ejectionLimit';
 import { OutlierDetector } from '../source/edge-proxy/outliers/outlierDetector';
 import { OutlierSettings } from '../source/edge-proxy/outliers/outlierSettings';
 import { OutlierStates, type OutlierEvent, type OutlierState } from '../source/edge-proxy/outliers/outlierStates';
 import { OutlierVerdicts, type Evidence } from '../source/edge-proxy/outliers/outlierVerdicts';
 import { Probes } from '../source/edge-proxy/outliers/probes';
-import type { LoadFact } from '../source/shared/news/factTypes';
-import { HandClock } from './support/rawEngine';
+import type { LoadEntry } from '../source/shared/gossip/entryTypes';
+import { ManualClock } from './support/rawEngine';
 
 const settings = OutlierSettings.usual;
 
@@ -35,32 +35,32 @@
 const transitions = (
   history: readonly (readonly [number, (at: number) => OutlierEvent])[],
 ): readonly Readonly<{ before: OutlierState; event: OutlierEvent; after: OutlierState }>[] => {
-  let state = OutlierStates.start;
+  let state = OutlierStates.initial;
   let at = 0;
   return history.map(([pause, make]) => {
     at += pause;
     const before = state;
     const event = make(at);
-    state = OutlierStates.step(before, event, settings);
+    state = OutlierStates.next(before, event, settings);
     return { before, event, after: state };
   });
 };
 
 describe('state machine of an engine', () => {
   test('each ejection in a row is twice as long as the one before, up to the maximum', () => {
-    let state = OutlierStates.start;
+    let state = OutlierStates.initial;
     let at = 0;
     const lengths: number[] = [];
     for (let round = 0; round < 8; round += 1) {
-      state = OutlierStates.step(state, { kind: 'judged', verdict: 'outlier', atMicroseconds: at }, settings);
+      state = OutlierStates.next(state, { kind: 'judged', verdict: 'outlier', atMicroseconds: at }, settings);
       assert.equal(state.kind, 'ejected');
       if (state.kind !== 'ejected') return;
       lengths.push(state.untilMicroseconds - at);
       at = state.untilMicroseconds;
       const passed = { kind: 'passed', isProber: true, othersFail: false, atMicroseconds: at } as const;
-      state = OutlierStates.step(state, passed, settings);
+      state = OutlierStates.next(state, passed, settings);
       for (let good = 0; good < settings.probeAnswers; good += 1)
-        state = OutlierStates.step(state, { kind: 'answered', isGood: true, atMicroseconds: at }, settings);
+        state = OutlierStates.next(state, { kind: 'answered', isGood: true, atMicroseconds: at }, settings);
       assert.equal(state.kind, 'good');
     }
     assert.deepEqual(
@@ -72,7 +72,7 @@
   test('earlier ejections are reset once an engine has been good for long', () => {
     const state: OutlierState = { kind: 'good', offences: 3, atMicroseconds: 0 };
     const sound = (atMicroseconds: number): OutlierState =>
-      OutlierStates.step(state, { kind: 'judged', verdict: 'sound', atMicroseconds }, settings);
+      OutlierStates.next(state, { kind: 'judged', verdict: 'sound', atMicroseconds }, settings);
     assert.equal(sound(settings.forgetMicroseconds - 1), state);
     assert.equal(sound(settings.forgetMicroseconds).offences, 0);
   });
@@ -80,7 +80,7 @@
   test('only the probing proxies end an ejection on time; the others wait, and longer while the engine still fails', () => {
     const state: OutlierState = { kind: 'ejected', offences: 1, atMicroseconds: 0, untilMicroseconds: 10 };
     const passed = (atMicroseconds: number, isProber: boolean, othersFail: boolean): OutlierState =>
-      OutlierStates.step(state, { kind: 'passed', atMicroseconds, isProber, othersFail }, settings);
+      OutlierStates.next(state, { kind: 'passed', atMicroseconds, isProber, othersFail }, settings);
     assert.equal(passed(10, true, true).kind, 'probation');
     assert.equal(passed(10 + settings.laterMicroseconds - 1, false, false), state);
     const later = 10 + settings.laterMicroseconds;
@@ -116,20 +116,20 @@
   });
 
   test('a flapping engine is probed less and less often', () => {
-    let state = OutlierStates.start;
+    let state = OutlierStates.initial;
     let probeCount = 0;
     for (let at = 0; at < 300_000_000; at += 100_000) {
       if (state.kind === 'good')
-        state = OutlierStates.step(state, { kind: 'judged', verdict: 'outlier', atMicroseconds: at }, settings);
+        state = OutlierStates.next(state, { kind: 'judged', verdict: 'outlier', atMicroseconds: at }, settings);
       const before = state.kind;
-      state = OutlierStates.step(
+      state = OutlierStates.next(
         state,
         { kind: 'passed', isProber: true, othersFail: false, atMicroseconds: at },
         settings,
       );
       if (before === 'ejected' && String(state.kind) === 'probation') probeCount += 1;
       // The engine is good only while it is probed, then fails again.
-      state = OutlierStates.step(state, { kind: 'answered', isGood: true, atMicroseconds: at }, settings);
+      state = OutlierStates.next(state, { kind: 'answered', isGood: true, atMicroseconds: at }, settings);
     }
     // With the length of the first ejection alone, 300 s would have 47 probes.
     assert.ok(probeCount <= 9, `${probeCount}`);
@@ -153,7 +153,7 @@
         fc.integer({ min: 0, max: OutlierSettings.mostEjectPerMille }),
         (members, ejectPerMille) => {
           const pool = named(members);
-          const out = EjectionBound.out(pool, { ...settings, ejectPerMille });
+          const out = EjectionLimit.ejected(pool, { ...settings, ejectPerMille });
           assert.ok(out.size * 1000 <= pool.length * ejectPerMille);
           const rest = pool.filter(({ name }) => !out.has(name));
           assert.ok(pool.every(({ name, isOut }) => isOut || !out.has(name)));
@@ -178,8 +178,8 @@
             .sort((one, two) => one.place - two.place)
             .map(({ member }) => member);
           assert.deepEqual(
-            [...EjectionBound.out(shuffled, settings)].sort(),
-            [...EjectionBound.out(pool, settings)].sort(),
+            [...EjectionLimit.ejected(shuffled, settings)].sort(),
+            [...EjectionLimit.ejected(pool, settings)].sort(),
           );
         },
       ),
@@ -195,8 +195,8 @@
         offences: 1,
         isOut: place === 0,
       }));
-    assert.equal(EjectionBound.out(pool(2), settings).size, 0);
-    assert.deepEqual([...EjectionBound.out(pool(4), settings)], ['e0']);
+    assert.equal(EjectionLimit.ejected(pool(2), settings).size, 0);
+    assert.deepEqual([...EjectionLimit.ejected(pool(4), settings)], ['e0']);
   });
 });
 
@@ -302,56 +302,57 @@
 const setUp = (
   given: OutlierSettings = settings,
 ): Readonly<{
-  clock: HandClock;
+  clock: ManualClock;
   detector: OutlierDetector;
-  review: (others?: readonly LoadFact[]) => void;
+  review: (others?: readonly LoadEntry[]) => void;
   standing: (name: string, isFree?: boolean) => string | undefined;
   addGoodAnswers: () => void;
 }> => {
-  const clock = new HandClock();
+  const clock = new ManualClock();
   const detector = new OutlierDetector('p1', clock, given);
   const daemons = ['p1', 'p2', 'p3'];
   return {
     clock,
     detector,
-    review: (others = []) => detector.review(others, () => [{ names: engines, daemons }]),
+    review: (others = []) => detector.evaluate(others, () => [{ names: engines, daemons }]),
     standing: (name, isFree = true) =>
       detector
-        .standingsIn(
+        .statusesIn(
           engines.map((engine) => ({ name: engine, capacity: 6, inFlight: 0 })),
           () => isFree,
         )
         .get(name),
-    addGoodAnswers: () => engines.forEach((name) => Array.from({ length: 6 }, () => detector.answered(name, 'good'))),
+    addGoodAnswers: () =>
+      engines.forEach((name) => Array.from({ length: 6 }, () => detector.recordAnswer(name, 'good'))),
   };
 };
 
 const fail = (detector: OutlierDetector, name: string, times: number): void => {
-  for (let time = 0; time < times; time += 1) detector.answered(name, 'failed');
+  for (let time = 0; time < times; time += 1) detector.recordAnswer(name, 'failed');
 };
 
 describe('outlier detector', () => {
   test('without failures nothing is reported and no pool is evaluated', () => {
     const { detector, addGoodAnswers } = setUp();
     addGoodAnswers();
-    assert.deepEqual(detector.telling(), {});
-    detector.review([], () => assert.fail('pools were evaluated'));
-    assert.equal(detector.standingsIn([], () => true).size, 0);
+    assert.deepEqual(detector.reportToPublish(), {});
+    detector.evaluate([], () => assert.fail('pools were evaluated'));
+    assert.equal(detector.statusesIn([], () => true).size, 0);
   });
 
   test('a failing engine is reported, ejected, probed by one request at a time, and good again', () => {
     const { clock, detector, review, standing, addGoodAnswers } = setUp();
     addGoodAnswers();
     fail(detector, 'e2', 3);
-    assert.deepEqual(detector.telling(), { failing: { e2: [3, 6] } });
+    assert.deepEqual(detector.reportToPublish(), { failing: { e2: [3, 6] } });
     review();
     assert.equal(standing('e2'), 'out');
     clock.pass(settings.ejectMicroseconds);
-    assert.deepEqual(detector.telling(), {}, 'old failures are not reported');
+    assert.deepEqual(detector.reportToPublish(), {}, 'old failures are not reported');
     review();
     assert.equal(standing('e2'), 'probation');
     assert.equal(standing('e2', false), 'out', 'one request at a time');
-    for (let time = 0; time < settings.probeAnswers; time += 1) detector.answered('e2', 'good');
+    for (let time = 0; time < settings.probeAnswers; time += 1) detector.recordAnswer('e2', 'good');
     assert.equal(standing('e2'), undefined);
     addGoodAnswers();
     fail(detector, 'e2', 6);
@@ -383,9 +384,9 @@
   test('reports of other proxies count, and a client that disconnected early does not', () => {
     const { detector, review, standing, addGoodAnswers } = setUp();
     addGoodAnswers();
-    detector.answered('e1', 'silent', settings.silentMicroseconds - 1);
-    assert.deepEqual(detector.telling(), {});
-    const load = (agent: string): LoadFact => ({
+    detector.recordAnswer('e1', 'silent', settings.silentMicroseconds - 1);
+    assert.deepEqual(detector.reportToPublish(), {});
+    const load = (agent: string): LoadEntry => ({
       agent,
       engines: {},
       classes: {},
@@ -399,40 +400,48 @@
 
   test('an engine that its controller cannot reach is used while its responses since that report are good', () => {
     const { clock, detector } = setUp();
-    detector.answered('e1', 'good');
+    detector.recordAnswer('e1', 'good');
     clock.pass(settings.wordMicroseconds);
-    assert.equal(detector.answersThoughSilent('e1', '1.2'), false, 'older responses do not count');
+    assert.equal(detector.answersThoughUnreachable('e1', '1.2'), false, 'older responses do not count');
     clock.pass(1000);
-    detector.answered('e1', 'good');
-    assert.equal(detector.answersThoughSilent('e1', '1.2'), true);
-    assert.deepEqual(detector.telling(), { answering: ['e1'] }, 'the proxy reports that the engine answers');
+    detector.recordAnswer('e1', 'good');
+    assert.equal(detector.answersThoughUnreachable('e1', '1.2'), true);
+    assert.deepEqual(detector.reportToPublish(), { answering: ['e1'] }, 'the proxy reports that the engine answers');
     clock.pass(settings.wordMicroseconds);
-    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'a new report needs new responses');
-    detector.answered('e1', 'good');
-    assert.equal(detector.answersThoughSilent('e1', '1.3'), true);
+    assert.equal(detector.answersThoughUnreachable('e1', '1.3'), false, 'a new report needs new responses');
+    detector.recordAnswer('e1', 'good');
+    assert.equal(detector.answersThoughUnreachable('e1', '1.3'), true);
     clock.pass(1000);
-    detector.unreached('e1');
+    detector.recordConnectFailure('e1');
     assert.equal(
-      detector.answersThoughSilent('e1', '1.3'),
+      detector.answersThoughUnreachable('e1', '1.3'),
       false,
       'a failed connection attempt counts against the engine',
     );
     clock.pass(1000);
-    detector.answered('e1', 'good');
+    detector.recordAnswer('e1', 'good');
     clock.pass(settings.speaksMicroseconds);
-    assert.equal(detector.answersThoughSilent('e1', '1.3'), false, 'a good response counts only for a limited time');
-    detector.answered('e1', 'good');
-    detector.heardOf('e1');
-    assert.deepEqual(detector.telling(), {}, 'nothing is reported once the controller reaches the engine again');
+    assert.equal(
+      detector.answersThoughUnreachable('e1', '1.3'),
+      false,
+      'a good response counts only for a limited time',
+    );
+    detector.recordAnswer('e1', 'good');
+    detector.recordReachable('e1');
+    assert.deepEqual(
+      detector.reportToPublish(),
+      {},
+      'nothing is reported once the controller reaches the engine again',
+    );
   });
 
   test('an engine that its controller cannot reach is used while another proxy reports that it answers', () => {
     const { detector, review } = setUp();
-    assert.equal(detector.answersThoughSilent('e1', '1.2'), false);
+    assert.equal(detector.answersThoughUnreachable('e1', '1.2'), false);
     review([{ agent: 'p2', engines: {}, classes: {}, waiting: {}, tenants: {}, answering: ['e1'] }]);
-    assert.equal(detector.answersThoughSilent('e1', '1.2'), true);
+    assert.equal(detector.answersThoughUnreachable('e1', '1.2'), true);
     review([]);
-    assert.equal(detector.answersThoughSilent('e1', '1.2'), false);
+    assert.equal(detector.answersThoughUnreachable('e1', '1.2'), false);
   });
 
   test('requests that may run again probe an engine; others only if there are none of those', () => {
--- a/tests/owner-links.test.ts
+++ b/tests/owner-links.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
-import { ownDialect } from '../source/shared/blueprint/dialect';
+import { nativeConfigurationFormat } from '../source/shared/configuration/configurationFormat';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 
 const isOwner = ({ controlNode: keeper, name }: ControlMachine): boolean =>
@@ -12,10 +12,10 @@
   const listening = network.listenerAt(member.address);
   assert.ok(listening !== undefined);
   let broken = 0;
-  network.squat(member.address, (message) => {
+  network.occupyAddress(member.address, (message) => {
     if (message.kind !== 'accept' || broken >= count) {
       return new Promise((resolve, reject) =>
-        process.enter(() => void listening.handler(message).then(resolve, reject)),
+        process.execute(() => void listening.handler(message).then(resolve, reject)),
       );
     }
     broken += 1;
@@ -27,18 +27,18 @@
 describe('a key owner with one unreachable control node and a link that breaks', () => {
   for (const count of [1, 3])
     test(`commits a change soon and under the same owner when ${count} accept message(s) in a row are lost`, async () => {
-      const fleet = new ControlFleet(21, ownDialect);
+      const fleet = new ControlFleet(21, nativeConfigurationFormat);
       assert.ok(await fleet.startAll(3));
       assert.ok(await fleet.world.runUntil(() => fleet.machines.some(isOwner), 3_000_000));
       const owner = fleet.machines.find(isOwner);
       assert.ok(owner !== undefined);
       const [silent, broken] = fleet.machines.filter((machine) => machine !== owner);
       assert.ok(silent !== undefined && broken !== undefined);
-      fleet.network.cut(owner.machine, silent.machine);
+      fleet.network.cutLink(owner.machine, silent.machine);
       const brokenTimes = dropAccepts(fleet, broken, count);
       const epoch = owner.controlNode?.keyLeaders()['blueprint']?.epoch;
       const began = fleet.world.nowMicroseconds;
-      const text = JSON.stringify(SimBlueprints.first());
+      const text = JSON.stringify(SimBlueprints.initial());
       const outcome = await fleet.change(owner, { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'one' });
       assert.deepEqual(outcome, { kind: 'taken', revision: 1 });
       assert.equal(brokenTimes(), count);
@@ -49,7 +49,7 @@
     });
 
   test('gives up after one request timeout when no majority can be reached', async () => {
-    const fleet = new ControlFleet(22, ownDialect);
+    const fleet = new ControlFleet(22, nativeConfigurationFormat);
     assert.ok(await fleet.startAll(3));
     assert.ok(await fleet.world.runUntil(() => fleet.machines.some(isOwner), 3_000_000));
     const owner = fleet.machines.find(isOwner);
@@ -57,7 +57,7 @@
     const others = fleet.machines.filter((machine) => machine !== owner);
     for (const machine of others) machine.kill();
     const before = fleet.network.messages;
-    const text = JSON.stringify(SimBlueprints.first());
+    const text = JSON.stringify(SimBlueprints.initial());
     const outcome = await fleet.change(owner, { key: 'blueprint', form: 'whole', text, ifMatch: 0, id: 'one' });
     assert.equal(outcome?.kind, 'unknown');
     assert.ok(fleet.network.messages - before < 400, `${fleet.network.messages - before} messages`);
--- a/tests/parts-planner.test.ts
+++ b/tests/parts-planner.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DemandSettings, type DemandView } from '../source/edge-proxy/demand/demandView';
-import { LinkSpeeds } from '../source/edge-proxy/fetch/linkSpeeds';
-import { MoveSettings, PartMoves, type Move } from '../source/edge-proxy/fetch/partMoves';
-import { PartsPlanner } from '../source/edge-proxy/fetch/partsPlanner';
-import type { FetchPlan } from '../source/edge-proxy/fetch/fetchPlanner';
+import { LinkSpeeds } from '../source/edge-proxy/cache-imports/linkSpeeds';
+import { PartImportSettings, PartImports, type PartImport } from '../source/edge-proxy/cache-imports/partImports';
+import { PartsPlanner } from '../source/edge-proxy/cache-imports/partsPlanner';
+import type { FetchPlan } from '../source/edge-proxy/cache-imports/fetchPlanner';
 import type { PlacedRequest, ResolvedRequest } from '../source/edge-proxy/pipeline/request';
 import type { EngineView } from '../source/edge-proxy/placement/engineView';
 import { PromptKeys } from '../source/edge-proxy/placement/placementPolicies';
 import { PrefillSpeeds } from '../source/edge-proxy/placement/prefillSpeeds';
-import { LookUps, type LookUp } from '../source/shared/directory/lookup';
+import { Lookups, type LookupResult } from '../source/shared/directory/lookup';
 import { PromptParts } from '../source/shared/directory/promptParts';
-import { ShardBook } from '../source/shared/directory/shardBook';
-import { ShardNews } from '../source/shared/directory/shardNews';
+import { ShardCatalog } from '../source/shared/directory/shardCatalog';
+import { ShardIndex } from '../source/shared/directory/shardIndex';
 import { Metrics } from '../source/shared/metrics/metrics';
 import { pool } from './support/pool';
 
@@ -44,15 +44,15 @@
   hasStore = true,
   { wanted = false, isOn = true, storeTokens = 0, weights = '1' } = {},
 ): Readonly<{
-  moves: PartMoves;
-  lookUp: LookUp;
+  moves: PartImports;
+  lookUp: LookupResult;
   keys: PromptKeys;
   plan: (placed: Partial<PlacedRequest>) => FetchPlan;
 }> => {
   const keys = new PromptKeys(resolved, request);
-  const shards = new ShardBook();
+  const shards = new ShardCatalog();
   for (const holder of ['e1', 'e2', ...(hasStore ? ['store'] : [])]) {
-    const shard = new ShardNews({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 });
+    const shard = new ShardIndex({ holder, term: 1, epoch: 1, bootEpoch: 'b', weights: '', version: 0 });
     shards.set(holder, shard);
     const [shared] = keys.keysFor('1');
     if (shared !== undefined && holders.includes(holder)) shard.put({ ...shared, name: shared.physical, size: 13_000 });
@@ -70,9 +70,9 @@
     storeShape: (holder: string) => (holder === 'store' ? storeShape : undefined),
     stores: () => (hasStore ? [{ name: 'store', address: 'store:1', bootEpoch: 'b' }] : []),
   } as unknown as EngineView;
-  const moves = new PartMoves(view, new LinkSpeeds(1000, 64), MoveSettings.usual);
+  const moves = new PartImports(view, new LinkSpeeds(1000, 64), PartImportSettings.usual);
   const planner = new PartsPlanner(view, shards, moves, new PrefillSpeeds(), new Metrics(), demand);
-  const lookUp = LookUps.find(shards, keys.keysFor('1'), () => 'b');
+  const lookUp = Lookups.find(shards, keys.keysFor('1'), () => 'b');
   const placed: PlacedRequest = { engine: 'e1', address: 'e1:1', bootEpoch: 'b', weights: '1', cachedParts: 0 };
   return { moves, lookUp, keys, plan: (given) => planner.plan({ ...placed, ...given }, resolved, keys, lookUp) };
 };
@@ -119,12 +119,12 @@
 test('an import in the expected time does not change the cost of its link, a slow one raises it', () => {
   const { moves, keys, lookUp } = setUp(['e2']);
   const target = { name: 'e1', zone: 'z', tokensPerMillisecond: 60 };
-  const best = (): Move | undefined => moves.best(target, pool, keys.parts('1'), 0, lookUp);
+  const best = (): PartImport | undefined => moves.best(target, pool, keys.parts('1'), 0, lookUp);
   const first = best();
   assert.ok(first !== undefined);
-  for (let turn = 0; turn < 20; turn += 1) moves.measured('e1', best() ?? first, first.microseconds);
+  for (let turn = 0; turn < 20; turn += 1) moves.recordDuration('e1', best() ?? first, first.microseconds);
   assert.equal(Math.round(best()?.microseconds ?? 0), Math.round(first.microseconds));
-  for (let turn = 0; turn < 20; turn += 1) moves.measured('e1', best() ?? first, first.microseconds * 10);
+  for (let turn = 0; turn < 20; turn += 1) moves.recordDuration('e1', best() ?? first, first.microseconds * 10);
   assert.ok((best()?.microseconds ?? Infinity) > first.microseconds * 5);
 });
 
--- a/tests/dialect.test.ts
+++ b/tests/platform-configuration-format.test.ts
@@ -1,13 +1,20 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import { platformDialect } from '../platform/operators/dialect';
+import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import { Changes, emptyEntry } from '../source/core-keeper/register/changes';
 import type { ChangeOrder } from '../source/core-keeper/register/messages';
-import type { Dialect, DialectApplied, OrderForm } from '../source/shared/blueprint/dialect';
-import { ownDialect, rememberingDialect } from '../source/shared/blueprint/dialect';
-import type { Blueprint, Pool } from '../source/shared/blueprint/types';
+import type {
+  ConfigurationFormat,
+  ConfigurationChangeResult,
+  ChangeForm,
+} from '../source/shared/configuration/configurationFormat';
+import {
+  nativeConfigurationFormat,
+  cachingConfigurationFormat,
+} from '../source/shared/configuration/configurationFormat';
+import type { Configuration, Pool } from '../source/shared/configuration/types';
 import type { Entry } from '../source/shared/register/types';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 import { platformDocument } from './support/platformDocument';
@@ -15,18 +22,18 @@
 const settings = { numRuns: Number(process.env['POSTDRUM_TEST_RUNS'] ?? 100), seed: 4711 };
 const emptyState = { revision: 0, text: '' };
 
-const apply = (present: string, form: OrderForm, text: string, ifMatch = 0): DialectApplied =>
-  platformDialect.apply({ revision: 5, text: present }, { form, text, ifMatch });
+const apply = (present: string, form: ChangeForm, text: string, ifMatch = 0): ConfigurationChangeResult =>
+  platformConfigurationFormat.apply({ revision: 5, text: present }, { form, text, ifMatch });
 
-const written = (applied: DialectApplied): string => {
+const written = (applied: ConfigurationChangeResult): string => {
   assert.equal(applied.kind, 'write', JSON.stringify(applied));
   return applied.kind === 'write' ? applied.text : '';
 };
 
 const first = (version = 5): string => written(apply('', 'whole', platformDocument(version)));
 
-const blueprintOf = (text: string): Blueprint => {
-  const checked = platformDialect.read(text);
+const blueprintOf = (text: string): Configuration => {
+  const checked = platformConfigurationFormat.read(text);
   assert.equal(checked.kind, 'good', JSON.stringify(checked));
   if (checked.kind !== 'good') throw new Error('faulty');
   return checked.value;
@@ -157,9 +164,9 @@
         if (sent.includes('"__proto__"') || sent.includes('"constructor"') || sent.includes('"prototype"')) return;
         const stored = written(apply('', 'whole', sent));
         assert.equal(Envelopes.open(stored).document, sent);
-        const strict = platformDialect.read(stored);
+        const strict = platformConfigurationFormat.read(stored);
         assert.equal(strict.kind, 'good');
-        assert.deepEqual(platformDialect.trusted(stored), strict);
+        assert.deepEqual(platformConfigurationFormat.readTrusted(stored), strict);
       }),
       settings,
     );
@@ -300,12 +307,12 @@
 });
 
 describe('changes by the register', () => {
-  const order = (version: number, ifMatch: number, form: OrderForm = 'whole'): ChangeOrder => {
+  const order = (version: number, ifMatch: number, form: ChangeForm = 'whole'): ChangeOrder => {
     const text = platformDocument(version);
     return { key: 'blueprint', form, text, ifMatch, id: `${form} ${ifMatch} ${text}` };
   };
   const taken = (entry: Entry, next: ChangeOrder): Entry => {
-    const planned = Changes.plan(entry, next, platformDialect);
+    const planned = Changes.plan(entry, next, platformConfigurationFormat);
     assert.equal(planned.kind, 'write');
     return planned.kind === 'write' ? planned.entry : entry;
   };
@@ -313,14 +320,14 @@
   test('of two changes on one version one is rejected; a repeated change gets the same outcome', () => {
     const base = taken(emptyEntry, order(5, 0));
     const one = taken(base, order(7, 5));
-    const other = Changes.plan(one, order(8, 5), platformDialect);
+    const other = Changes.plan(one, order(8, 5), platformConfigurationFormat);
     assert.ok(other.kind === 'answer' && other.outcome.kind === 'refused' && other.outcome.reason === 'revision');
-    const again = Changes.plan(one, order(7, 5), platformDialect);
+    const again = Changes.plan(one, order(7, 5), platformConfigurationFormat);
     assert.deepEqual(again, { kind: 'answer', outcome: { kind: 'taken', revision: 2 } });
     // The outcome stays the same after later changes.
     const later = taken(one, order(11, 7));
-    assert.deepEqual(Changes.plan(later, order(7, 5), platformDialect), again);
-    assert.deepEqual(Changes.plan(later, order(5, 0), platformDialect), {
+    assert.deepEqual(Changes.plan(later, order(7, 5), platformConfigurationFormat), again);
+    assert.deepEqual(Changes.plan(later, order(5, 0), platformConfigurationFormat), {
       kind: 'answer',
       outcome: { kind: 'taken', revision: 1 },
     });
@@ -336,17 +343,17 @@
     const planned = Changes.plan(
       emptyEntry,
       { key: 'engines', form: 'whole', text, ifMatch: 0, id: 'e' },
-      platformDialect,
+      platformConfigurationFormat,
     );
     assert.ok(planned.kind === 'write' && planned.entry.text === text);
   });
 });
 
 describe('every configuration format', () => {
-  const own = JSON.stringify(SimBlueprints.first());
-  const all: readonly (readonly [Dialect, string])[] = [
-    [ownDialect, own],
-    [platformDialect, platformDocument(1)],
+  const own = JSON.stringify(SimBlueprints.initial());
+  const all: readonly (readonly [ConfigurationFormat, string])[] = [
+    [nativeConfigurationFormat, own],
+    [platformConfigurationFormat, platformDocument(1)],
   ];
   for (const [dialect, document] of all) {
     test(`${dialect.name}: applies a document once, is pure, and reads back what it wrote`, () => {
@@ -355,18 +362,19 @@
       assert.equal(once.kind, 'write');
       if (once.kind !== 'write') return;
       assert.equal(dialect.read(once.text).kind, 'good');
-      assert.deepEqual(dialect.trusted(once.text), dialect.read(once.text));
+      assert.deepEqual(dialect.readTrusted(once.text), dialect.read(once.text));
       const late = dialect.apply({ revision: 1, text: once.text }, { form: 'whole', text: `${document} `, ifMatch: 0 });
       assert.equal(late.kind, 'refused');
       assert.equal(dialect.apply(emptyState, { form: 'whole', text: document.slice(1), ifMatch: 0 }).kind, 'refused');
     });
 
     test(`${dialect.name}: caching changes no result`, () => {
-      const remembering = rememberingDialect(dialect);
+      const remembering = cachingConfigurationFormat(dialect);
       const once = dialect.apply(emptyState, { form: 'whole', text: document, ifMatch: 0 });
       assert.ok(once.kind === 'write');
       if (once.kind !== 'write') return;
-      for (const text of [once.text, once.text]) assert.deepEqual(remembering.trusted(text), dialect.trusted(text));
+      for (const text of [once.text, once.text])
+        assert.deepEqual(remembering.readTrusted(text), dialect.readTrusted(text));
       for (const text of [once.text, once.text]) assert.deepEqual(remembering.read(text), dialect.read(text));
     });
   }
--- a/tests/platform-cut.test.ts
+++ b/tests/platform-cut.test.ts
@@ -59,14 +59,14 @@
   // Identifies a run of a back end in the native protocol and in messages.
   bootEpoch: ['source/'],
   // Fields of the configuration: the path of health checks, and the bytes per token.
-  healthPath: ['source/shared/blueprint/check.ts', 'source/shared/blueprint/types.ts'],
+  healthPath: ['source/shared/configuration/validation.ts', 'source/shared/configuration/types.ts'],
   tokenBytes: [
-    'source/shared/blueprint/check.ts',
-    'source/shared/blueprint/types.ts',
-    'source/edge-proxy/fetch/partMoves.ts',
+    'source/shared/configuration/validation.ts',
+    'source/shared/configuration/types.ts',
+    'source/edge-proxy/cache-imports/partImports.ts',
   ],
   // The number of waiting requests.
-  heldCount: ['source/edge-proxy/edgeProxy.ts', 'source/edge-proxy/holding/takeDesk.ts'],
+  heldCount: ['source/edge-proxy/edgeProxy.ts', 'source/edge-proxy/admission/admissionQueue.ts'],
   // Limits on retries.
   retryRatio: ['source/edge-proxy/fleetBounds.ts'],
   retrySlack: ['source/edge-proxy/fleetBounds.ts'],
--- a/tests/platform-help.test.ts
+++ b/tests/platform-help.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import { after, before, describe, test } from 'node:test';
-import { bundled, platformSources } from './support/bundled';
+import { bundlePrograms, platformProgramSources } from './support/bundlePrograms';
 
 const folder = mkdtempSync(path.join(tmpdir(), 'platform-help-'));
 after(() => rmSync(folder, { recursive: true, force: true }));
@@ -22,7 +22,7 @@
 
 describe('startup output of the platform programs', () => {
   before(async () => {
-    await bundled(platformSources(programs), folder);
+    await bundlePrograms(platformProgramSources(programs), folder);
   });
 
   test('help lists every documented field and needs no settings file', () => {
--- a/tests/doors-words.test.ts
+++ b/tests/platform-http-formats.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import fc from 'fast-check';
-import { PlatformBackEndWords } from '../platform/back-ends/words';
-import { PlatformCallerWords } from '../platform/callers/words';
-import { ChatCallerWords, type HeadOrder } from '../source/edge-proxy/door/callerWords';
-import type { SendMeaning } from '../source/shared/back-end/words';
+import { PlatformBackEndCodec } from '../platform/back-ends/backEndCodec';
+import { PlatformClientApiFormat } from '../platform/callers/clientApiFormat';
+import { ChatClientApiFormat, type ParsedRequestHead } from '../source/edge-proxy/client-api/clientApiFormat';
+import type { RequestFields } from '../source/shared/back-end/backEndCodec';
 import { seededRandom } from '../source/shared/effects/random/random';
 import { Refusals, type RefusalCode, type Verdict } from '../source/shared/verdict/verdict';
 
@@ -20,12 +20,12 @@
 };
 const headersWithout = (omitted: string): Readonly<Record<string, string>> =>
   Object.fromEntries(Object.entries(head).filter(([name]) => name !== omitted));
-const parseHeaders = (headers: Readonly<Record<string, string>>, target = '/lohu930/2f?a=b'): HeadOrder => {
-  const read = PlatformCallerWords.read({ method: 'POST', target, headers }, random);
+const parseHeaders = (headers: Readonly<Record<string, string>>, target = '/lohu930/2f?a=b'): ParsedRequestHead => {
+  const read = PlatformClientApiFormat.parseHead({ method: 'POST', target, headers }, random);
   assert.equal(read.kind, 'order');
   return (read as Extract<typeof read, { kind: 'order' }>).order;
 };
-const baseRequest: SendMeaning = {
+const baseRequest: RequestFields = {
   orderId: 'id',
   contentType: '',
   passed: {},
@@ -81,7 +81,7 @@
       [order.parts, order.promptTokens, order.limitMicroseconds, order.key],
       [undefined, undefined, undefined, ''],
     );
-    const read = PlatformCallerWords.read(
+    const read = PlatformClientApiFormat.parseHead(
       { method: 'POST', target: '/', headers: headersWithout('postdrum-request-id') },
       random,
     );
@@ -121,7 +121,7 @@
           (headers['connection'] ?? '').split(',').map((item) => item.trim().toLowerCase()),
         );
         const { passed = {} } = parseHeaders({ ...headers, 'postdrum-request-id': 'x' });
-        const sent = PlatformBackEndWords.write({ ...baseRequest, passed: { ...headers, ...passed } });
+        const sent = PlatformBackEndCodec.write({ ...baseRequest, passed: { ...headers, ...passed } });
         for (const [key, value] of Object.entries(headers))
           if (internalHeaders.includes(key)) assert.equal(passed[key], undefined, key);
           else if (!connectionNamed.has(key)) assert.equal(passed[key], value, key);
@@ -169,7 +169,9 @@
         fc.constantFrom(...codes),
         fc.option(fc.double({ min: 0, max: 10, noNaN: true }), { nil: undefined }),
         (status, verdict, code, retryAfter) => {
-          const response = PlatformCallerWords.refusal(Refusals.make(status, verdict, code, 'x', retryAfter));
+          const response = PlatformClientApiFormat.refusalResponse(
+            Refusals.make(status, verdict, code, 'x', retryAfter),
+          );
           if (verdict !== 'notRun') {
             assert.ok([502, 504].includes(response.status), `${response.status} for ${verdict}`);
             assert.equal(response.headers['retry-after'], undefined);
@@ -185,15 +187,15 @@
 
   test('gives retry-after in fractions of a second there and in whole seconds in the native API', () => {
     const refusal = Refusals.make(503, 'notRun', 'engineBusy', 'x', 0.25);
-    assert.equal(PlatformCallerWords.refusal(refusal).headers['retry-after'], '0.25');
-    assert.equal(ChatCallerWords.refusal(refusal).headers['retry-after'], '1');
+    assert.equal(PlatformClientApiFormat.refusalResponse(refusal).headers['retry-after'], '0.25');
+    assert.equal(ChatClientApiFormat.refusalResponse(refusal).headers['retry-after'], '1');
   });
 });
 
 describe("requests to engines on the users' platform", () => {
   test('writes a request in the documented format', () => {
     const { passed = {} } = parseHeaders(head);
-    const sent = PlatformBackEndWords.write({
+    const sent = PlatformBackEndCodec.write({
       ...baseRequest,
       orderId: '9c41d07be2a35f68',
       passed,
@@ -223,14 +225,14 @@
   });
 
   test('omits headers without a value and never writes a deadline of 0', () => {
-    assert.deepEqual(PlatformBackEndWords.write(baseRequest), { 'postdrum-request-id': 'id' });
+    assert.deepEqual(PlatformBackEndCodec.write(baseRequest), { 'postdrum-request-id': 'id' });
     for (const leftMicroseconds of [-5, 0, 1, 999])
-      assert.equal(PlatformBackEndWords.write({ ...baseRequest, leftMicroseconds })['postdrum-deadline-ms'], '1');
+      assert.equal(PlatformBackEndCodec.write({ ...baseRequest, leftMicroseconds })['postdrum-deadline-ms'], '1');
   });
 
   test('interprets the heads of responses', () => {
     const read = (status: number, headers: Readonly<Record<string, string>>): readonly unknown[] => {
-      const { notRun, weights, bootEpoch } = PlatformBackEndWords.read({ status, headers, framed: true }, 'm', 'i-1');
+      const { notRun, weights, bootEpoch } = PlatformBackEndCodec.read({ status, headers, framed: true }, 'm', 'i-1');
       return [notRun, weights, bootEpoch];
     };
     assert.deepEqual(read(200, { 'postdrum-weight-versions': '3' }), [undefined, '3', undefined]);
@@ -245,7 +247,7 @@
     assert.equal(read(421, { 'postdrum-not-run': '1', 'postdrum-instance': 'i-1' })[0], 'otherWeights');
     assert.equal(read(421, { 'postdrum-weight-versions': '2' })[0], 'otherWeights');
     assert.equal(read(421, {})[0], 'otherInstance');
-    const stream = PlatformBackEndWords.read(
+    const stream = PlatformBackEndCodec.read(
       {
         status: 200,
         headers: {
--- a/tests/platform-settings.test.ts
+++ b/tests/platform-settings.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { stringify } from 'yaml';
-import { PlatformKeeperSettings } from '../platform/settings/keeperSettings';
+import { PlatformControlNodeSettings } from '../platform/settings/controlNodeSettings';
 import { MachineAddresses } from '../platform/settings/machineAddresses';
 import { PlatformSettings } from '../platform/settings/platformSettings';
 import { World } from '../source/fleet-simulator/world/world';
-import { SettingsWatch } from '../source/shared/settings/settingsWatch';
+import { SettingsWatcher } from '../source/shared/settings/settingsWatcher';
 
 const file = {
   nodeName: 'core-a-1',
@@ -38,7 +38,7 @@
     if (found.kind !== 'read') return;
     const { settings } = found;
     assert.deepEqual(
-      [settings.name, settings.operatorsAddress, settings.callersAddress, settings.folder, settings.isFirstStart],
+      [settings.name, settings.operatorsAddress, settings.clientsAddress, settings.dataFolder, settings.isFirstStart],
       ['core-a-1', '10.1.0.39:8169', '', '/data/core-keeper', true],
     );
     assert.deepEqual(settings.ports, { first: 7640, last: 7655 });
@@ -50,10 +50,10 @@
   });
 
   test('determines the number of members and whether a control node may join', () => {
-    const of = (change: Readonly<Record<string, unknown>>): ReturnType<typeof PlatformKeeperSettings.of> => {
+    const of = (change: Readonly<Record<string, unknown>>): ReturnType<typeof PlatformControlNodeSettings.of> => {
       const found = read(change);
       if (found.kind !== 'read') throw new Error(found.sentence);
-      return PlatformKeeperSettings.of(found.settings);
+      return PlatformControlNodeSettings.of(found.settings);
     };
     assert.equal(of({}).membersWanted, 5);
     assert.equal(of({ tolerate: { machines: 0, zones: 0, regions: 0 } }).membersWanted, 3);
@@ -89,7 +89,7 @@
   let text = 'good 1';
   const messages: string[] = [];
   const applied: string[] = [];
-  const watch = new SettingsWatch<string>(
+  const watch = new SettingsWatcher<string>(
     world.clock,
     {
       text: () => text,
@@ -98,13 +98,13 @@
     },
     (sentence) => messages.push(sentence),
   ).start();
-  watch.news.on('changed', (value) => void applied.push(value));
+  watch.events.on('changed', (value) => void applied.push(value));
   await world.runFor(10_000_000);
   text = 'half';
   await world.runFor(10_000_000);
   text = 'good 2';
   // A signal checks the file at once, and the next regular check finds no further change.
-  await watch.look();
+  await watch.check();
   await world.runFor(10_000_000);
   watch.stop();
   text = 'good 3';
--- a/tests/policies.test.ts
+++ b/tests/policies.test.ts
@@ -7,12 +7,16 @@
 import { LeaseVoter } from '../source/core-keeper/leases/leaseVoter';
 import { ReplicaCore } from '../source/core-keeper/register/replicaCore';
 import { WriteAheadLog } from '../source/core-keeper/write-ahead-log/writeAheadLog';
-import { Shares, type ClassLoad } from '../source/edge-proxy/holding/shares';
-import { TakeDesk, type Room, type TakeOrder } from '../source/edge-proxy/holding/takeDesk';
+import { ClassShares, type ClassLoad } from '../source/edge-proxy/admission/classShares';
+import {
+  AdmissionQueue,
+  type CapacityView,
+  type AdmissionRequest,
+} from '../source/edge-proxy/admission/admissionQueue';
 import { Placements, type ScoredCandidate } from '../source/edge-proxy/placement/placements';
-import { RetryBudget, type BudgetSettings } from '../source/edge-proxy/sends/retryBudget';
-import { FinalEvent, SendStates } from '../source/edge-proxy/sends/sendState';
-import { LinkSpeeds } from '../source/edge-proxy/fetch/linkSpeeds';
+import { RetryBudget, type RetryBudgetSettings } from '../source/edge-proxy/attempts/retryBudget';
+import { FinalEventDetector, AttemptStates } from '../source/edge-proxy/attempts/attemptState';
+import { LinkSpeeds } from '../source/edge-proxy/cache-imports/linkSpeeds';
 import { SimDisk } from '../source/fleet-simulator/world/simDisk';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import { World } from '../source/fleet-simulator/world/world';
@@ -20,13 +24,13 @@
 import { Freshness, type Statement } from '../source/shared/freshness/freshness';
 import { Refusals } from '../source/shared/verdict/verdict';
 import { Metrics } from '../source/shared/metrics/metrics';
-import { FactBook } from '../source/shared/news/facts';
-import type { EngineFact } from '../source/shared/news/factTypes';
+import { GossipStore } from '../source/shared/gossip/gossipStore';
+import type { EngineEntry } from '../source/shared/gossip/entryTypes';
 import { Rendezvous } from '../source/shared/rendezvous/rendezvous';
-import { WeightsClocks } from '../source/shared/weights/weightsClocks';
+import { WeightsDeadlines } from '../source/shared/weights/weightsDeadlines';
 import { Digests } from '../source/core-keeper/register/changes';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
-import type { ServiceClass } from '../source/shared/blueprint/types';
+import type { ServiceClass } from '../source/shared/configuration/types';
 
 const settings = { numRuns: Number(process.env['POSTDRUM_TEST_RUNS'] ?? 100), seed: 4711 };
 
@@ -43,7 +47,7 @@
 test('class shares: capacity is never exceeded, a class below its share is never blocked while a place is free, best rank first', () => {
   fc.assert(
     fc.property(fc.nat(24), loads, (capacity, classes) => {
-      const eligible = Shares.eligible(capacity, classes);
+      const eligible = ClassShares.eligibleClasses(capacity, classes);
       const total = classes.reduce((sum, { running }) => sum + running, 0);
       if (total >= capacity) assert.deepEqual(eligible, []);
       else for (const item of classes) if (item.running < item.entitled) assert.ok(eligible.includes(item.name));
@@ -62,34 +66,34 @@
     { name: 'busy', rank: 0, entitled: 5, lends: true, running: 5, queued: 3 },
     { name: 'idle', rank: 1, entitled: 5, lends, running: 0, queued },
   ];
-  assert.deepEqual(Shares.eligible(10, classes(true, 0)), ['busy', 'idle']);
-  assert.deepEqual(Shares.eligible(10, classes(false, 0)), ['idle']);
-  assert.deepEqual(Shares.eligible(10, classes(true, 1)), ['idle']);
+  assert.deepEqual(ClassShares.eligibleClasses(10, classes(true, 0)), ['busy', 'idle']);
+  assert.deepEqual(ClassShares.eligibleClasses(10, classes(false, 0)), ['idle']);
+  assert.deepEqual(ClassShares.eligibleClasses(10, classes(true, 1)), ['idle']);
 });
 
 const queueOf = (
   world: World,
   capacity: number,
   classes: Readonly<Record<string, ServiceClass>>,
-  room: Partial<Room> = {},
-): TakeDesk =>
-  new TakeDesk(
+  room: Partial<CapacityView> = {},
+): AdmissionQueue =>
+  new AdmissionQueue(
     world.clock,
     { capacity: () => capacity, free: () => capacity, otherLoads: () => [], proxies: () => 1, ...room },
     () => classes,
     (service, name) => `${service}/${name}`,
     new Metrics(),
   );
-const admissionRequest = (world: World, tenant: string, more: Partial<TakeOrder> = {}): TakeOrder => ({
+const admissionRequest = (world: World, tenant: string, more: Partial<AdmissionRequest> = {}): AdmissionRequest => ({
   service: 's',
   className: 'c',
   tenant,
   arrivedMicroseconds: world.nowMicroseconds,
-  turnKept: false,
-  whenGone: () => undefined,
-  stillStands: () => ({ kind: 'stands' }),
-  mayStart: () => true,
-  hopeless: () => undefined,
+  keepsQueuePosition: false,
+  onClientGone: () => undefined,
+  revalidate: () => ({ kind: 'stands' }),
+  tryStart: () => true,
+  refusalIfTooLate: () => undefined,
   ...more,
 });
 const oneClass: ServiceClass = {
@@ -106,7 +110,7 @@
   const admitted: string[] = [];
   const releases: (() => void)[] = [];
   for (const tenant of ['big', 'big', 'big', 'big', 'small']) {
-    void queue.take(admissionRequest(world, tenant)).then((taken) => {
+    void queue.admit(admissionRequest(world, tenant)).then((taken) => {
       if (taken.kind !== 'taken') return;
       admitted.push(tenant);
       releases.push(taken.release);
@@ -127,9 +131,9 @@
   let disconnect: () => void = () => undefined;
   for (let number = 0; number < 7; number += 1) {
     void queue
-      .take(
+      .admit(
         admissionRequest(world, 't', {
-          whenGone: (act) => {
+          onClientGone: (act) => {
             if (number === 0) disconnect = act;
           },
         }),
@@ -150,7 +154,7 @@
   await world.runFor(1_100_000);
   assert.equal(codes.length, 7);
   assert.ok(codes.slice(2).every((code) => code.startsWith('holdingLimit notRun')));
-  assert.equal(queue.heldCount(), 0);
+  assert.equal(queue.queuedCount(), 0);
 });
 
 test('admission: a request that returns from a busy engine is served first', async () => {
@@ -159,7 +163,7 @@
   const admitted: string[] = [];
   let release: () => void = () => undefined;
   const take = (name: string, tenant: string, turnKept: boolean): void =>
-    void queue.take(admissionRequest(world, tenant, { turnKept })).then((taken) => {
+    void queue.admit(admissionRequest(world, tenant, { keepsQueuePosition: turnKept })).then((taken) => {
       admitted.push(`${name} ${taken.kind}`);
       if (taken.kind === 'taken') release = taken.release;
     });
@@ -178,15 +182,15 @@
   const queue = queueOf(world, 0, { c: oneClass });
   await world.runFor(5_000_000);
   const ends: string[] = [];
-  const admit = (name: string, order: Partial<TakeOrder>): void =>
-    void queue.take(admissionRequest(world, 't', order)).then((taken) => ends.push(`${name} ${taken.kind}`));
-  admit('late', { arrivedMicroseconds: world.nowMicroseconds - 900_000, turnKept: true });
-  admit('moved', { stillStands: () => ({ kind: 'moved' }) });
+  const admit = (name: string, order: Partial<AdmissionRequest>): void =>
+    void queue.admit(admissionRequest(world, 't', order)).then((taken) => ends.push(`${name} ${taken.kind}`));
+  admit('late', { arrivedMicroseconds: world.nowMicroseconds - 900_000, keepsQueuePosition: true });
+  admit('moved', { revalidate: () => ({ kind: 'moved' }) });
   const refusal = Refusals.make(401, 'notRun', 'keyRemoved', 'gone');
-  admit('removed', { stillStands: () => ({ kind: 'refuse', refusal }) });
+  admit('removed', { revalidate: () => ({ kind: 'refuse', refusal }) });
   await world.runFor(50_000);
   assert.deepEqual(ends, []);
-  queue.recheck();
+  queue.revalidateQueued();
   await world.runFor(1000);
   assert.deepEqual(ends, ['moved moved', 'removed refuse']);
   await world.runFor(60_000);
@@ -200,15 +204,15 @@
   const refused: number[] = [];
   // At one request per 100 ms, about ten of those that arrive at once can be served within a second.
   for (let turn = 0; turn < 6; turn += 1) {
-    const taken = await queue.take(admissionRequest(world, 't'));
+    const taken = await queue.admit(admissionRequest(world, 't'));
     await world.runFor(100_000);
     if (taken.kind === 'taken') taken.release();
   }
   for (let number = 0; number < 30; number += 1)
-    void queue.take(admissionRequest(world, 't')).then((taken) => {
+    void queue.admit(admissionRequest(world, 't')).then((taken) => {
       if (taken.kind === 'refuse' && taken.refusal.code === 'holdingFull')
         refused.push(taken.refusal.retryAfterSeconds ?? 0);
-      if (taken.kind === 'taken') world.plan(100_000, taken.release);
+      if (taken.kind === 'taken') world.schedule(100_000, taken.release);
     });
   await world.runFor(1000);
   assert.ok(refused.length >= 15 && refused.length <= 22, `${refused.length} refused at once`);
@@ -224,10 +228,10 @@
     { c: { ...oneClass, holdingMost: 100 } },
     { otherLoads: () => others, free: () => 2 },
   );
-  for (let number = 0; number < 10; number += 1) void queue.take(admissionRequest(world, 't'));
+  for (let number = 0; number < 10; number += 1) void queue.admit(admissionRequest(world, 't'));
   // This proxy has ten of forty requests, so it gets two of eight places.
   assert.equal(queue.runningCount(), 2);
-  assert.equal(queue.heldCount(), 8);
+  assert.equal(queue.queuedCount(), 8);
 });
 
 test('retry budget: in every window of time nine proxies together stay within a fifth of first attempts plus the allowance', async () => {
@@ -236,11 +240,11 @@
     fc.asyncProperty(fc.array(step, { maxLength: 600 }), async (steps) => {
       const world = new World(3);
       const seen = Array.from({ length: 9 }, () => 9);
-      const budgetSettings: BudgetSettings = {
+      const budgetSettings: RetryBudgetSettings = {
         perMille: 200,
         fleetAllowance: 18,
-        allowanceMicroseconds: 10_000_000,
-        leastDaemons: 9,
+        allowanceIntervalMicroseconds: 10_000_000,
+        minProxies: 9,
       };
       const make = (proxy: number): RetryBudget => new RetryBudget(world.clock, () => seen[proxy] ?? 1, budgetSettings);
       const budgets = seen.map((_, proxy) => make(proxy));
@@ -254,9 +258,9 @@
           await world.runFor(400_000);
           sum = Math.max(0, sum - 18 * 0.04);
         } else if (act === 'first') {
-          budgets[proxy]?.first();
+          budgets[proxy]?.recordFirstAttempt();
           sum = Math.max(0, sum - 0.2);
-        } else if (budgets[proxy]?.spend() === true) sum += 1;
+        } else if (budgets[proxy]?.trySpend() === true) sum += 1;
         maxSum = Math.max(maxSum, sum);
       }
       assert.ok(maxSum <= 18 + 1e-6, `${maxSum} above a fifth in some window`);
@@ -270,32 +274,32 @@
   const budget = new RetryBudget(world.clock, () => 9, {
     perMille: 200,
     fleetAllowance: 18,
-    allowanceMicroseconds: 10_000_000,
-    leastDaemons: 9,
+    allowanceIntervalMicroseconds: 10_000_000,
+    minProxies: 9,
   });
-  assert.equal(budget.mayHope(1_000_000), false);
+  assert.equal(budget.canExpectAnotherRetry(1_000_000), false);
   for (let number = 0; number < 20; number += 1) {
     await world.runFor(100_000);
-    budget.first();
+    budget.recordFirstAttempt();
   }
-  while (budget.spend());
+  while (budget.trySpend());
   // Ten first attempts per second earn two retries, and the allowance a fifth of one: in one second two requests may
   // expect a retry, but not three.
   const over = new Promise<void>(() => undefined);
-  void budget.waitingFor(over);
-  assert.equal(budget.mayHope(1_000_000), true);
-  void budget.waitingFor(over);
-  assert.equal(budget.mayHope(1_000_000), false);
+  void budget.countWaiting(over);
+  assert.equal(budget.canExpectAnotherRetry(1_000_000), true);
+  void budget.countWaiting(over);
+  assert.equal(budget.canExpectAnotherRetry(1_000_000), false);
 });
 
 test('attempts: an unframed response is complete only with its final event, and no event changes an ended attempt', () => {
-  const head = SendStates.step(SendStates.start, { kind: 'head', status: 200, framed: false });
-  const part = SendStates.step(head, { kind: 'part', hasFinal: false });
-  assert.deepEqual(SendStates.step(part, { kind: 'end' }), { kind: 'over', how: 'cut' });
-  const final = SendStates.step(part, { kind: 'part', hasFinal: true });
-  const over = SendStates.step(final, { kind: 'end' });
+  const head = AttemptStates.next(AttemptStates.initial, { kind: 'head', status: 200, framed: false });
+  const part = AttemptStates.next(head, { kind: 'part', hasFinal: false });
+  assert.deepEqual(AttemptStates.next(part, { kind: 'end' }), { kind: 'over', how: 'cut' });
+  const final = AttemptStates.next(part, { kind: 'part', hasFinal: true });
+  const over = AttemptStates.next(final, { kind: 'end' });
   assert.deepEqual(over, { kind: 'over', how: 'whole' });
-  assert.equal(SendStates.step(over, { kind: 'failed' }), over);
+  assert.equal(AttemptStates.next(over, { kind: 'failed' }), over);
 });
 
 test('final event: it is found however the bytes are split, but not when more follows', () => {
@@ -305,11 +309,11 @@
       const places = [...new Set([0, ...cuts.map((cut) => cut % text.length), text.length])].sort(
         (left, right) => left - right,
       );
-      const final = new FinalEvent();
+      const final = new FinalEventDetector();
       let last = false;
       let seen = false;
       for (let index = 1; index < places.length; index += 1) {
-        last = final.see(Buffer.from(text.slice(places[index - 1], places[index])));
+        last = final.endsWithFinalEvent(Buffer.from(text.slice(places[index - 1], places[index])));
         seen ||= last;
       }
       if (!more) assert.ok(seen);
@@ -320,7 +324,7 @@
 
 test('weights: about half of a pool keeps serving until the other half has loaded or time is short', () => {
   const engines = ['e1', 'e2', 'e3', 'e4', 'e5'];
-  const fact = (engine: string, weights: string): EngineFact => ({
+  const fact = (engine: string, weights: string): EngineEntry => ({
     engine,
     kind: 'engine',
     address: '',
@@ -332,7 +336,7 @@
     changing: false,
     reachable: true,
   });
-  const pool = (done: readonly string[]): Record<string, EngineFact> =>
+  const pool = (done: readonly string[]): Record<string, EngineEntry> =>
     Object.fromEntries(engines.map((engine) => [engine, fact(engine, done.includes(engine) ? 'new' : 'old')]));
   const since = { weights: 'new', previous: 'old', sinceMicroseconds: 0 };
   const first = WeightsPlans.firstRound('s', 'new', engines);
@@ -347,8 +351,8 @@
     [...kinds(first, 1000)].sort(),
     engines.filter((engine) => !first.includes(engine)),
   );
-  assert.equal(kinds([], WeightsClocks.secondRoundMicroseconds).length, 5);
-  const late = WeightsPlans.step('e1', since, 'old', pool([]), 's', WeightsClocks.drainUntilMicroseconds + 1);
+  assert.equal(kinds([], WeightsDeadlines.secondRoundMicroseconds).length, 5);
+  const late = WeightsPlans.step('e1', since, 'old', pool([]), 's', WeightsDeadlines.drainUntilMicroseconds + 1);
   assert.deepEqual(late, { kind: 'load', drainMicroseconds: 0 });
   assert.deepEqual(WeightsPlans.step('e1', { ...since, sinceMicroseconds: null }, 'old', pool([]), 's', 5), {
     kind: 'load',
@@ -400,11 +404,11 @@
 
 test('link speeds: one slow import raises the cost of a pair at once, and the cost decays to the default', () => {
   const speeds = new LinkSpeeds(1500, 10);
-  speeds.measured('a', 'b', 1000);
-  speeds.measured('a', 'b', 100_000);
+  speeds.addMeasurement('a', 'b', 1000);
+  speeds.addMeasurement('a', 'b', 100_000);
   assert.ok(speeds.blockMicroseconds('a', 'b') > 50_000);
   assert.equal(speeds.blockMicroseconds('b', 'a'), 1500);
-  for (let turn = 0; turn < 400; turn += 1) speeds.fade();
+  for (let turn = 0; turn < 400; turn += 1) speeds.decay();
   assert.equal(speeds.blockMicroseconds('a', 'b'), 1500);
 });
 
@@ -429,11 +433,11 @@
   const fact = fc.record({ key: fc.constantFrom('a', 'b', 'c', 'd'), version: fc.tuple(fc.nat(3), fc.nat(3)) });
   fc.assert(
     fc.property(fc.array(fact), fc.array(fact), (left, right) => {
-      const [one, two] = [new FactBook(), new FactBook()];
+      const [one, two] = [new GossipStore(), new GossipStore()];
       for (const item of left) one.put({ ...item, value: `${item.key}${item.version.join()}` });
       for (const item of right) two.put({ ...item, value: `${item.key}${item.version.join()}` });
-      for (const item of one.newerThan(two.digest())) two.put(item);
-      for (const item of two.newerThan(one.digest())) one.put(item);
+      for (const item of one.entriesNewerThan(two.digest())) two.put(item);
+      for (const item of two.entriesNewerThan(one.digest())) one.put(item);
       assert.equal(one.sum(), two.sum());
       assert.deepEqual(one.digest(), two.digest());
     }),
@@ -441,7 +445,7 @@
   );
 });
 
-const text = JSON.stringify(SimBlueprints.first());
+const text = JSON.stringify(SimBlueprints.initial());
 const statement = (revision: number, ageMicroseconds: number): Statement => ({
   key: 'blueprint',
   revision,
@@ -473,9 +477,9 @@
         let newestLook = -Infinity;
         for (const { revision, age, wait, body } of steps) {
           now += wait;
-          freshness.hear(statement(revision, age), now);
+          freshness.applyStatement(statement(revision, age), now);
           if (body)
-            freshness.give({
+            freshness.applyBody({
               key: 'blueprint',
               revision,
               digest: Digests.of(`${text}${' '.repeat(revision)}`),
@@ -553,7 +557,7 @@
 test('leases: one holder while a lease runs, increasing terms, and no grant from a control node that has just restarted', async () => {
   const world = new World(9);
   const process = new SimProcess(world, 'k', '10.0.0.1');
-  const ledger = new WriteAheadLog(new SimDisk(world).of(process), world.clock, () => undefined, 1_000_000);
+  const ledger = new WriteAheadLog(new SimDisk(world).diskFor(process), world.clock, () => undefined, 1_000_000);
   const settle = async <Result>(work: Promise<Result>): Promise<Result> => {
     const box: Result[] = [];
     void work.then((result) => box.push(result));
@@ -611,7 +615,7 @@
 });
 
 test('members: the known and probed members follow each update about a member and no other facts', () => {
-  const book = new FactBook();
+  const book = new GossipStore();
   const own = { name: 'a', zone: 'z1', address: 'a:1', proxyAddress: '', pagesAddress: '', boot: 'b' };
   const clock = { nowMicroseconds: () => 0, steadyMicroseconds: () => 0, after: () => () => undefined };
   const bounds = { colleagues: 2, watchers: 2, goneMicroseconds: 1, forgetMicroseconds: 1 };
--- a/tests/previous-weights.test.ts
+++ b/tests/previous-weights.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { WeightsAges } from '../source/core-keeper/register/weightsAges';
-import { ownDialect } from '../source/shared/blueprint/dialect';
+import { nativeConfigurationFormat } from '../source/shared/configuration/configurationFormat';
 import { SimBlueprints } from '../source/fleet-simulator/machines/simFleet';
 import { StalenessGuard } from '../source/edge-proxy/identification/stalenessGuard';
 import { Digests } from '../source/core-keeper/register/changes';
 import { Freshness, type Statement } from '../source/shared/freshness/freshness';
 import { MajorityReads, type StatementsAnswer } from '../source/shared/register/majorityRead';
 import { Epochs, type Entry, type WeightsAge } from '../source/shared/register/types';
-import { handClock } from './support/handClock';
+import { timerlessClock } from './support/timerlessClock';
 
 const epoch = { ...Epochs.none, counter: 1 } as typeof Epochs.none;
 
@@ -46,10 +46,10 @@
 });
 
 test('engines on the previous weights stay in use until the limit although one statement does not name them', () => {
-  const clock = handClock();
+  const clock = timerlessClock();
   const freshness = new Freshness(clock);
   const fence = new StalenessGuard(freshness, clock, Infinity, 8_000_000);
-  const text = JSON.stringify(SimBlueprints.first('w2'));
+  const text = JSON.stringify(SimBlueprints.initial('w2'));
   const digest = Digests.of(text);
   const statement = (previous: string | null, ageMicroseconds: number): Statement => ({
     key: 'blueprint',
@@ -59,10 +59,12 @@
     weights: { pool: { weights: 'w2', previous, ageMicroseconds } },
   });
   clock.now = 5_000_000;
-  freshness.hear(statement('w1', 300_000), clock.now);
-  assert.ok(freshness.give({ key: 'blueprint', revision: 2, digest, text } as Parameters<Freshness['give']>[0]));
+  freshness.applyStatement(statement('w1', 300_000), clock.now);
+  assert.ok(
+    freshness.applyBody({ key: 'blueprint', revision: 2, digest, text } as Parameters<Freshness['applyBody']>[0]),
+  );
   assert.equal(fence.weights('pool', 'w1'), 'untilChanged');
-  freshness.hear(statement(null, 900_000), clock.now);
+  freshness.applyStatement(statement(null, 900_000), clock.now);
   assert.equal(
     fence.weights('pool', 'w1'),
     'untilChanged',
@@ -73,10 +75,10 @@
 });
 
 test('a control node with restored state knows the previous weights after the next change', () => {
-  const clock = handClock();
-  const ages = new WeightsAges(clock, ownDialect);
+  const clock = timerlessClock();
+  const ages = new WeightsAges(clock, nativeConfigurationFormat);
   const entry = (weights: string): Entry => {
-    const text = JSON.stringify(SimBlueprints.first(weights));
+    const text = JSON.stringify(SimBlueprints.initial(weights));
     return { text, digest: Digests.of(text), revision: 1 } as Entry;
   };
   ages.restored(entry('w1'));
@@ -86,11 +88,11 @@
 });
 
 test('a statement without weights does not erase the weights that its receiver knows', () => {
-  const clock = handClock();
+  const clock = timerlessClock();
   const freshness = new Freshness(clock);
   const fence = new StalenessGuard(freshness, clock, Infinity, 8_000_000);
   const texts = ['one', 'two'].map((path) => {
-    const first = SimBlueprints.first('w2');
+    const first = SimBlueprints.initial('w2');
     const route = first.mappings['slip'];
     assert.ok(route !== undefined);
     return JSON.stringify({ ...first, mappings: { ...first.mappings, more: { ...route, path: `/${path}` } } });
@@ -98,8 +100,8 @@
   const hear = (revision: number, weights: Statement['weights']): void => {
     const text = texts[revision - 1] ?? '';
     const digest = Digests.of(text);
-    freshness.hear({ key: 'blueprint', revision, digest, ageMicroseconds: 0, weights }, clock.now);
-    freshness.give({ key: 'blueprint', revision, digest, text });
+    freshness.applyStatement({ key: 'blueprint', revision, digest, ageMicroseconds: 0, weights }, clock.now);
+    freshness.applyBody({ key: 'blueprint', revision, digest, text });
   };
   hear(1, { pool: { weights: 'w2', previous: 'w1', ageMicroseconds: 300_000 } });
   assert.equal(fence.weights('pool', 'w1'), 'untilChanged');
--- a/tests/prompt-part-placement.test.ts
+++ b/tests/prompt-part-placement.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { WorkDesk } from '../source/edge-agent/desk/workDesk';
+import { RequestScheduler } from '../source/edge-agent/scheduler/requestScheduler';
 import { TrafficShares } from '../source/edge-proxy/identification/trafficShares';
 import {
   PlacementCosts,
@@ -9,16 +9,20 @@
   type PlacementOffer,
 } from '../source/edge-proxy/placement/placementCosts';
 import { ReservedEngines, ReservedEngineSettings } from '../source/edge-proxy/placement/reservedEngines';
-import { WeightsRounds } from '../source/shared/weights/weightsRounds';
+import { WeightsRollout } from '../source/shared/weights/weightsRollout';
 import { EngineWork } from '../source/edge-proxy/placement/engineWork';
 import { PrefillSpeeds } from '../source/edge-proxy/placement/prefillSpeeds';
-import { WholeEvents } from '../source/edge-proxy/sends/wholeEvents';
+import { ServerSentEventBuffer } from '../source/edge-proxy/attempts/serverSentEventBuffer';
 import { World } from '../source/fleet-simulator/world/world';
-import type { Mapping } from '../source/shared/blueprint/types';
-import { DeskMessages, type DeskOffer, type DeskWord } from '../source/shared/desk/messages';
+import type { Route } from '../source/shared/configuration/types';
+import {
+  SchedulerMessages,
+  type SchedulerOffer,
+  type SchedulerDecision,
+} from '../source/shared/scheduler/schedulerMessages';
 import { PromptParts } from '../source/shared/directory/promptParts';
 import { seededRandom } from '../source/shared/effects/random/random';
-import { handClock } from './support/handClock';
+import { timerlessClock } from './support/timerlessClock';
 import { pool } from './support/pool';
 
 const eventText = fc.record({ id: fc.nat(999), data: fc.stringMatching(/^[a-z ]{0,20}$/) });
@@ -32,12 +36,12 @@
       (events, sizes, line) => {
         const texts = events.map(({ id, data }) => `id: ${id}${line}data: ${data}${line}${line}`);
         const bytes = Buffer.from(texts.join(''));
-        const whole = new WholeEvents();
+        const whole = new ServerSentEventBuffer();
         const passed: Buffer[] = [];
         let at = 0;
         for (let turn = 0; at < bytes.length; turn += 1) {
           const size = sizes[turn % sizes.length] ?? 1;
-          const piece = whole.feed(bytes.subarray(at, at + size));
+          const piece = whole.append(bytes.subarray(at, at + size));
           at += size;
           if (piece === undefined) continue;
           passed.push(piece);
@@ -54,17 +58,17 @@
 });
 
 test('an incomplete event is buffered, and its id is not the last id', () => {
-  const whole = new WholeEvents();
-  assert.equal(whole.feed(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n'))?.toString(), 'id: 1\ndata: a\n\n');
+  const whole = new ServerSentEventBuffer();
+  assert.equal(whole.append(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n'))?.toString(), 'id: 1\ndata: a\n\n');
   assert.equal(whole.lastId, '1');
   assert.equal(whole.flush()?.toString(), 'id: 2\ndata: b\n');
 });
 
 test('an event that exceeds the buffer is passed on, and the stream cannot be resumed after it', () => {
-  const whole = new WholeEvents();
-  assert.equal(whole.feed(Buffer.from('id: 1\ndata: a\n\n'))?.length, 15);
+  const whole = new ServerSentEventBuffer();
+  assert.equal(whole.append(Buffer.from('id: 1\ndata: a\n\n'))?.length, 15);
   let passed = 0;
-  for (let turn = 0; turn < 20; turn += 1) passed += whole.feed(Buffer.alloc(100_000, 0x61))?.length ?? 0;
+  for (let turn = 0; turn < 20; turn += 1) passed += whole.append(Buffer.alloc(100_000, 0x61))?.length ?? 0;
   assert.ok(passed > 1_000_000);
   assert.equal(whole.lastId, undefined);
 });
@@ -82,7 +86,7 @@
 });
 
 test('a part that is being prefilled counts as cached until its request fails or the engine restarts', () => {
-  const clock = handClock();
+  const clock = timerlessClock();
   const work = new EngineWork(clock, { recentMicroseconds: 1000 });
   const names = ['s/a', 's/b', 's/own'];
   work.recordSendStart('e', 'boot1', { order: 'o', tokensToPrefill: 900, tokens: 1000, fills: ['s/a', 's/b'] });
@@ -190,7 +194,7 @@
     long: number,
     headroomPerMille = ReservedEngineSettings.usual.headroomPerMille,
   ): ReadonlySet<string> => {
-    const lanes = new ReservedEngines(handClock(), { ...ReservedEngineSettings.usual, headroomPerMille });
+    const lanes = new ReservedEngines(timerlessClock(), { ...ReservedEngineSettings.usual, headroomPerMille });
     for (let turn = 0; turn < short; turn += 1) lanes.recordPlacement('s', 5000, 10, 20, true);
     for (let turn = 0; turn < long; turn += 1) lanes.recordPlacement('s', 200_000, 10, 20, false);
     return lanes.of('s', engines);
@@ -212,7 +216,7 @@
   fc.assert(
     fc.property(orders, (seen) => {
       const proxies = seen.map(([short, long]) => {
-        const lanes = new ReservedEngines(handClock(), ReservedEngineSettings.usual);
+        const lanes = new ReservedEngines(timerlessClock(), ReservedEngineSettings.usual);
         for (let turn = 0; turn < short; turn += 1) lanes.recordPlacement('s', 10_000, 0, 20, true);
         for (let turn = 0; turn < long; turn += 1) lanes.recordPlacement('s', 200_000, 0, 20, false);
         return lanes;
@@ -234,12 +238,12 @@
 
 test('engines of the current and the next round count as changing soon until they have changed', () => {
   const names = Array.from({ length: 42 }, (_, index) => `engine-${index}`);
-  const order = WeightsRounds.order('s', 'w2', names);
-  const width = WeightsRounds.width(names.length);
+  const order = WeightsRollout.order('s', 'w2', names);
+  const width = WeightsRollout.roundSize(names.length);
   fc.assert(
     fc.property(fc.uniqueArray(fc.nat(41)), (places) => {
       const changed = new Set(places.map((place) => order[place]));
-      const soon = WeightsRounds.soon(order, (name) => changed.has(name));
+      const soon = WeightsRollout.upcomingEngines(order, (name) => changed.has(name));
       assert.ok(soon.every((name) => !changed.has(name)) && soon.length <= 2 * width);
       const first = order.find((name) => !changed.has(name));
       assert.equal(first === undefined, soon.length === 0);
@@ -248,7 +252,7 @@
     { seed: 10 },
   );
   assert.deepEqual(
-    WeightsRounds.soon(order, () => false),
+    WeightsRollout.upcomingEngines(order, () => false),
     order.slice(0, 2 * width),
   );
 });
@@ -305,7 +309,7 @@
 });
 
 test('a mix decays until it is no longer sent', () => {
-  const clock = handClock();
+  const clock = timerlessClock();
   const lanes = new ReservedEngines(clock, ReservedEngineSettings.usual);
   lanes.recordPlacement('s', 200_000, 0, 20, false);
   assert.deepEqual(lanes.mixes(), { s: [0, 20] });
@@ -313,12 +317,12 @@
   assert.deepEqual(lanes.mixes(), {});
 });
 
-const startScheduler = (): Readonly<{ clock: ReturnType<typeof handClock>; desk: WorkDesk }> => {
-  const clock = handClock();
-  return { clock, desk: new WorkDesk(clock) };
+const startScheduler = (): Readonly<{ clock: ReturnType<typeof timerlessClock>; desk: RequestScheduler }> => {
+  const clock = timerlessClock();
+  return { clock, desk: new RequestScheduler(clock) };
 };
-const offers = (names: string, read = 200_000, rest = 50_000, move = 20_000): readonly DeskOffer[] =>
-  [...names].map((name): DeskOffer => [name, 0, read, rest, move]);
+const offers = (names: string, read = 200_000, rest = 50_000, move = 20_000): readonly SchedulerOffer[] =>
+  [...names].map((name): SchedulerOffer => [name, 0, read, rest, move]);
 
 test('the scheduler gives long requests to idle engines, one after the other', () => {
   const { clock, desk: scheduler } = startScheduler();
@@ -353,8 +357,9 @@
 
 test('a request waits while another one prefills the shared prefix, but no longer than that should take', async () => {
   const world = new World(1);
-  const scheduler = new WorkDesk(world.clock);
-  const reserve = (order: string, prefix = 'p'): DeskWord => scheduler.reserve({ order, prefix, offers: offers('ab') });
+  const scheduler = new RequestScheduler(world.clock);
+  const reserve = (order: string, prefix = 'p'): SchedulerDecision =>
+    scheduler.reserve({ order, prefix, offers: offers('ab') });
   const ended: string[] = [];
   const waits = (name: string, prefix = 'p'): void => void scheduler.read(prefix).then(() => ended.push(name));
   assert.equal(reserve('o').waitMicroseconds, undefined, 'the first request prefills');
@@ -381,7 +386,7 @@
   assert.equal(ended.at(-1), 'failed', 'a failed prefill delays no request either');
   reserve('t', 't');
   waits('gone', 't');
-  scheduler.keepOnly([]);
+  scheduler.retainEngines([]);
   await world.runFor(1_000);
   assert.equal(ended.at(-1), 'gone');
 });
@@ -395,20 +400,20 @@
   clock.now = 60_000_000;
   assert.equal(scheduler.waitMicroseconds('b'), 0);
   assert.equal(scheduler.reserve({ order: 'y', prefix: 'p', offers: offers('c') }).joined, false);
-  scheduler.keepOnly(['d']);
+  scheduler.retainEngines(['d']);
   assert.equal(scheduler.waitMicroseconds('c'), 0);
 });
 
 test('arbitrary JSON is neither a valid scheduler request nor a valid scheduler answer', () => {
   fc.assert(
     fc.property(fc.jsonValue(), (value) => {
-      assert.equal(DeskMessages.isOrder(value), false);
-      assert.equal(DeskMessages.isWord(value), false);
+      assert.equal(SchedulerMessages.isRequest(value), false);
+      assert.equal(SchedulerMessages.isDecision(value), false);
     }),
     { seed: 5, numRuns: 300 },
   );
-  assert.ok(DeskMessages.isOrder({ order: 'o', prefix: '', offers: offers('a') }));
-  assert.ok(!DeskMessages.isOrder({ order: 'o', prefix: '', offers: [['a', 0, 0, 0, Number.NaN]] }));
+  assert.ok(SchedulerMessages.isRequest({ order: 'o', prefix: '', offers: offers('a') }));
+  assert.ok(!SchedulerMessages.isRequest({ order: 'o', prefix: '', offers: [['a', 0, 0, 0, Number.NaN]] }));
 });
 
 test('prefill speeds follow the measurements, and short prompts are not measured', () => {
@@ -422,7 +427,7 @@
 });
 
 test('a request always gets the same service, and all requests together match the traffic shares', () => {
-  const mapping: Mapping = {
+  const mapping: Route = {
     path: '/p/',
     model: '',
     service: 'a',
