--- a/tests/held-past-timeout.test.ts
+++ b/tests/queued-past-timeout.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { TakeDesk } from '../source/edge-proxy/holding/takeDesk';
-import { TakePolicies } from '../source/edge-proxy/holding/takePolicy';
+import { AdmissionQueue } from '../source/edge-proxy/admission/admissionQueue';
+import { AdmissionPolicies } from '../source/edge-proxy/admission/admissionPolicies';
 import type { RequestIdentifier } from '../source/edge-proxy/identification/requestIdentifier';
 import type { RequestContext, PolicyResult } from '../source/edge-proxy/pipeline/request';
-import type { RetryBudget } from '../source/edge-proxy/sends/retryBudget';
+import type { RetryBudget } from '../source/edge-proxy/attempts/retryBudget';
 import { World } from '../source/fleet-simulator/world/world';
 import { Metrics } from '../source/shared/metrics/metrics';
 
@@ -23,14 +23,14 @@
     holdingMost: 8,
     holdingLimitMicroseconds: classLimitMicroseconds,
   };
-  const queue = new TakeDesk(
+  const queue = new AdmissionQueue(
     world.clock,
     { capacity: () => 0, free: () => 0, otherLoads: () => [], proxies: () => 1 },
     () => ({ c: serviceClass }),
     (service, name) => `${service}/${name}`,
     new Metrics(),
   );
-  const policy = TakePolicies.take(
+  const policy = AdmissionPolicies.take(
     queue,
     { revalidate: () => ({ kind: 'stands' }) } as Partial<RequestIdentifier> as RequestIdentifier,
     () => ({}) as RetryBudget,
--- a/tests/quorum-reader.test.ts
+++ b/tests/quorum-reader.test.ts
@@ -3,7 +3,7 @@
 import { Digests } from '../source/core-keeper/register/changes';
 import { QuorumReader, type ReadOutcome } from '../source/core-keeper/register/quorumReader';
 import { World } from '../source/fleet-simulator/world/world';
-import type { Answer, Message, Transport } from '../source/shared/effects/transport/transport';
+import type { RequestOutcome, Message, Transport } from '../source/shared/effects/transport/transport';
 import type { StatementsAnswer } from '../source/shared/register/majorityRead';
 
 /** What one member has accepted for the configuration; undefined: it does not answer. */
@@ -63,11 +63,11 @@
   };
   const transport: Transport = {
     ask: (address, message, limit) =>
-      new Promise<Answer>((resolve) => {
+      new Promise<RequestOutcome>((resolve) => {
         asked.push(message.kind);
         const answer = answerOf(address, message);
-        if (answer === undefined) world.plan(limit, () => resolve({ kind: 'silent', reason: 'limit passed' }));
-        else world.plan(1_000, () => resolve({ kind: 'answered', message: answer }));
+        if (answer === undefined) world.schedule(limit, () => resolve({ kind: 'silent', reason: 'limit passed' }));
+        else world.schedule(1_000, () => resolve({ kind: 'answered', message: answer }));
       }),
     listen: () => Promise.reject(new Error('this transport does not listen')),
     close: () => Promise.resolve(),
--- a/tests/received-loads.test.ts
+++ b/tests/received-loads.test.ts
@@ -1,11 +1,11 @@
 /** Guards against an undercount of the fleet when a proxy gets load sums from agents that know different numbers of proxies. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { ReceivedLoads } from '../source/edge-proxy/feeding/receivedLoads';
+import { ReceivedLoads } from '../source/edge-proxy/agent-subscription/receivedLoads';
 import { OtherProxies } from '../source/edge-proxy/placement/otherProxies';
 import type { LoadUpdate } from '../source/shared/loads/loadUpdates';
 import { LoadSums } from '../source/shared/loads/loadSums';
-import { FactBook } from '../source/shared/news/facts';
+import { GossipStore } from '../source/shared/gossip/gossipStore';
 
 const fleetSize = 195;
 
@@ -24,10 +24,10 @@
 describe('load sums from an agent that knows fewer proxies than the previous one', () => {
   test('do not shrink the fleet size that the retry budget is divided by', () => {
     const received = new ReceivedLoads('proxy 0');
-    const others = new OtherProxies('proxy 0', new FactBook(), () => received.others);
-    received.take('agent a', updateOf('a', names), () => undefined);
+    const others = new OtherProxies('proxy 0', new GossipStore(), () => received.others);
+    received.applyUpdate('agent a', updateOf('a', names), () => undefined);
     assert.equal(others.everSeen(), fleetSize);
-    received.take('agent b', updateOf('b', names.slice(0, 1)), () => undefined);
+    received.applyUpdate('agent b', updateOf('b', names.slice(0, 1)), () => undefined);
     assert.equal(others.everSeen(), fleetSize);
   });
 });
--- a/tests/settings-change.test.ts
+++ b/tests/settings-change.test.ts
@@ -9,19 +9,19 @@
 import { PlatformSettings } from '../platform/settings/platformSettings';
 import { PlatformProxySettings } from '../platform/settings/proxySettings';
 import { AgentDefaults, EdgeAgent } from '../source/edge-agent/edgeAgent';
-import { EngineListDefaults, EngineListKeeper } from '../source/edge-agent/engine-list/engineListKeeper';
+import { EngineListDefaults, EngineListReader } from '../source/edge-agent/engine-list/engineListReader';
 import { EdgeProxy, type ProxySettings } from '../source/edge-proxy/edgeProxy';
 import { StalenessGuard } from '../source/edge-proxy/identification/stalenessGuard';
-import { RetryBudget, type BudgetSettings } from '../source/edge-proxy/sends/retryBudget';
+import { RetryBudget, type RetryBudgetSettings } from '../source/edge-proxy/attempts/retryBudget';
 import { World } from '../source/fleet-simulator/world/world';
-import type { BackEndDoor, BackEndSender } from '../source/shared/back-end/protocol';
+import type { BackEndControl, BackEndSender } from '../source/shared/back-end/protocol';
 import type { Message, Transport } from '../source/shared/effects/transport/transport';
 import { Freshness } from '../source/shared/freshness/freshness';
 import { SettingsChanges } from '../source/shared/settings/settingsChange';
-import { SettingsWatch } from '../source/shared/settings/settingsWatch';
+import { SettingsWatcher } from '../source/shared/settings/settingsWatcher';
 import { freePort } from './support/freePort';
 import { until } from './support/realFleet';
-import { bundled, platformSources } from './support/bundled';
+import { bundlePrograms, platformProgramSources } from './support/bundlePrograms';
 
 const file = {
   nodeName: 'edge-a-1',
@@ -41,8 +41,8 @@
 
 describe('watching a settings file', () => {
   type SettingsFile = { text: string; mark: string; reads: number; applied: string[]; reported: string[] };
-  const watched = (world: World, source: SettingsFile, inForce: string): SettingsWatch<string> => {
-    const watch = new SettingsWatch<string>(
+  const watched = (world: World, source: SettingsFile, inForce: string): SettingsWatcher<string> => {
+    const watch = new SettingsWatcher<string>(
       world.clock,
       {
         text: () => {
@@ -56,7 +56,7 @@
       (sentence) => source.reported.push(sentence),
       inForce,
     ).start();
-    watch.news.on('changed', (value) => void source.applied.push(value));
+    watch.events.on('changed', (value) => void source.applied.push(value));
     return watch;
   };
 
@@ -74,7 +74,7 @@
     await world.runFor(11_000_000);
     assert.deepEqual(source.applied, ['good 2', 'good 3'], 'also if the mark has not changed');
     Object.assign(source, { text: 'good 4' });
-    await watch.look();
+    await watch.check();
     assert.deepEqual(source.applied.at(-1), 'good 4', 'a signal reads the text whatever the mark');
     watch.stop();
   });
@@ -96,41 +96,41 @@
 
 test('applies only the settings that may change at runtime and names those that need a restart', () => {
   const before = { seeds: ['a'], bound: Infinity, name: 'n', other: 1 };
-  const change = SettingsChanges.of(before, { ...before, seeds: ['b'], bound: 5, name: 'm' }, ['seeds', 'bound']);
+  const change = SettingsChanges.apply(before, { ...before, seeds: ['b'], bound: 5, name: 'm' }, ['seeds', 'bound']);
   assert.deepEqual(change.settings, { ...before, seeds: ['b'], bound: 5 });
   assert.equal(
-    SettingsChanges.sentence(change),
+    SettingsChanges.describe(change),
     'The settings have changed; in force now: seeds, bound; only after a restart: name.',
   );
-  const none = SettingsChanges.of(before, { ...before, seeds: ['a'] }, ['seeds']);
-  assert.equal(SettingsChanges.sentence(none), undefined);
+  const none = SettingsChanges.apply(before, { ...before, seeds: ['a'] }, ['seeds']);
+  assert.equal(SettingsChanges.describe(none), undefined);
 });
 
 test('a retry budget that gets new settings keeps and expects no more than they allow', async () => {
   const world = new World(1);
-  const wide: BudgetSettings = {
+  const wide: RetryBudgetSettings = {
     perMille: 500,
     fleetAllowance: 90,
-    allowanceMicroseconds: 10_000_000,
-    leastDaemons: 9,
+    allowanceIntervalMicroseconds: 10_000_000,
+    minProxies: 9,
   };
   const budget = new RetryBudget(world.clock, () => 9, wide);
-  for (let number = 0; number < 200; number += 1) budget.first();
-  budget.settingsAre({ ...wide, perMille: 100, fleetAllowance: 9 });
+  for (let number = 0; number < 200; number += 1) budget.recordFirstAttempt();
+  budget.setSettings({ ...wide, perMille: 100, fleetAllowance: 9 });
   assert.deepEqual(
-    [budget.spend(), budget.spend()],
+    [budget.trySpend(), budget.trySpend()],
     [true, false],
     'the balance is capped to one retry by the new settings',
   );
-  for (let number = 0; number < 9; number += 1) budget.first();
-  assert.equal(budget.spend(), false);
-  budget.first();
-  assert.equal(budget.spend(), true, 'ten first attempts earn one retry');
+  for (let number = 0; number < 9; number += 1) budget.recordFirstAttempt();
+  assert.equal(budget.trySpend(), false);
+  budget.recordFirstAttempt();
+  assert.equal(budget.trySpend(), true, 'ten first attempts earn one retry');
   const widened = new RetryBudget(world.clock, () => 9, { ...wide, perMille: 0, fleetAllowance: 9 });
   await world.runFor(500_000);
-  widened.settingsAre(wide);
-  for (let number = 0; number < 20; number += 1) widened.first();
-  const spent = Array.from({ length: 20 }, () => widened.spend()).filter(Boolean);
+  widened.setSettings(wide);
+  for (let number = 0; number < 20; number += 1) widened.recordFirstAttempt();
+  const spent = Array.from({ length: 20 }, () => widened.trySpend()).filter(Boolean);
   assert.equal(spent.length, 10, 'as many as the wider limits allow');
 });
 
@@ -171,7 +171,7 @@
   };
   const agent = new EdgeAgent(
     { clock: world.clock, random: world.random, transport: unreachable(requests) },
-    {} as BackEndDoor,
+    {} as BackEndControl,
     settings,
     {
       page: (_from, _limit, address) => {
@@ -186,7 +186,7 @@
   assert.ok(requests.every((line) => line.endsWith(' 10.0.0.1:1')) && requests.length > 0);
   requests.length = 0;
   lists.length = 0;
-  agent.settingsAre({
+  agent.updateSettings({
     ...settings,
     seeds: ['10.0.0.2:1', '10.0.0.3:1'],
     listAddress: '10.9.0.2:1',
@@ -201,7 +201,7 @@
 test('the engine list is requested at the address in the current settings', async () => {
   const world = new World(1);
   const requests: string[] = [];
-  const keeper = new EngineListKeeper(
+  const keeper = new EngineListReader(
     { page: (_from, _limit, address) => Promise.resolve(void requests.push(address)) },
     new Freshness(world.clock, undefined, 'listed'),
     () => 1,
@@ -212,7 +212,7 @@
     () => undefined,
   );
   await keeper.read();
-  keeper.settingsAre({ address: '10.9.0.2:1' });
+  keeper.updateSettings({ address: '10.9.0.2:1' });
   await keeper.read();
   assert.deepEqual(requests, ['10.9.0.1:1', '10.9.0.2:1']);
 });
@@ -226,7 +226,7 @@
   );
   const inForce = (): ProxySettings => (proxy as unknown as { settings: ProxySettings }).settings;
   const before = inForce();
-  proxy.settingsAre(
+  proxy.applySettings(
     PlatformProxySettings.of(
       read({
         nodeName: 'other',
@@ -251,7 +251,7 @@
     rmSync(folder, { recursive: true, force: true });
   });
   before(async () => {
-    await bundled(platformSources(programs), folder);
+    await bundlePrograms(platformProgramSources(programs), folder);
   });
 
   const changed: Readonly<Record<string, Readonly<{ settings: Record<string, unknown>; said: RegExp }>>> = {
--- a/tests/shard-change-codec.test.ts
+++ b/tests/shard-change-codec.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import type { NamedKey } from '../source/shared/directory/hashChain';
 import { ShardChangeCodec } from '../source/shared/directory/shardChangeCodec';
-import type { ShardChange } from '../source/shared/directory/shardNews';
+import type { ShardChange } from '../source/shared/directory/shardIndex';
 
 const head = { holder: 'e', term: 1, epoch: 2, bootEpoch: 'b', weights: 'w', version: 9 };
 
--- a/tests/simulated-processor.test.ts
+++ b/tests/simulated-processor.test.ts
@@ -21,7 +21,7 @@
       ['b', right],
       ['c', left],
     ] as const)
-      process.enter(() => void done.push([name, world.nowMicroseconds]));
+      process.execute(() => void done.push([name, world.nowMicroseconds]));
     assert.equal(processor.backlog, 3);
     await world.runFor(10_000);
     assert.deepEqual(done, [
@@ -37,7 +37,7 @@
     const process = processOn(world, 'late', new SimProcessor(world, 1000));
     let ranAt = -1;
     process.clock.after(500, () => (ranAt = world.nowMicroseconds));
-    for (let count = 0; count < 3; count += 1) process.enter(() => undefined);
+    for (let count = 0; count < 3; count += 1) process.execute(() => undefined);
     await world.runFor(10_000);
     assert.equal(ranAt, 4000);
   });
@@ -46,7 +46,7 @@
     const world = new World(1);
     const process = processOn(world, 'killed', new SimProcessor(world, 1000));
     let isRun = false;
-    process.enter(() => (isRun = true));
+    process.execute(() => (isRun = true));
     process.kill();
     await world.runFor(10_000);
     assert.equal(isRun, false);
@@ -55,7 +55,7 @@
   test('runs a task at once in a process without a processor', () => {
     const world = new World(1);
     let isRun = false;
-    processOn(world, 'prompt').enter(() => (isRun = true));
+    processOn(world, 'prompt').execute(() => (isRun = true));
     assert.ok(isRun);
   });
 });
--- a/tests/state-report-cache.test.ts
+++ b/tests/state-report-cache.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { StateReportCache } from '../source/edge-agent/control-link/stateReportCache';
 import type { StatementsAnswer } from '../source/shared/register/majorityRead';
-import { SimBlueprints, SimFleet, usualShape } from '../source/fleet-simulator/machines/simFleet';
+import { SimBlueprints, SimFleet, defaultShape } from '../source/fleet-simulator/machines/simFleet';
 import { World } from '../source/fleet-simulator/world/world';
 
 const report = (ageMicroseconds: number | null): StatementsAnswer => ({
@@ -42,10 +42,10 @@
 
 test('agents apply a change in time after a period of unchanged state reports', async () => {
   const world = new World(3);
-  const fleet = new SimFleet(world, { ...usualShape, edges: 3, engines: 1, spares: 0 });
+  const fleet = new SimFleet(world, { ...defaultShape, edges: 3, engines: 1, spareEngines: 0 });
   await fleet.startAll();
   await world.runFor(3_000_000);
-  const change = await fleet.take('blueprint', { ...SimBlueprints.first(), tenants: {} });
+  const change = await fleet.changeUntilAccepted('blueprint', { ...SimBlueprints.initial(), tenants: {} });
   assert.ok(change !== undefined);
   const isApplied = (): boolean => fleet.edges.every(({ agent }) => agent.freshness.revision('blueprint') === 2);
   assert.ok(await world.runUntil(isApplied, 1_500_000));
--- a/tests/support/agentFleet.ts
+++ b/tests/support/agentFleet.ts
@@ -1,5 +1,5 @@
 import assert from 'node:assert/strict';
-import { platformDialect } from '../../platform/operators/dialect';
+import { platformConfigurationFormat } from '../../platform/operators/configurationFormat';
 import type { ChangeOrder } from '../../source/core-keeper/register/messages';
 import { AgentDefaults, EdgeAgent } from '../../source/edge-agent/edgeAgent';
 import { SimBackEnds } from '../../source/fleet-simulator/machines/simBackEnds';
@@ -66,7 +66,7 @@
     private readonly routes: number,
     agents = 15,
   ) {
-    this.control = new ControlFleet(seed, platformDialect, {
+    this.control = new ControlFleet(seed, platformConfigurationFormat, {
       membersWanted: controlNodeCount,
       changeMicroseconds: 3_750_000,
     });
@@ -168,13 +168,14 @@
       const tryNext = (): void => {
         if (isFinished) return;
         isFinished = true;
-        if (sent.outcome === 'open') this.control.world.plan(firstPauseMicroseconds * (turn + 1), () => call(turn + 1));
+        if (sent.outcome === 'open')
+          this.control.world.schedule(firstPauseMicroseconds * (turn + 1), () => call(turn + 1));
       };
       const { process, controlNode: keeper } = machine;
       if (!process.alive || keeper === undefined) return tryNext();
-      process.whenDead(tryNext);
-      this.control.world.plan(callTimeoutMicroseconds, tryNext);
-      process.enter(
+      process.onDeath(tryNext);
+      this.control.world.schedule(callTimeoutMicroseconds, tryNext);
+      process.execute(
         () =>
           void keeper.change(order).then((outcome) => {
             if (!process.alive || isFinished || sent.outcome !== 'open') return;
@@ -205,7 +206,7 @@
       pagesAddress: '',
       seeds,
     };
-    const door = new SimBackEnds(world, network).doorOf(process);
-    return { machine, process, agent: new EdgeAgent(effects, door, settings, undefined, platformDialect) };
+    const door = new SimBackEnds(world, network).controlClientOf(process);
+    return { machine, process, agent: new EdgeAgent(effects, door, settings, undefined, platformConfigurationFormat) };
   }
 }
--- a/tests/support/sendStage.ts
+++ b/tests/support/attemptHarness.ts
@@ -1,16 +1,21 @@
-import { PlatformBackEndWords } from '../../platform/back-ends/words';
-import { noFetch } from '../../source/edge-proxy/fetch/fetchPlanner';
+import { PlatformBackEndCodec } from '../../platform/back-ends/backEndCodec';
+import { noFetch } from '../../source/edge-proxy/cache-imports/fetchPlanner';
 import type {
   ResponseHead,
   ResponseSink,
   RequestContext,
   PolicyResult,
 } from '../../source/edge-proxy/pipeline/request';
-import type { SendParts } from '../../source/edge-proxy/sends/runningSend';
-import { SendPolicy } from '../../source/edge-proxy/sends/sendPolicy';
+import type { AttemptDependencies } from '../../source/edge-proxy/attempts/attempt';
+import { SendPolicy } from '../../source/edge-proxy/attempts/sendPolicy';
 import { World } from '../../source/fleet-simulator/world/world';
-import type { Mapping } from '../../source/shared/blueprint/types';
-import type { BackEndSender, SendHead, SendOrder, SendSink } from '../../source/shared/back-end/protocol';
+import type { Route } from '../../source/shared/configuration/types';
+import type {
+  BackEndSender,
+  BackEndResponseHead,
+  BackEndRequest,
+  BackEndResponseSink,
+} from '../../source/shared/back-end/protocol';
 import { Metrics } from '../../source/shared/metrics/metrics';
 
 /** A stub that accepts every call and returns undefined, save for the given properties. */
@@ -52,49 +57,53 @@
 }
 
 /** What a test varies of the request. */
-export type StageOrder = Readonly<{ limitMicroseconds?: number; mapping?: Partial<Mapping> }>;
+export type AttemptRequest = Readonly<{ limitMicroseconds?: number; mapping?: Partial<Route> }>;
 
 /** Sends one request in the format of the users' platform to an engine whose response the test gives. */
-export class SendStage {
+export class AttemptHarness {
   public readonly world = new World(1);
-  public readonly caller = new RecordingClient();
-  public sent: SendOrder | undefined;
+  public readonly client = new RecordingClient();
+  public sent: BackEndRequest | undefined;
   public step: PolicyResult | undefined;
   public cuts = 0;
-  private sink: SendSink | undefined;
+  private sink: BackEndResponseSink | undefined;
 
-  public constructor({ limitMicroseconds, mapping = {} }: StageOrder = {}) {
+  public constructor({ limitMicroseconds, mapping = {} }: AttemptRequest = {}) {
     const sender: BackEndSender = {
       send: (order, sink) => {
         this.sent = order;
         this.sink = sink;
-        sink.mayGo();
+        sink.maySend();
         return { cut: () => (this.cuts += 1) };
       },
     };
     const policy = new SendPolicy(
-      stub<SendParts>({
+      stub<AttemptDependencies>({
         sender,
-        words: PlatformBackEndWords,
+        backEndFormat: PlatformBackEndCodec,
         clock: this.world.clock,
         metrics: new Metrics(),
-        fence: stub<SendParts['fence']>({ isFresh: () => true }),
-        identifier: stub<SendParts['identifier']>({ revalidate: () => ({ kind: 'stands' }) }),
-        view: stub<SendParts['view']>({
-          work: stub<SendParts['view']['work']>({ of: () => ({ reading: 0 }) }),
+        fence: stub<AttemptDependencies['fence']>({ isFresh: () => true }),
+        identifier: stub<AttemptDependencies['identifier']>({ revalidate: () => ({ kind: 'stands' }) }),
+        view: stub<AttemptDependencies['view']>({
+          work: stub<AttemptDependencies['view']['work']>({ of: () => ({ reading: 0 }) }),
           outliers: stub(),
           isUsable: () => true,
           ownInFlight: () => 0,
           candidates: () => [],
         }),
-        readSpeeds: stub(),
-        moves: stub(),
-        desk: stub(),
-        budgetOf: () => stub<ReturnType<SendParts['budgetOf']>>({ spend: () => false, mayHope: () => false }),
-        stillGood: () => true,
-        logRead: undefined,
+        prefillSpeeds: stub(),
+        importDurations: stub(),
+        scheduler: stub(),
+        budgetOf: () =>
+          stub<ReturnType<AttemptDependencies['budgetOf']>>({
+            trySpend: () => false,
+            canExpectAnotherRetry: () => false,
+          }),
+        isPlanValid: () => true,
+        prefillLog: undefined,
         silentMicroseconds: Infinity,
-        mostSends: 4,
+        maxAttempts: 4,
       }),
     );
     const context = {
@@ -107,14 +116,14 @@
         arrivedMicroseconds: this.world.nowMicroseconds,
         ...(limitMicroseconds === undefined ? {} : { limitMicroseconds }),
       },
-      answer: this.caller,
+      answer: this.client,
       resolved: {
         tenant: 't',
         trustDomain: '',
         mapping: { service: 's', class: 'c', resumable: false, ...mapping },
         service: { kind: 'pool', model: 'm', answerLimitMicroseconds: 60_000_000 },
       },
-      placed: { engine: 'i-1', address: '10.0.0.1:1', bootEpoch: 'i-1', weights: '1', matched: 0 },
+      placed: { engine: 'i-1', address: '10.0.0.1:1', bootEpoch: 'i-1', weights: '1', cachedParts: 0 },
       fetch: noFetch,
       sends: 0,
       rounds: 0,
@@ -128,11 +137,11 @@
 
   /** Delivers the head of the engine's response. */
   public head(status: number, headers: Readonly<Record<string, string>>, framed = true): void {
-    this.sink?.head({ status, headers, framed } satisfies SendHead);
+    this.sink?.head({ status, headers, framed } satisfies BackEndResponseHead);
   }
 
   public part(text: string): void {
-    void this.sink?.part(Buffer.from(text));
+    void this.sink?.chunk(Buffer.from(text));
   }
 
   /** Ends the response, by its framing or by the end of its connection. */
--- a/tests/support/busyFleet.ts
+++ b/tests/support/backgroundLoad.ts
@@ -2,13 +2,13 @@
  * One zone of a large fleet, whose agents receive entries on many proxies of other zones. The loads of these proxies and the indexes of
  * their engines change constantly.
  */
-import type { ShardNews } from '../../source/shared/directory/shardNews';
+import type { ShardIndex } from '../../source/shared/directory/shardIndex';
 import { seededRandom } from '../../source/shared/effects/random/random';
-import { FactKeys, type LoadFact } from '../../source/shared/news/factTypes';
+import { GossipKeys, type LoadEntry } from '../../source/shared/gossip/entryTypes';
 import type { FedFleet } from './largeConfiguration';
 
 /** Activity of the rest of the fleet. */
-export type Elsewhere = Readonly<{
+export type BackgroundLoad = Readonly<{
   /** Proxies of other zones. */
   proxies: number;
   /** Engines that these proxies send to. */
@@ -28,7 +28,7 @@
 const engineNamed = (index: number): string => `i-${hex(index * 2_654_435_761, 10)}`;
 
 /** The load entry of a proxy with two to four requests under way. */
-const loadOf = (agent: string, engines: readonly string[]): LoadFact => ({
+const loadOf = (agent: string, engines: readonly string[]): LoadEntry => ({
   agent,
   engines: Object.fromEntries(engines.map((name) => [name, 1])),
   classes: { 'pool/long': 1, 'pool/short': engines.length - 1 },
@@ -39,7 +39,7 @@
 });
 
 /** Starts the activity, which lasts until the simulation ends. */
-export const makeBusy = ({ world, fleet }: FedFleet, elsewhere: Elsewhere): void => {
+export const makeBusy = ({ world, fleet }: FedFleet, elsewhere: BackgroundLoad): void => {
   const random = seededRandom(17);
   const agents = fleet.edges.filter((edge) => fleet.hasAgent(edge));
   const names = Array.from({ length: elsewhere.engines }, (_, index) => engineNamed(index));
@@ -49,16 +49,16 @@
     for (let count = 0; count < elsewhere.loadsPerSecond / stepsPerSecond; count += 1) {
       published += 1;
       const engines = names.filter(() => random.fraction() < 3 / names.length);
-      const key = FactKeys.load(`elsewhere-${published % elsewhere.proxies}`);
+      const key = GossipKeys.load(`elsewhere-${published % elsewhere.proxies}`);
       const agent = agents[published % agents.length]?.name ?? '';
       for (const edge of agents) edge.agent.facts.put({ key, version: [1, published], value: loadOf(agent, engines) });
     }
   };
-  const controlledIndexes = (): readonly ShardNews[] =>
+  const controlledIndexes = (): readonly ShardIndex[] =>
     agents
       .filter(({ agentProcess }) => agentProcess.alive)
       .flatMap(({ agent }) =>
-        agent.stewardship
+        agent.leaseManager
           .activeControllers()
           .filter(({ name }) => name.startsWith('engine-'))
           .flatMap(({ name }) => agent.shards.get(name) ?? []),
@@ -77,7 +77,7 @@
   const step = (): void => {
     publishLoads();
     changeIndex();
-    world.plan(stepMicroseconds, step);
+    world.schedule(stepMicroseconds, step);
   };
   step();
 };
--- a/tests/support/bundled.ts
+++ b/tests/support/bundlePrograms.ts
@@ -2,7 +2,7 @@
 import path from 'node:path';
 
 /** Bundles programs as the build does, so that a test runs the current sources; `sources` maps program names to files. */
-export const bundled = async (sources: Readonly<Record<string, string>>, folder: string): Promise<void> => {
+export const bundlePrograms = async (sources: Readonly<Record<string, string>>, folder: string): Promise<void> => {
   await build({
     entryPoints: { ...sources },
     outdir: folder,
@@ -18,5 +18,5 @@
 };
 
 /** Returns the source files of platform programs, by program name. */
-export const platformSources = (names: readonly string[]): Readonly<Record<string, string>> =>
+export const platformProgramSources = (names: readonly string[]): Readonly<Record<string, string>> =>
   Object.fromEntries(names.map((name) => [name, path.join('platform', name, 'main.ts')]));
--- a/tests/support/controlFleet.ts
+++ b/tests/support/controlFleet.ts
@@ -6,13 +6,13 @@
 import { SimNetwork } from '../../source/fleet-simulator/world/simNetwork';
 import { SimProcess } from '../../source/fleet-simulator/world/simProcess';
 import { World } from '../../source/fleet-simulator/world/world';
-import type { Dialect } from '../../source/shared/blueprint/dialect';
-import type { CoreMember } from '../../source/shared/blueprint/types';
+import type { ConfigurationFormat } from '../../source/shared/configuration/configurationFormat';
+import type { ControlNodeMember } from '../../source/shared/configuration/types';
 
 /** A machine that runs a control node. Its disk and address persist across restarts of the process. */
 export class ControlMachine {
   public readonly disk: SimDisk;
-  public readonly member: CoreMember;
+  public readonly member: ControlNodeMember;
   public readonly machine: string;
   public process: SimProcess;
   public controlNode: ControlNode | undefined;
@@ -43,7 +43,7 @@
     const { world, network, dialect, settings } = this.fleet;
     const keeper = new ControlNode(
       { clock: process.clock, random: world.random, transport: network.transportOf(process) },
-      this.disk.of(process),
+      this.disk.diskFor(process),
       { ...settings, name: this.name, member: this.member, seeds: this.fleet.seeds, isFirstStart },
       dialect,
     );
@@ -84,7 +84,7 @@
 
   public constructor(
     seed: number,
-    public readonly dialect: Dialect,
+    public readonly dialect: ConfigurationFormat,
     settings: Partial<ControlNodeSettings> = {},
   ) {
     this.world = new World(seed);
@@ -136,7 +136,7 @@
   ): Promise<ChangeOutcome | undefined> {
     let outcome: ChangeOutcome | undefined;
     const process = machine.process;
-    process.enter(
+    process.execute(
       () =>
         void machine.controlNode?.change(order).then((given) => {
           if (process.alive) outcome = given;
@@ -149,7 +149,7 @@
   public async read(machine: ControlMachine, limitMicroseconds = 6_000_000): Promise<ReadOutcome | undefined> {
     let outcome: ReadOutcome | undefined;
     const process = machine.process;
-    process.enter(
+    process.execute(
       () =>
         void machine.controlNode?.read('blueprint').then((given) => {
           if (process.alive) outcome = given;
@@ -161,13 +161,13 @@
 
   /** Sends a change and drops the response. */
   public sendWithoutResponse(machine: ControlMachine, order: ChangeOrder): void {
-    machine.process.enter(() => void machine.controlNode?.change(order));
+    machine.process.execute(() => void machine.controlNode?.change(order));
   }
 
   /** A planned stop. The process ends after its handover, or at the limit. */
   public async leave(machine: ControlMachine, limitMicroseconds: number): Promise<void> {
     let isOver = false;
-    machine.process.enter(() => void machine.controlNode?.leave().then(() => (isOver = true)));
+    machine.process.execute(() => void machine.controlNode?.leave().then(() => (isOver = true)));
     await this.world.runUntil(() => isOver, limitMicroseconds);
     machine.kill();
   }
--- a/tests/support/httpControlNodes.ts
+++ b/tests/support/httpControlNodes.ts
@@ -2,8 +2,8 @@
 import http from 'node:http';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
-import { platformDialect } from '../../platform/operators/dialect';
-import { platformOperatorsWords } from '../../platform/operators/words';
+import { platformConfigurationFormat } from '../../platform/operators/configurationFormat';
+import { platformOperatorApiFormat } from '../../platform/operators/words';
 import { Ports } from '../../source/fleet-runner/machines/child';
 import { ControlNodeDefaults } from '../../source/core-keeper/controlNodeSettings';
 import { startControlNode, type RunningControlNode } from '../../source/core-keeper/program/controlNodeProgram';
@@ -57,8 +57,8 @@
         ownerSilentMicroseconds: 700_000,
         passMicroseconds: 1_200_000,
       },
-      dialect: platformDialect,
-      operatorApiFormat: platformOperatorsWords,
+      dialect: platformConfigurationFormat,
+      operatorApiFormat: platformOperatorApiFormat,
       operatorApi: { address: member.operatorsAddress, answerMicroseconds, answerMicrosecondsPerByte: 1 },
       onDiskFailure: (sentence) => {
         throw new Error(sentence);
--- a/tests/support/largeConfiguration.ts
+++ b/tests/support/largeConfiguration.ts
@@ -1,7 +1,7 @@
 /** A fleet whose proxies are fed by few agents over slow links, and configurations with many routes. */
-import { SimBlueprints, SimFleet, usualShape } from '../../source/fleet-simulator/machines/simFleet';
+import { SimBlueprints, SimFleet, defaultShape } from '../../source/fleet-simulator/machines/simFleet';
 import { World } from '../../source/fleet-simulator/world/world';
-import type { Blueprint, Mapping } from '../../source/shared/blueprint/types';
+import type { Configuration, Route } from '../../source/shared/configuration/types';
 
 const letters = 'abcdefghijklmnopqrstuvwxyz0123456789';
 
@@ -14,15 +14,15 @@
   }).join('');
 };
 
-const routeOf = (base: Mapping, index: number): Mapping => ({
+const routeOf = (base: Route, index: number): Route => ({
   ...base,
   path: `/${nameOf(3 * index, 8)}/`,
   host: `${nameOf(3 * index + 1, 6)}.example`,
 });
 
 /** The simulator's first configuration with this number of additional routes and these weights. */
-export const blueprintOf = (routes: number, weights: string): Blueprint => {
-  const first = SimBlueprints.first(weights);
+export const configurationOf = (routes: number, weights: string): Configuration => {
+  const first = SimBlueprints.initial(weights);
   const base = first.mappings['short'];
   if (base === undefined) throw new Error("the simulator's first configuration has no mapping named short");
   const more = Array.from({ length: routes }, (_, index) => [nameOf(3 * index + 2, 9), routeOf(base, index)] as const);
@@ -38,7 +38,7 @@
   linkBytesPerSecond: number,
 ): Promise<FedFleet> => {
   const world = new World(seed);
-  const fleet = new SimFleet(world, { ...usualShape, ...shape });
+  const fleet = new SimFleet(world, { ...defaultShape, ...shape });
   await fleet.startAll();
   await world.runFor(2_000_000);
   fleet.network.linkBytesPerSecond = linkBytesPerSecond;
@@ -53,14 +53,14 @@
   }).length;
 
 /** Gossip of a busy fleet: the number of entries, the size of each, and the period after which each is written again. */
-export type Talk = Readonly<{ facts: number; periodMicroseconds: number; bytes: number }>;
+export type GossipLoad = Readonly<{ facts: number; periodMicroseconds: number; bytes: number }>;
 
 /** From now on agents receive entries that change constantly, like loads and engine statuses, and pass them on to all proxies. */
-export const keepTalking = ({ world, fleet }: FedFleet, { facts, periodMicroseconds, bytes }: Talk): void => {
+export const generateGossip = ({ world, fleet }: FedFleet, { facts, periodMicroseconds, bytes }: GossipLoad): void => {
   const filler = 'x'.repeat(bytes);
   let written = 0;
   const writeNext = (): void => {
-    world.plan(periodMicroseconds / facts, writeNext);
+    world.schedule(periodMicroseconds / facts, writeNext);
     written += 1;
     const agents = fleet.edges.filter((edge) => fleet.hasAgent(edge) && edge.agentProcess.alive);
     const key = `talk/${periodMicroseconds}-${written % facts}`;
--- a/tests/support/leaderDuel.ts
+++ b/tests/support/leaderDuel.ts
@@ -1,6 +1,6 @@
 /** Scenario of incident inc1: the leader of a large configuration is unreachable while operators keep calling every member. */
 import assert from 'node:assert/strict';
-import { platformDialect } from '../../platform/operators/dialect';
+import { platformConfigurationFormat } from '../../platform/operators/configurationFormat';
 import type { ChangeOrder } from '../../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './controlFleet';
 import { platformDocument } from './platformDocument';
@@ -47,13 +47,13 @@
     const machine = machines[reads.started % machines.length];
     reads.started += 1;
     const began = fleet.world.nowMicroseconds;
-    machine?.process.enter(
+    machine?.process.execute(
       () =>
         void machine.controlNode?.read('blueprint').then((read) => {
           if (read.kind === 'read' && fleet.world.nowMicroseconds - began <= readLimitMicroseconds) reads.answered += 1;
         }),
     );
-    fleet.world.plan(readPauseMicroseconds, next);
+    fleet.world.schedule(readPauseMicroseconds, next);
   };
   next();
   return () => {
@@ -67,8 +67,8 @@
   const send = (order: ChangeOrder, turn: number): void => {
     if (!isOn) return;
     const machine = fleet.machines[turn % fleet.machines.length];
-    machine?.process.enter(() => void machine.controlNode?.change(order));
-    fleet.world.plan(writePauseMicroseconds, () => send(order, turn + 1));
+    machine?.process.execute(() => void machine.controlNode?.change(order));
+    fleet.world.schedule(writePauseMicroseconds, () => send(order, turn + 1));
   };
   send(largePut(2, 1), 0);
   send(largePut(3, 1), 2);
@@ -98,7 +98,7 @@
 
 /** Runs the scenario and describes what was still wrong 3 s after the fault ended; empty if nothing was. */
 export const runFault = async (fault: Fault, workload: Workload, seed: number): Promise<string> => {
-  const fleet = new ControlFleet(seed, platformDialect, { membersWanted: 5 });
+  const fleet = new ControlFleet(seed, platformConfigurationFormat, { membersWanted: 5 });
   assert.ok(await fleet.startAll(5));
   fleet.network.linkBytesPerSecond = linkBytesPerSecond;
   assert.equal((await fleet.changeWithRetries(largePut(1, 0), 10_000_000))?.kind, 'taken');
@@ -111,8 +111,8 @@
   const heals = fleet.machines
     .filter((machine) => machine !== leader)
     .flatMap((other) => [
-      fleet.network.cut(other.machine, leader.machine),
-      fleet.network.cut(leader.machine, other.machine),
+      fleet.network.cutLink(other.machine, leader.machine),
+      fleet.network.cutLink(leader.machine, other.machine),
     ]);
   if (fault === 'killed') leader.kill();
   await fleet.world.runFor(faultMicroseconds);
--- a/tests/support/heldEngines.ts
+++ b/tests/support/longPollEngines.ts
@@ -1,6 +1,6 @@
 import type { EngineLister, ListedEngine, ListPage } from '../../source/edge-agent/engine-list/engineLister';
 import type {
-  BackEndDoor,
+  BackEndControl,
   DirectiveOutcome,
   EngineStatus,
   KvEvent,
@@ -13,7 +13,7 @@
 import type { World } from '../../source/fleet-simulator/world/world';
 
 /** One directive as an engine received it, for the checks of the tests. */
-export type GotDirective = Readonly<{
+export type ReceivedDirective = Readonly<{
   engine: string;
   holder: string;
   term: number;
@@ -23,7 +23,7 @@
 }>;
 
 /** State of one simulated engine. `state` is what the list reports; `loading` are the weights being loaded. */
-export type HeldEngine = {
+export type LongPollEngine = {
   readonly name: string;
   readonly machine: string;
   readonly service: string;
@@ -34,7 +34,7 @@
   state: 'ready' | 'draining';
   sequence: number;
   log: KvEvent[];
-  kept: Map<string, number>;
+  cachedKeys: Map<string, number>;
   waiting: Set<() => void>;
   readonly checksTerms: boolean;
   highestTerm: number;
@@ -45,14 +45,14 @@
 const keptEvents = 200;
 
 /** Simulated engines with long polls for events, and the external service that lists them, in virtual time. */
-export class HeldEngines {
-  public readonly got: GotDirective[] = [];
-  public readonly engines = new Map<string, HeldEngine>();
+export class LongPollEngines {
+  public readonly receivedDirectives: ReceivedDirective[] = [];
+  public readonly engines = new Map<string, LongPollEngine>();
   public readonly calls = { status: 0, list: 0, events: 0, pages: 0 };
   /** Replaces the responses of the list service; undefined: it lists the actual engines. */
-  public listAnswer: ((from: string | undefined) => ListPage | undefined) | undefined;
+  public listOverride: ((from: string | undefined) => ListPage | undefined) | undefined;
   /** Whether calls for events check the name of the intended engine. */
-  public eventsHearMeant = true;
+  public eventsCheckEngineName = true;
   public pageSize = 50;
   /** The caller and time of each call for a page of the list. */
   public readonly pageCalls: { agent: string; atMicroseconds: number }[] = [];
@@ -62,8 +62,8 @@
     private readonly network: SimNetwork,
   ) {}
 
-  public add(name: string, machine: string, weights: string, service = 'pool', checksTerms = true): HeldEngine {
-    const made: HeldEngine = {
+  public add(name: string, machine: string, weights: string, service = 'pool', checksTerms = true): LongPollEngine {
+    const made: LongPollEngine = {
       name,
       machine,
       service,
@@ -74,7 +74,7 @@
       state: 'ready',
       sequence: 0,
       log: [],
-      kept: new Map(),
+      cachedKeys: new Map(),
       waiting: new Set(),
       checksTerms,
       highestTerm: 0,
@@ -83,7 +83,7 @@
     return made;
   }
 
-  public get(name: string): HeldEngine {
+  public get(name: string): LongPollEngine {
     const found = this.engines.get(name);
     if (found === undefined) throw new Error(`no engine ${name}`);
     return found;
@@ -93,8 +93,8 @@
   public keep(name: string, key: string, size: number): void {
     const engine = this.get(name);
     engine.sequence += 1;
-    if (size > 0) engine.kept.set(key, size);
-    else engine.kept.delete(key);
+    if (size > 0) engine.cachedKeys.set(key, size);
+    else engine.cachedKeys.delete(key);
     const event: KvEvent = { sequence: engine.sequence, kind: size > 0 ? 'stored' : 'evicted', key, size };
     engine.log = [...engine.log, event].slice(-keptEvents);
     for (const wake of [...engine.waiting]) wake();
@@ -127,7 +127,7 @@
         this.call(agent, 'list', limitMicroseconds, () => {
           this.calls.pages += 1;
           this.pageCalls.push({ agent: agent.name, atMicroseconds: this.world.nowMicroseconds });
-          if (this.listAnswer !== undefined) return this.listAnswer(from);
+          if (this.listOverride !== undefined) return this.listOverride(from);
           const all = this.listed();
           const at = Number(from ?? 0);
           const next = at + this.pageSize < all.length ? String(at + this.pageSize) : undefined;
@@ -136,15 +136,15 @@
     };
   }
 
-  public doorOf(agent: SimProcess): BackEndDoor {
-    const at = (address: string): HeldEngine | undefined =>
+  public engineClientOf(agent: SimProcess): BackEndControl {
+    const at = (address: string): LongPollEngine | undefined =>
       [...this.engines.values()].filter(({ machine }) => `${machine}:1` === address).at(-1);
-    const isIntended = (engine: HeldEngine | undefined, meant: string | undefined): boolean =>
+    const isIntended = (engine: LongPollEngine | undefined, meant: string | undefined): boolean =>
       engine?.alive === true && (meant === undefined || meant === engine.name);
     const ask = <Result>(
       address: string,
       limit: number,
-      act: (engine: HeldEngine) => Result,
+      act: (engine: LongPollEngine) => Result,
       meant?: string,
     ): Promise<Result | undefined> =>
       this.call(agent, address.split(':', 1)[0] ?? '', limit, () => {
@@ -177,7 +177,7 @@
           limit,
           (engine): KvList => {
             this.calls.list += 1;
-            const { bootEpoch, sequence, kept } = engine;
+            const { bootEpoch, sequence, cachedKeys: kept } = engine;
             return { bootEpoch, sequence, keys: [...kept.keys()], sizes: [...kept.values()] };
           },
           meant,
@@ -186,7 +186,7 @@
         this.call(agent, address.split(':', 1)[0] ?? '', limit, () => {
           this.calls.events += 1;
           const engine = at(address);
-          return engine !== undefined && isIntended(engine, this.eventsHearMeant ? meant : undefined)
+          return engine !== undefined && isIntended(engine, this.eventsCheckEngineName ? meant : undefined)
             ? this.held(engine, after, hold)
             : undefined;
         }),
@@ -199,11 +199,11 @@
   }
 
   private handleDirective(
-    engine: HeldEngine,
+    engine: LongPollEngine,
     directive: Readonly<{ steward: string; term: number; weights: string; engine?: string }>,
   ): DirectiveOutcome {
     const outcome = this.outcomeOf(engine, directive);
-    this.got.push({
+    this.receivedDirectives.push({
       engine: engine.name,
       holder: directive.steward,
       term: directive.term,
@@ -213,17 +213,17 @@
     });
     if (outcome !== 'begun') return outcome;
     engine.loading = directive.weights;
-    this.world.plan(loadMicroseconds, () => {
+    this.world.schedule(loadMicroseconds, () => {
       if (!engine.alive || engine.loading === undefined) return;
       engine.weights = engine.loading;
       engine.loading = undefined;
-      for (const key of [...engine.kept.keys()]) this.keep(engine.name, key, 0);
+      for (const key of [...engine.cachedKeys.keys()]) this.keep(engine.name, key, 0);
     });
     return outcome;
   }
 
   private outcomeOf(
-    engine: HeldEngine,
+    engine: LongPollEngine,
     { term, weights, engine: meant }: Readonly<{ term: number; weights: string; engine?: string }>,
   ): DirectiveOutcome {
     if (meant !== undefined && meant !== engine.name) return 'failed';
@@ -233,7 +233,7 @@
     return engine.weights === weights ? 'done' : 'begun';
   }
 
-  private async held(engine: HeldEngine, after: number, hold: number): Promise<KvEvents | undefined> {
+  private async held(engine: LongPollEngine, after: number, hold: number): Promise<KvEvents | undefined> {
     const read = (): KvEvents => {
       const first = engine.log[0]?.sequence ?? engine.sequence + 1;
       const events = engine.log.filter(({ sequence }) => sequence > after);
@@ -241,7 +241,7 @@
     };
     if (engine.sequence <= after && hold > 0) {
       let wake: () => void = () => undefined;
-      await Clocks.within(
+      await Clocks.withTimeout(
         this.world.clock,
         hold,
         new Promise<void>((resolve) => {
@@ -261,16 +261,16 @@
     limitMicroseconds: number,
     act: () => Result | Promise<Result>,
   ): Promise<Awaited<Result> | undefined> {
-    return Clocks.within(
+    return Clocks.withTimeout(
       agent.clock,
       limitMicroseconds,
       new Promise<Awaited<Result> | undefined>((resolve) => {
-        this.network.carry(
+        this.network.deliver(
           agent.machine,
           machine,
           () =>
             void Promise.resolve(act()).then((result) =>
-              this.network.carry(machine, agent.machine, () => agent.enter(() => resolve(result))),
+              this.network.deliver(machine, agent.machine, () => agent.execute(() => resolve(result))),
             ),
         );
       }),
--- a/tests/support/heldFleet.ts
+++ b/tests/support/longPollFleet.ts
@@ -1,31 +1,34 @@
 import { AgentDefaults, EdgeAgent, type AgentSettings } from '../../source/edge-agent/edgeAgent';
-import { SimBlueprints, SimFleet, usualShape } from '../../source/fleet-simulator/machines/simFleet';
+import { SimBlueprints, SimFleet, defaultShape } from '../../source/fleet-simulator/machines/simFleet';
 import { SimProcess } from '../../source/fleet-simulator/world/simProcess';
 import type { World } from '../../source/fleet-simulator/world/world';
-import { ownDialect, type Dialect } from '../../source/shared/blueprint/dialect';
-import type { Blueprint } from '../../source/shared/blueprint/types';
-import { HeldEngines, type GotDirective } from './heldEngines';
+import {
+  nativeConfigurationFormat,
+  type ConfigurationFormat,
+} from '../../source/shared/configuration/configurationFormat';
+import type { Configuration } from '../../source/shared/configuration/types';
+import { LongPollEngines, type ReceivedDirective } from './longPollEngines';
 
-export type HeldAgent = { readonly name: string; readonly machine: string; process: SimProcess; agent: EdgeAgent };
+export type LongPollAgent = { readonly name: string; readonly machine: string; process: SimProcess; agent: EdgeAgent };
 
 export const leaseTermMicroseconds = 3_000_000;
 export const thawMicroseconds = 300_000;
 export const weightsWithinMicroseconds = 8_000_000;
 
 /** Simulated control nodes and agents in virtual time, with long-poll engines and an external list of engines. */
-export class HeldFleet {
-  public readonly keepers: SimFleet;
-  public readonly engines: HeldEngines;
-  public readonly agents: HeldAgent[] = [];
+export class LongPollFleet {
+  public readonly controlFleet: SimFleet;
+  public readonly engines: LongPollEngines;
+  public readonly agents: LongPollAgent[] = [];
 
   public constructor(
     public readonly world: World,
     agents: number,
     private readonly settings: Partial<AgentSettings> = {},
-    private readonly dialect: Dialect = ownDialect,
+    private readonly dialect: ConfigurationFormat = nativeConfigurationFormat,
   ) {
-    this.keepers = new SimFleet(world, { ...usualShape, edges: 0, engines: 0, spares: 0 });
-    this.engines = new HeldEngines(world, this.keepers.network);
+    this.controlFleet = new SimFleet(world, { ...defaultShape, edges: 0, engines: 0, spareEngines: 0 });
+    this.engines = new LongPollEngines(world, this.controlFleet.network);
     for (let number = 1; number <= agents; number += 1) this.agents.push(this.make(number));
   }
 
@@ -37,33 +40,33 @@
     });
   }
 
-  public blueprint(weights: string): Blueprint {
-    return SimBlueprints.first(weights);
+  public blueprint(weights: string): Configuration {
+    return SimBlueprints.initial(weights);
   }
 
   public async start(weights = 'w1'): Promise<void> {
-    for (const keeper of this.keepers.keepers) this.keepers.startKeeper(keeper);
+    for (const keeper of this.controlFleet.controlNodes) this.controlFleet.startControlNode(keeper);
     for (const { agent } of this.agents) void agent.start();
-    if ((await this.keepers.take('blueprint', this.blueprint(weights))) === undefined)
+    if ((await this.controlFleet.changeUntilAccepted('blueprint', this.blueprint(weights))) === undefined)
       throw new Error('the first blueprint was not accepted');
   }
 
-  public async name(weights: string): Promise<void> {
-    if ((await this.keepers.take('blueprint', this.blueprint(weights))) === undefined)
+  public async configureWeights(weights: string): Promise<void> {
+    if ((await this.controlFleet.changeUntilAccepted('blueprint', this.blueprint(weights))) === undefined)
       throw new Error('the new weights were not accepted');
   }
 
-  public agent(index: number): HeldAgent {
+  public agent(index: number): LongPollAgent {
     const found = this.agents[index];
     if (found === undefined) throw new Error(`no agent ${index}`);
     return found;
   }
 
-  public kill(agent: HeldAgent): void {
+  public kill(agent: LongPollAgent): void {
     agent.process.kill();
   }
 
-  public restart(agent: HeldAgent): void {
+  public restart(agent: LongPollAgent): void {
     agent.process.kill();
     const made = this.make(Number(agent.name.split('-')[1]));
     agent.process = made.process;
@@ -71,29 +74,29 @@
     void made.agent.start();
   }
 
-  public stewardOf(engine: string): HeldAgent | undefined {
+  public controllerOf(engine: string): LongPollAgent | undefined {
     return this.agents.find(
       ({ process, agent }) =>
-        process.alive && agent.stewardship.activeControllers().some(({ name }) => name === engine),
+        process.alive && agent.leaseManager.activeControllers().some(({ name }) => name === engine),
     );
   }
 
-  public lister(): HeldAgent | undefined {
-    return this.agents.find(({ process, agent }) => process.alive && agent.stewardship.listTerm() !== undefined);
+  public listReader(): LongPollAgent | undefined {
+    return this.agents.find(({ process, agent }) => process.alive && agent.leaseManager.listTerm() !== undefined);
   }
 
-  public settled(engines: readonly string[]): boolean {
-    return engines.every((engine) => this.stewardOf(engine) !== undefined) && this.lister() !== undefined;
+  public hasAllLeaseHolders(engines: readonly string[]): boolean {
+    return engines.every((engine) => this.controllerOf(engine) !== undefined) && this.listReader() !== undefined;
   }
 
-  private make(number: number): HeldAgent {
+  private make(number: number): LongPollAgent {
     const name = `edge-${number}`;
     const machine = `10.2.0.${number}`;
     const process = new SimProcess(this.world, `${name}-agent`, machine);
     const effects = {
       clock: process.clock,
       random: this.world.random,
-      transport: this.keepers.network.transportOf(process),
+      transport: this.controlFleet.network.transportOf(process),
     };
     const settings: AgentSettings = {
       ...AgentDefaults,
@@ -102,7 +105,7 @@
       address: `${machine}:1`,
       proxyAddress: '',
       pagesAddress: '',
-      seeds: this.keepers.seeds,
+      seeds: this.controlFleet.seeds,
       engineList: 'listed',
       sharedReadMicroseconds: 350_000,
       farEvery: 3,
@@ -114,7 +117,7 @@
     };
     const agent = new EdgeAgent(
       effects,
-      this.engines.doorOf(process),
+      this.engines.engineClientOf(process),
       settings,
       this.engines.listerOf(process),
       this.dialect,
@@ -124,7 +127,7 @@
 }
 
 /** Violations of the order of lease terms and holders, from the directives that the engines recorded. */
-export const directiveFaults = (got: readonly GotDirective[]): readonly string[] => {
+export const directiveViolations = (got: readonly ReceivedDirective[]): readonly string[] => {
   const violations: string[] = [];
   for (const [index, later] of got.entries())
     for (const earlier of got.slice(0, index)) {
--- a/tests/support/model/modelReplica.ts
+++ b/tests/support/model/modelReplica.ts
@@ -12,7 +12,7 @@
 import { MemberChanges } from '../../../source/core-keeper/membership/memberChanges';
 import { MemberFailureDetector } from '../../../source/core-keeper/membership/memberFailureDetector';
 import { MemberRemoval, FleetMembership } from '../../../source/core-keeper/membership/fleetMembership';
-import { DocumentKeys, type CoreMember, type DocumentKey } from '../../../source/shared/blueprint/types';
+import { DocumentKeys, type ControlNodeMember, type DocumentKey } from '../../../source/shared/configuration/types';
 import type { Cancel, Clock } from '../../../source/shared/effects/clock/clock';
 import type { Message, Transport } from '../../../source/shared/effects/transport/transport';
 import { Metrics } from '../../../source/shared/metrics/metrics';
@@ -81,7 +81,7 @@
 
 export const nameAt = (address: string): string => String.fromCharCode(Number(/\.(\d+):1$/.exec(address)?.[1]));
 
-const memberOf = (name: string): CoreMember => ({
+const memberOf = (name: string): ControlNodeMember => ({
   address: addressOf(name),
   operatorsAddress: `10.0.0.${name.charCodeAt(0)}:2`,
   zone: '',
--- a/tests/support/model/registerDialect.ts
+++ b/tests/support/model/registerDialect.ts
@@ -1,13 +1,16 @@
 /** The smallest document that has versions: its text is the version, which must build on the present revision. */
-import { Dialects, type Dialect } from '../../../source/shared/blueprint/dialect';
-import type { Blueprint } from '../../../source/shared/blueprint/types';
-import type { Checked } from '../../../source/shared/blueprint/check';
+import {
+  ConfigurationFormats,
+  type ConfigurationFormat,
+} from '../../../source/shared/configuration/configurationFormat';
+import type { Configuration } from '../../../source/shared/configuration/types';
+import type { ValidationResult } from '../../../source/shared/configuration/validation';
 
-const anything = (): Checked<Blueprint> => ({ kind: 'good', value: {} as Blueprint });
+const anything = (): ValidationResult<Configuration> => ({ kind: 'good', value: {} as Configuration });
 
-export const registerDialect: Dialect = {
+export const registerDialect: ConfigurationFormat = {
   name: 'register',
   read: anything,
-  trusted: anything,
-  apply: (present, order) => Dialects.applyOwn(present, order, anything),
+  readTrusted: anything,
+  apply: (present, order) => ConfigurationFormats.applyNative(present, order, anything),
 };
--- a/tests/support/model/registerModel.ts
+++ b/tests/support/model/registerModel.ts
@@ -4,7 +4,7 @@
  */
 import type { ChangeOrder, ChangeOutcome } from '../../../source/core-keeper/register/messages';
 import { ReplicaStates } from '../../../source/core-keeper/write-ahead-log/replicaState';
-import type { DocumentKey } from '../../../source/shared/blueprint/types';
+import type { DocumentKey } from '../../../source/shared/configuration/types';
 import type { Message, Transport } from '../../../source/shared/effects/transport/transport';
 import { Epochs, type Epoch } from '../../../source/shared/register/types';
 import type { Choice, ModelRun } from './explorer';
--- a/tests/support/platformEngine.ts
+++ b/tests/support/platformEngine.ts
@@ -4,7 +4,7 @@
 
 type Event = readonly [number, '+' | '-', string, string, number, string];
 /** How a simulated server misbehaves. */
-export type Misdeed = 'none' | 'garbage' | 'cut' | 'silent' | 'wrongShape' | 'error' | 'tooMany';
+export type ServerFault = 'none' | 'garbage' | 'cut' | 'silent' | 'wrongShape' | 'error' | 'tooMany';
 
 const model = 'm';
 
@@ -13,7 +13,7 @@
   public version = 1;
   public isBusy = false;
   public bootEpoch = 100;
-  public misdeed: Misdeed = 'none';
+  public serverFault: ServerFault = 'none';
   public callCount = 0;
   public readonly orders: Readonly<Record<string, unknown>>[] = [];
   public readonly heldFor: string[] = [];
@@ -77,7 +77,7 @@
   private async answer(order: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const chunks: Buffer[] = [];
     for await (const chunk of order as AsyncIterable<Buffer>) chunks.push(chunk);
-    switch (this.misdeed) {
+    switch (this.serverFault) {
       case 'silent':
         return;
       case 'cut':
@@ -171,13 +171,13 @@
 
 /** The paginated list of instances of the users' platform. */
 export class PlatformList {
-  public misdeed: 'none' | 'tooMany' | 'garbage' | 'wrongShape' = 'none';
+  public serverFault: 'none' | 'tooMany' | 'garbage' | 'wrongShape' = 'none';
   public instances: readonly Readonly<Record<string, unknown>>[] = [];
   public pageSize = 2;
   private readonly server = http.createServer((order, response) => {
-    if (this.misdeed === 'tooMany') return response.writeHead(429).end('{}');
-    if (this.misdeed === 'garbage') return response.end('<html>');
-    if (this.misdeed === 'wrongShape') return response.end('{"instances":[{"id":5}],"nextToken":null}');
+    if (this.serverFault === 'tooMany') return response.writeHead(429).end('{}');
+    if (this.serverFault === 'garbage') return response.end('<html>');
+    if (this.serverFault === 'wrongShape') return response.end('{"instances":[{"id":5}],"nextToken":null}');
     const url = new URL(order.url ?? '/', 'http://list');
     const at = Number(url.searchParams.get('pageToken')?.slice(2) ?? 0);
     const next = at + this.pageSize < this.instances.length ? `p-${at + this.pageSize}` : null;
--- a/tests/support/pool.ts
+++ b/tests/support/pool.ts
@@ -1,4 +1,4 @@
-import type { Pool } from '../../source/shared/blueprint/types';
+import type { Pool } from '../../source/shared/configuration/types';
 
 /** A valid pool for tests that don't depend on its fields. */
 export const pool: Pool = {
--- a/tests/support/rawCaller.ts
+++ b/tests/support/rawClient.ts
@@ -1,7 +1,7 @@
 import net from 'node:net';
 
 /** A client on a plain TCP connection: it writes given bytes and keeps all that it receives. */
-export class RawCaller {
+export class RawClient {
   public text = '';
   public closed = false;
   private readonly changeListeners: (() => void)[] = [];
@@ -18,14 +18,14 @@
     });
   }
 
-  public static async open(address: string): Promise<RawCaller> {
+  public static async open(address: string): Promise<RawClient> {
     const [host, port] = address.split(':');
     const socket = net.connect({ host, port: Number(port), noDelay: true });
     await new Promise<void>((resolve, reject) => {
       socket.once('connect', resolve);
       socket.once('error', reject);
     });
-    return new RawCaller(socket);
+    return new RawClient(socket);
   }
 
   public write(bytes: string | Uint8Array): this {
--- a/tests/support/rawEngine.ts
+++ b/tests/support/rawEngine.ts
@@ -1,5 +1,10 @@
 import net from 'node:net';
-import type { BackEndSender, SendFailure, SendHead, SendOrder } from '../../source/shared/back-end/protocol';
+import type {
+  BackEndSender,
+  RequestFailure,
+  BackEndResponseHead,
+  BackEndRequest,
+} from '../../source/shared/back-end/protocol';
 import type { Clock } from '../../source/shared/effects/clock/clock';
 
 /** A request as received on a raw connection; `connection` counts from 1. */
@@ -8,20 +13,20 @@
 
 /** A back end on raw sockets that responds as the test decides, and records all requests. */
 export class RawEngine {
-  public readonly orders: RawRequest[] = [];
+  public readonly requests: RawRequest[] = [];
   public readonly sockets: net.Socket[] = [];
-  public conns = 0;
+  public connections = 0;
   public bytes = 0;
   private readonly server: net.Server;
   private readonly waiting: (() => void)[] = [];
 
   private constructor(
-    private readonly act: RawResponder,
+    private readonly respond: RawResponder,
     onConnection: (socket: net.Socket, count: number) => void,
   ) {
     this.server = net.createServer((socket) => {
-      this.conns += 1;
-      const connection = this.conns;
+      this.connections += 1;
+      const connection = this.connections;
       this.sockets.push(socket);
       socket.on('error', () => undefined);
       socket.on('close', () => this.changed());
@@ -37,8 +42,8 @@
           if (bytes.length < end + 4 + length) return;
           const request = { connection, text: head, body: bytes.toString('latin1', end + 4, end + 4 + length) };
           bytes = bytes.subarray(end + 4 + length);
-          this.orders.push(request);
-          this.act(socket, request, this.orders.length);
+          this.requests.push(request);
+          this.respond(socket, request, this.requests.length);
           this.changed();
         }
       });
@@ -76,9 +81,9 @@
 }
 
 export type RawOutcome = Readonly<{
-  head?: SendHead;
+  head?: BackEndResponseHead;
   text: string;
-  end: 'whole' | SendFailure['kind'];
+  end: 'whole' | RequestFailure['kind'];
   failureText: string;
   forgotten: boolean;
 }>;
@@ -87,11 +92,11 @@
 export const sendRaw = (
   sender: BackEndSender,
   address: string,
-  overrides: Partial<SendOrder> = {},
+  overrides: Partial<BackEndRequest> = {},
   mayGo: () => boolean = () => true,
 ): Promise<RawOutcome> =>
   new Promise((resolve, reject) => {
-    let head: SendHead | undefined;
+    let head: BackEndResponseHead | undefined;
     let text = '';
     let ends = 0;
     const ended = (end: RawOutcome['end'], failureText: string, forgotten = false): void => {
@@ -109,12 +114,12 @@
         ...overrides,
       },
       {
-        mayGo,
+        maySend: mayGo,
         head: (given) => {
           if (head !== undefined) reject(new Error('two heads'));
           head = given;
         },
-        part: (bytes) => {
+        chunk: (bytes) => {
           text += Buffer.from(bytes).toString('latin1');
           return undefined;
         },
@@ -125,7 +130,7 @@
   });
 
 /** A clock that advances only when the test calls `pass`. */
-export class HandClock implements Clock {
+export class ManualClock implements Clock {
   private now = 1_000_000;
   private timers: Readonly<{ at: number; act: () => void }>[] = [];
 
--- a/tests/support/rush.ts
+++ b/tests/support/rush.ts
@@ -3,13 +3,16 @@
 import type { ResponseSink, ProxyRequest } from '../../source/edge-proxy/pipeline/request';
 import { SimProcess } from '../../source/fleet-simulator/world/simProcess';
 import { World } from '../../source/fleet-simulator/world/world';
-import type { BackEndSender, SendSink } from '../../source/shared/back-end/protocol';
-import type { BackEndWords } from '../../source/shared/back-end/words';
-import { ownDialect, type Dialect } from '../../source/shared/blueprint/dialect';
-import type { Blueprint } from '../../source/shared/blueprint/types';
+import type { BackEndSender, BackEndResponseSink } from '../../source/shared/back-end/protocol';
+import type { BackEndCodec } from '../../source/shared/back-end/backEndCodec';
+import {
+  nativeConfigurationFormat,
+  type ConfigurationFormat,
+} from '../../source/shared/configuration/configurationFormat';
+import type { Configuration } from '../../source/shared/configuration/types';
 import type { PromptPart } from '../../source/shared/directory/promptParts';
-import type { HeldEngine } from './heldEngines';
-import { HeldFleet } from './heldFleet';
+import type { LongPollEngine } from './longPollEngines';
+import { LongPollFleet } from './longPollFleet';
 
 /** What an engine did for one order; what is judged is worked out from these alone. */
 export type RushRun = Readonly<{
@@ -103,7 +106,7 @@
 const storeMachine = '10.4.0.1';
 const storeName = 'store';
 
-const words: BackEndWords = {
+const words: BackEndCodec = {
   namesInstance: false,
   closeEndsAnswer: false,
   write: ({ orderId, passed, engine, weights, salt, source, target }) => ({
@@ -128,8 +131,8 @@
 };
 
 /** The fleet's own document, and what only operators of a platform say besides: what engines and the store have room for. */
-const dialectWith = (options: RushOptions): Dialect => {
-  const withRoom = (blueprint: Blueprint): Blueprint => {
+const dialectWith = (options: RushOptions): ConfigurationFormat => {
+  const withRoom = (blueprint: Configuration): Configuration => {
     const { pool } = blueprint.services;
     if (pool?.kind !== 'pool') return blueprint;
     const shape = {
@@ -154,12 +157,12 @@
       },
     };
   };
-  const checked = (found: ReturnType<Dialect['read']>): ReturnType<Dialect['read']> =>
+  const checked = (found: ReturnType<ConfigurationFormat['read']>): ReturnType<ConfigurationFormat['read']> =>
     found.kind === 'good' ? { ...found, value: withRoom(found.value) } : found;
   return {
-    ...ownDialect,
-    read: (text) => checked(ownDialect.read(text)),
-    trusted: (text) => checked(ownDialect.trusted(text)),
+    ...nativeConfigurationFormat,
+    read: (text) => checked(nativeConfigurationFormat.read(text)),
+    readTrusted: (text) => checked(nativeConfigurationFormat.readTrusted(text)),
   };
 };
 
@@ -175,19 +178,19 @@
 
   public constructor(
     private readonly world: World,
-    private readonly fleet: HeldFleet,
+    private readonly fleet: LongPollFleet,
     private readonly options: RushOptions,
   ) {}
 
   public senderOf(process: SimProcess): BackEndSender {
-    const { network } = this.fleet.keepers;
+    const { network } = this.fleet.controlFleet;
     return {
       send: (order, sink) => {
         const machine = order.address.split(':', 1)[0] ?? '';
         let over = false;
-        const enter = (act: () => void): void => process.enter(() => (over ? undefined : act()));
-        const back = (act: () => void): void => network.carry(machine, process.machine, () => enter(act));
-        const ended: SendSink = {
+        const enter = (act: () => void): void => process.execute(() => (over ? undefined : act()));
+        const back = (act: () => void): void => network.deliver(machine, process.machine, () => enter(act));
+        const ended: BackEndResponseSink = {
           ...sink,
           end: () => {
             over = true;
@@ -198,11 +201,11 @@
             sink.failed(failure);
           },
         };
-        network.carry(process.machine, machine, () => {
+        network.deliver(process.machine, machine, () => {
           if (this.at(machine) === undefined) return back(() => ended.failed({ kind: 'notRun', text: 'refused' }));
           back(() => {
-            if (!sink.mayGo()) return ended.failed({ kind: 'notRun', text: 'not sent' });
-            network.carry(process.machine, machine, () => this.arrive(machine, order.headers, ended, back));
+            if (!sink.maySend()) return ended.failed({ kind: 'notRun', text: 'not sent' });
+            network.deliver(process.machine, machine, () => this.arrive(machine, order.headers, ended, back));
           });
         });
         return { cut: () => void (over = true) };
@@ -217,21 +220,21 @@
 
   public emptyStore(): void {
     const store = this.fleet.engines.get(storeName);
-    store.kept.clear();
+    store.cachedKeys.clear();
     store.log = [];
     store.sequence = 0;
     store.bootEpoch = `${store.bootEpoch}'`;
     for (const wake of [...store.waiting]) wake();
   }
 
-  private at(machine: string): HeldEngine | undefined {
+  private at(machine: string): LongPollEngine | undefined {
     return [...this.fleet.engines.engines.values()].filter((one) => one.machine === machine && one.alive).at(-1);
   }
 
   private arrive(
     machine: string,
     headers: Readonly<Record<string, string>>,
-    sink: SendSink,
+    sink: BackEndResponseSink,
     back: (act: () => void) => void,
   ): void {
     const engine = this.at(machine);
@@ -264,7 +267,7 @@
     const turn = (): void => {
       if (gone) return;
       const free = this.freeAt.get(engine.name) ?? 0;
-      if (free > this.world.nowMicroseconds) return void this.world.plan(free - this.world.nowMicroseconds, turn);
+      if (free > this.world.nowMicroseconds) return void this.world.schedule(free - this.world.nowMicroseconds, turn);
       if (own === undefined)
         return this.runShort(
           engine,
@@ -287,7 +290,7 @@
         atMicroseconds: this.world.nowMicroseconds,
       });
       this.freeAt.set(engine.name, this.world.nowMicroseconds + takes);
-      this.world.plan(takes, () => {
+      this.world.schedule(takes, () => {
         if (gone) return;
         this.everRead.add(shared);
         this.keep(engine, shared, sharedTokens, this.options.engineTokens);
@@ -308,16 +311,16 @@
 
   /** It shares nothing, and what it leaves behind nobody is told of. */
   private runShort(
-    engine: HeldEngine,
+    engine: LongPollEngine,
     id: string,
-    sink: SendSink,
+    sink: BackEndResponseSink,
     back: (act: () => void) => void,
     gone: () => boolean,
     done: () => void,
   ): void {
     const takes = Math.round((shortTokens / tokensPerMillisecond) * 1000);
     this.freeAt.set(engine.name, this.world.nowMicroseconds + takes);
-    this.world.plan(takes, () => {
+    this.world.schedule(takes, () => {
       if (gone()) return;
       back(() =>
         sink.head({
@@ -332,41 +335,41 @@
 
   private stream(
     id: string,
-    sink: SendSink,
+    sink: BackEndResponseSink,
     back: (act: () => void) => void,
     gone: () => boolean,
     done: () => void,
   ): void {
     const piece = (number: number): void => {
       if (gone()) return;
-      back(() => void sink.part(Buffer.from(`id: ${number}\ndata: ${id}\n\n`)));
-      if (number < events) return void this.world.plan(pieceMicroseconds, () => piece(number + 1));
+      back(() => void sink.chunk(Buffer.from(`id: ${number}\ndata: ${id}\n\n`)));
+      if (number < events) return void this.world.schedule(pieceMicroseconds, () => piece(number + 1));
       done();
-      this.world.plan(pieceMicroseconds, () => back(() => sink.end()));
+      this.world.schedule(pieceMicroseconds, () => back(() => sink.end()));
     };
     piece(1);
   }
 
-  private findPart(engine: HeldEngine, shared: string, source: string): RushRun['from'] {
-    if (engine.kept.has(shared)) return touched(engine, shared) ? 'kept' : 'read';
+  private findPart(engine: LongPollEngine, shared: string, source: string): RushRun['from'] {
+    if (engine.cachedKeys.has(shared)) return touched(engine, shared) ? 'kept' : 'read';
     const holder = source === '' ? undefined : this.at(source.split(':', 1)[0] ?? '');
     return holder !== undefined && touched(holder, shared) ? 'moved' : 'read';
   }
 
   private fill(shared: string, own: string): void {
     const store = this.fleet.engines.get(storeName);
-    this.world.plan(60_000, () => {
+    this.world.schedule(60_000, () => {
       this.keep(store, shared, sharedTokens, this.options.storeTokens);
       this.keep(store, own, ownTokens, this.options.storeTokens);
     });
   }
 
   /** The part used longest ago makes room. */
-  private keep(holder: HeldEngine, part: string, size: number, room: number): void {
+  private keep(holder: LongPollEngine, part: string, size: number, room: number): void {
     if (touched(holder, part)) return;
     this.fleet.engines.keep(holder.name, part, size);
-    let kept = [...holder.kept.values()].reduce((sum, one) => sum + one, 0);
-    for (const [oldest, oldSize] of holder.kept) {
+    let kept = [...holder.cachedKeys.values()].reduce((sum, one) => sum + one, 0);
+    for (const [oldest, oldSize] of holder.cachedKeys) {
       if (kept <= room) return;
       this.fleet.engines.keep(holder.name, oldest, 0);
       kept -= oldSize;
@@ -374,7 +377,7 @@
   }
 }
 
-const touched = ({ kept }: HeldEngine, part: string): boolean => {
+const touched = ({ cachedKeys: kept }: LongPollEngine, part: string): boolean => {
   const size = kept.get(part);
   if (size === undefined) return false;
   kept.delete(part);
@@ -402,7 +405,7 @@
 export const runRush = async (seed: number, options: RushOptions = RushOptions.usual): Promise<RushOutcome> => {
   const world = new World(seed);
   const dialect = dialectWith(options);
-  const fleet = new HeldFleet(world, options.agents, { zone: '' }, dialect);
+  const fleet = new LongPollFleet(world, options.agents, { zone: '' }, dialect);
   const engineNames = fleet.addEngines(options.engines);
   fleet.engines.add(storeName, storeMachine, '', '');
   const engines = new RushEngines(world, fleet, options);
@@ -415,7 +418,7 @@
     const effects = {
       clock: process.clock,
       random: world.random,
-      transport: fleet.keepers.network.transportOf(process),
+      transport: fleet.controlFleet.network.transportOf(process),
     };
     const proxy = new EdgeProxy(
       effects,
@@ -425,7 +428,7 @@
         name,
         agentAddress: `${machine}:1`,
         // Why only there: a proxy beside an agent finds it without them.
-        ...(alone.some((one) => one.name === name) ? { seeds: fleet.keepers.seeds } : {}),
+        ...(alone.some((one) => one.name === name) ? { seeds: fleet.controlFleet.seeds } : {}),
         engineList: 'listed',
         cutsOldWeights: false,
         unsentIsFree: true,
@@ -438,10 +441,13 @@
   });
   await fleet.start();
   for (const { proxy } of proxies) proxy.start();
-  await world.runUntil(() => fleet.settled(engineNames) && proxies.every(({ proxy }) => proxy.ready()), 20_000_000);
+  await world.runUntil(
+    () => fleet.hasAllLeaseHolders(engineNames) && proxies.every(({ proxy }) => proxy.isReady()),
+    20_000_000,
+  );
   await world.runFor(2_000_000);
-  fleet.keepers.network.linkBytesPerSecond = options.linkBytesPerSecond;
-  const bytesBefore = fleet.keepers.network.bytes;
+  fleet.controlFleet.network.linkBytesPerSecond = options.linkBytesPerSecond;
+  const bytesBefore = fleet.controlFleet.network.bytes;
   const answers = new Map<string, RushAnswer>();
   const waits: number[] = [];
   const hotIds = new Set<string>();
@@ -458,7 +464,7 @@
       cut: () => undefined,
       refuse: () => undefined,
     };
-    handle?.process.enter(
+    handle?.process.execute(
       () => void handle.proxy.handle(orderOf(id, handle, [{ name: `own-${id}`, size: shortTokens }]), ignored),
     );
   };
@@ -498,21 +504,21 @@
       { name: prefix, size: sharedTokens },
       { name: `own${number}`, size: ownTokens },
     ];
-    handle.process.enter(() => void handle.proxy.handle(orderOf(id, handle, parts), sink));
+    handle.process.execute(() => void handle.proxy.handle(orderOf(id, handle, parts), sink));
   };
   const shorts = options.seconds * options.shortPerSecond;
   for (let number = 0; number < shorts; number += 1)
-    world.plan(Math.floor(((number + world.random.fraction()) * 1_000_000) / options.shortPerSecond), () =>
+    world.schedule(Math.floor(((number + world.random.fraction()) * 1_000_000) / options.shortPerSecond), () =>
       short(number),
     );
   const pause = 1_000_000 / options.ordersPerSecond;
   const orders = options.seconds * options.ordersPerSecond;
   for (let number = 0; number < orders; number += 1)
-    world.plan(Math.floor((number + world.random.fraction()) * pause), () => one(number));
+    world.schedule(Math.floor((number + world.random.fraction()) * pause), () => one(number));
   if (options.troubles) {
     const third = (options.seconds * 1_000_000) / 4;
     await world.runFor(third);
-    await fleet.name('w2');
+    await fleet.configureWeights('w2');
     await world.runFor(third);
     engines.crash('engine-3');
     fleet.engines.engines.delete('engine-3');
@@ -522,7 +528,7 @@
   }
   if (options.newWeights) {
     await world.runFor((options.seconds * 1_000_000) / 4);
-    await fleet.name('w2');
+    await fleet.configureWeights('w2');
   }
   await world.runUntil(
     () => answers.size === orders && [...answers.values()].every(({ ends }) => ends > 0),
@@ -536,7 +542,7 @@
       proxies.reduce((sum, { proxy }) => sum + proxy.metrics.value('postdrum_desk_words_total', { result }), 0),
     ]),
   );
-  const bytesPerSecond = Math.round((fleet.keepers.network.bytes - bytesBefore) / options.seconds);
+  const bytesPerSecond = Math.round((fleet.controlFleet.network.bytes - bytesBefore) / options.seconds);
   const { turnedAway } = engines;
   return { ...outcomeOf(engines.runs, answers, hotIds, waits), turnedAway, deskWords, bytesPerSecond };
 };
--- a/tests/support/sabotages.ts
+++ b/tests/support/sabotages.ts
@@ -7,7 +7,7 @@
 import { build } from 'esbuild';
 import { describe, test } from 'node:test';
 import type { FaultName } from '../../source/fleet-simulator/faults/faults';
-import type { SimShape } from '../../source/fleet-simulator/machines/simFleet';
+import type { FleetShape } from '../../source/fleet-simulator/machines/simFleet';
 import type { Ending, ScenarioOrder, ScenarioOutcome } from '../../source/fleet-simulator/faults/scenario';
 
 /** A mechanism broken on purpose, and the judge that must see it. */
@@ -22,7 +22,7 @@
   knownDays?: readonly number[];
   seeds: number;
   ending?: Ending;
-  shape?: SimShape;
+  shape?: FleetShape;
 }>;
 
 const sabotages: readonly Sabotage[] = [
@@ -34,7 +34,7 @@
     seeds: 10,
     cuts: [
       [
-        'edge-proxy/sends/runningSend.ts',
+        'edge-proxy/attempts/attempt.ts',
         'else if (this.resolved.mapping.resumable) this.retry(refusal);',
         'else if (refusal.status > 0) this.retry(refusal);',
       ],
@@ -82,10 +82,10 @@
       [
         'shared/directory/shardDirectory.ts',
         'if (head.bootEpoch === bootEpoch && head.weights === weights) return false;',
-        "if (head.bootEpoch === bootEpoch && head.weights !== '') { this.news.relabel(weights); return false; }",
+        "if (head.bootEpoch === bootEpoch && head.weights !== '') { this.index.relabel(weights); return false; }",
       ],
       [
-        'shared/directory/shardNews.ts',
+        'shared/directory/shardIndex.ts',
         'public get size(): number {',
         'public relabel(weights: string): void { this.head = { ...this.head, weights }; }\n\n  public get size(): number {',
       ],
@@ -141,7 +141,11 @@
     seeds: 40,
     cuts: [
       ['core-keeper/register/heartbeats.ts', 'void this.catchUp(statement, leader);', ''],
-      ['shared/news/newsExchange.ts', 'body.revision <= (theirs[key] ?? 0)', 'body.revision === (theirs[key] ?? 0)'],
+      [
+        'shared/gossip/gossipExchange.ts',
+        'body.revision <= (theirs[key] ?? 0)',
+        'body.revision === (theirs[key] ?? 0)',
+      ],
       ['shared/freshness/freshness.ts', 'if (revision <= (this.applied?.revision ?? -1)) return undefined;', ''],
       [
         'shared/freshness/freshness.ts',
@@ -271,9 +275,9 @@
     faults: ['brownOut'],
     seeds: 6,
     cuts: [
-      ['edge-proxy/sends/retryBudget.ts', 'if (this.balance < retryCost) return false;', ''],
+      ['edge-proxy/attempts/retryBudget.ts', 'if (this.balance < retryCost) return false;', ''],
       [
-        'edge-proxy/sends/retryBudget.ts',
+        'edge-proxy/attempts/retryBudget.ts',
         'return this.expectedBalance(withinMicroseconds) >= (this.waitingRetries + 1) * retryCost;',
         'return this.expectedBalance(withinMicroseconds) >= 0;',
       ],
@@ -332,12 +336,12 @@
     cuts: [
       // Why both: the one that answered last would be asked besides.
       [
-        'edge-proxy/feeding/feeders.ts',
+        'edge-proxy/agent-subscription/agentSelector.ts',
         'const further = isStale ? available[1] : undefined;',
         'const further = undefined;',
       ],
       [
-        'edge-proxy/feeding/feeders.ts',
+        'edge-proxy/agent-subscription/agentSelector.ts',
         'const first = available[0] ?? this.earliestRetry(order);',
         'const first = order[0];',
       ],
@@ -351,12 +355,12 @@
     seeds: 24,
     cuts: [
       [
-        'edge-proxy/holding/takePolicy.ts',
+        'edge-proxy/admission/admissionPolicies.ts',
         "if (result.kind === 'moved') return { kind: 'anew', context, refusal: result.refusal };",
         "if (result.kind === 'moved') return { kind: 'refuse', refusal: result.refusal };",
       ],
       [
-        'edge-proxy/sends/sendPolicy.ts',
+        'edge-proxy/attempts/sendPolicy.ts',
         "return { kind: 'anew', context, refusal };",
         "return { kind: 'refuse', refusal };",
       ],
@@ -375,9 +379,9 @@
         '',
       ],
       [
-        'edge-proxy/sends/runningSend.ts',
-        "(kind === 'hold' ? budget.mayHope(this.dependencies.holdingLeft(context)) : budget.spend())",
-        "kind === 'again' && budget.spend()",
+        'edge-proxy/attempts/attempt.ts',
+        "(kind === 'hold' ? budget.canExpectAnotherRetry(this.dependencies.remainingQueueMicroseconds(context)) : budget.trySpend())",
+        "kind === 'again' && budget.trySpend()",
       ],
     ],
   },
@@ -400,14 +404,14 @@
     what: 'places in a class are not given back',
     faults: ['storeEmptied'],
     seeds: 2,
-    cuts: [['edge-proxy/holding/takeDesk.ts', 'queue.running -= 1;', '']],
+    cuts: [['edge-proxy/admission/admissionQueue.ts', 'queue.running -= 1;', '']],
   },
   {
     point: 'neverAnswered',
     what: 'who waits too long is forgotten',
     faults: ['brownOut', 'coreCutFromEdges'],
     seeds: 6,
-    cuts: [['edge-proxy/holding/takeDesk.ts', 'entry.settle(result);', '']],
+    cuts: [['edge-proxy/admission/admissionQueue.ts', 'entry.settle(result);', '']],
   },
   {
     point: 'noRetryAfter',
@@ -480,9 +484,7 @@
     what: 'conns that were forgotten while idle count as failures of their engine',
     faults: ['connsForgotten'],
     seeds: 6,
-    cuts: [
-      ['edge-proxy/sends/runningSend.ts', 'forgotten !== true);', "forgotten !== true || kind === 'mayHaveRun');"],
-    ],
+    cuts: [['edge-proxy/attempts/attempt.ts', 'forgotten !== true);', "forgotten !== true || kind === 'mayHaveRun');"]],
   },
 ];
 
@@ -490,13 +492,13 @@
 export const demandSabotages: readonly Readonly<{ what: string; cuts: Cuts }>[] = [
   {
     what: 'no proxy tells the fleet what it is asked for',
-    cuts: [['edge-proxy/demand/demandTeller.ts', 'if (!PrefixDemand.isFact(fact)) return;', 'return;']],
+    cuts: [['edge-proxy/demand/demandPublisher.ts', 'if (!PrefixDemand.isEntry(fact)) return;', 'return;']],
   },
   {
     what: 'a store is sent every prefix that is read',
     cuts: [
       [
-        'edge-proxy/fetch/partsPlanner.ts',
+        'edge-proxy/cache-imports/partsPlanner.ts',
         'const fills = isAskedAgain || this.demand.isWanted(keys.prefix());',
         'const fills = true;',
       ],
@@ -577,8 +579,8 @@
               ending: sabotage.ending ?? 'healed',
               shape: sabotage.shape,
             })
-            .catch((error: unknown) => ({ broken: [{ point: `threw ${String(error)}`, text: '' }] }));
-          seen.push(...outcome.broken.map(({ point }) => point));
+            .catch((error: unknown) => ({ broken: [{ invariant: `threw ${String(error)}`, text: '' }] }));
+          seen.push(...outcome.broken.map(({ invariant: point }) => point));
         }
         end();
         assert.ok(
--- a/tests/support/handClock.ts
+++ b/tests/support/timerlessClock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../source/shared/effects/clock/clock';
 
 /** A clock whose time the test sets; its timers never fire. */
-export const handClock = (): Clock & { now: number } => {
+export const timerlessClock = (): Clock & { now: number } => {
   const clock = {
     now: 0,
     nowMicroseconds: () => clock.now,
--- a/tests/unused-duties-pruned.test.ts
+++ b/tests/unused-duties-pruned.test.ts
@@ -92,7 +92,7 @@
   }>;
   const openVoter = async (world: World, disk: SimDisk, isNew: boolean): Promise<VoterHarness> => {
     const process = new SimProcess(world, 'k', '10.0.0.1');
-    const ledger = new WriteAheadLog(disk.of(process), world.clock, () => undefined, 20_000);
+    const ledger = new WriteAheadLog(disk.diskFor(process), world.clock, () => undefined, 20_000);
     const settle = async <Result>(work: Promise<Result>): Promise<Result> => {
       const [result] = await Promise.all([work, world.runFor(5000)]);
       return result;
--- a/tests/write-ahead-log.test.ts
+++ b/tests/write-ahead-log.test.ts
@@ -63,7 +63,7 @@
   rewriteBytes = 1_000_000,
 ): Promise<Readonly<{ ledger: WriteAheadLog; process: SimProcess; kind: string }>> => {
   const process = new SimProcess(world, 'keeper', '10.0.0.1');
-  const ledger = new WriteAheadLog(disk.of(process), process.clock, () => undefined, rewriteBytes);
+  const ledger = new WriteAheadLog(disk.diskFor(process), process.clock, () => undefined, rewriteBytes);
   let kind = '';
   void ledger.open().then((result) => {
     kind = result.kind;
@@ -85,7 +85,7 @@
       void ledger.write([promise(number)]).then((written) => {
         if (written === 'synced') syncedNumber = Math.max(syncedNumber, number);
       });
-      world.plan(Math.floor(world.random.fraction() * 200), writeNext);
+      world.schedule(Math.floor(world.random.fraction() * 200), writeNext);
     };
     writeNext();
     await world.runFor(2000 + Math.floor(world.random.fraction() * 8000));
