--- a/source/core-keeper/controlNode.ts
+++ b/source/core-keeper/controlNode.ts
@@ -29,7 +29,7 @@
 import { Elections } from './register/elections';
 import { MessageHandler } from './messages/messageHandler';
 import { ReplicaCore } from './register/replicaCore';
-import type { ChangeOrder, ChangeOutcome } from './register/messages';
+import type { ChangeRequest, ChangeOutcome } from './register/messages';
 import { Leadership } from './register/leadership';
 import { QuorumReader, type ReadOutcome } from './register/quorumReader';
 import { QuorumWatch } from './register/quorumWatch';
@@ -55,7 +55,7 @@
   public readonly metrics = new Metrics();
   private readonly registerMetrics = new RegisterMetrics(this.metrics);
   private readonly effects: Effects;
-  private readonly ledger: WriteAheadLog;
+  private readonly writeAheadLog: WriteAheadLog;
   private readonly acceptor: Acceptor;
   private readonly entryTransfer: EntryTransfer;
   private readonly standing: FleetMembership;
@@ -93,8 +93,8 @@
     this.effects = { ...baseEffects, transport };
     this.log = Logs.channel(`keeper:${settings.name}`);
     this.noticeLog = Logs.channel(`keeper:${settings.name}:notice`);
-    this.ledger = new WriteAheadLog(disk, clock, this.noticeLog, settings.rewriteBytes);
-    this.core = new ReplicaCore(settings.name, this.ledger, clock);
+    this.writeAheadLog = new WriteAheadLog(disk, clock, this.noticeLog, settings.rewriteBytes);
+    this.core = new ReplicaCore(settings.name, this.writeAheadLog, clock);
     this.acceptor = new Acceptor(this.core);
     this.entryTransfer = new EntryTransfer(this.core, this.acceptor, transport, settings.askMicroseconds);
     this.duties = new LeaseVoter(this.core, clock);
@@ -281,10 +281,10 @@
   public async start(): Promise<
     Readonly<{ kind: 'started'; address: string }> | Exclude<LogOpenOutcome, Readonly<{ kind: 'opened' }>>
   > {
-    const opened = await this.ledger.open();
+    const opened = await this.writeAheadLog.open();
     if (opened.kind !== 'opened') return opened;
-    this.ledger.notifications.on('broken', (text) => void this.events.emit('broken', text));
-    this.ledger.notifications.on('synced', (events) => {
+    this.writeAheadLog.notifications.on('broken', (text) => void this.events.emit('broken', text));
+    this.writeAheadLog.notifications.on('synced', (events) => {
       this.recentEntries.recordWritten(events);
       for (const event of events) {
         if (event.kind === 'accepted' && event.key === 'blueprint') this.weightsAges.accepted(event.entry);
@@ -294,7 +294,7 @@
     });
     this.restoreWeightsAges();
     if (opened.fresh && this.settings.isFirstStart)
-      void this.ledger.write([{ kind: 'firstStarted', seeds: this.settings.seeds }]);
+      void this.writeAheadLog.write([{ kind: 'firstStarted', seeds: this.settings.seeds }]);
     if (!opened.fresh) this.duties.delayGrants(this.settings.leaseMicroseconds);
     this.listener = await this.effects.transport.listen(
       this.settings.listenAddress || this.settings.member.address,
@@ -331,7 +331,7 @@
   public async stop(): Promise<void> {
     for (const ticker of this.tickers) ticker.stop();
     await this.listener?.close();
-    await this.ledger.close();
+    await this.writeAheadLog.close();
   }
 
   /** The current value of a key (a linearizable read), or `noMajority` if no majority responds within the limit. */
@@ -343,8 +343,8 @@
   }
 
   /** Has the leader of the key apply a change. The change id makes repeated and forwarded attempts idempotent. */
-  public change(order: ChangeOrder): Promise<ChangeOutcome> {
-    return this.changeRouter.change(order);
+  public change(request: ChangeRequest): Promise<ChangeOutcome> {
+    return this.changeRouter.change(request);
   }
 
   /** Agents that have recently contacted this node. */
@@ -399,7 +399,7 @@
   private async advanceMembership(): Promise<void> {
     const before = this.core.state.standing;
     await this.standing.step();
-    if (MemberRemoval.isRemoved(this.core)) await this.ledger.write([{ kind: 'replaced' }]);
+    if (MemberRemoval.isRemoved(this.core)) await this.writeAheadLog.write([{ kind: 'replaced' }]);
     if (before !== this.core.state.standing) await this.events.emit('standing', this.core.state.standing);
   }
 
--- a/source/core-keeper/membership/memberChanges.ts
+++ b/source/core-keeper/membership/memberChanges.ts
@@ -3,7 +3,7 @@
 import type { RequestOutcome, Message, Transport } from '../../shared/effects/transport/transport';
 import type { KeyStatement } from '../../shared/register/types';
 import type { ReplicaCore } from '../register/replicaCore';
-import type { ChangeOrder, ChangeOutcome } from '../register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../register/messages';
 import type { Leadership } from '../register/leadership';
 import { ControlResponses, type ControlResponse } from '../messages/controlResponses';
 import { LearnerProgress, type MemberReport } from './learnerProgress';
@@ -29,7 +29,7 @@
   read: (
     key: DocumentKey,
   ) => Promise<Readonly<{ kind: 'read'; revision: number; text: string }> | Readonly<{ kind: 'noMajority' }>>;
-  change: (order: ChangeOrder) => Promise<ChangeOutcome>;
+  change: (request: ChangeRequest) => Promise<ChangeOutcome>;
 }>;
 
 type Members = Readonly<Record<string, ControlNodeMember>>;
--- a/source/core-keeper/operators/operatorApiFormat.ts
+++ b/source/core-keeper/operators/operatorApiFormat.ts
@@ -2,7 +2,7 @@
 import type { ChangeForm } from '../../shared/configuration/configurationFormat';
 import type { DocumentKey } from '../../shared/configuration/types';
 import type { ReadOutcome } from '../register/quorumReader';
-import type { ChangeOrder, ChangeOutcome } from '../register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../register/messages';
 
 /** A route of the operator API that changes a document: HTTP method and path, document key and form of the change. */
 export type ChangeRoute = Readonly<{
@@ -28,7 +28,7 @@
 
 /** A change parsed from an HTTP call, or the response that refuses the call. */
 export type ParsedChange =
-  Readonly<{ kind: 'order'; order: ChangeOrder }> | Readonly<{ kind: 'refused'; answer: ApiResponse }>;
+  Readonly<{ kind: 'order'; order: ChangeRequest }> | Readonly<{ kind: 'refused'; answer: ApiResponse }>;
 
 /** One format of the operator API: its routes, and how calls are parsed and responses written. It makes no decisions. */
 export interface OperatorApiFormat {
--- a/source/core-keeper/register/changeFetcher.ts
+++ b/source/core-keeper/register/changeFetcher.ts
@@ -1,14 +1,14 @@
 import type { DocumentKey } from '../../shared/configuration/types';
 import type { Transport } from '../../shared/effects/transport/transport';
 import { ControlResponses } from '../messages/controlResponses';
-import type { ChangeOrder, ChangeOutcome, FetchChange, FetchedChange } from './messages';
+import type { ChangeRequest, ChangeOutcome, FetchChange, FetchedChange } from './messages';
 
 /** What the fetcher needs from its control node. */
 export type FetchingNode = Readonly<{
   fleet: () => string;
   ledKeys: () => readonly DocumentKey[];
   /** Makes the change on this replica only; undefined if it does not lead the key. */
-  changeAsLeader: (order: ChangeOrder) => Promise<ChangeOutcome | undefined>;
+  changeAsLeader: (request: ChangeRequest) => Promise<ChangeOutcome | undefined>;
 }>;
 
 /** Fetches changes that members could not deliver to this leader, applies them and reports their outcomes. */
--- a/source/core-keeper/register/changeRouter.ts
+++ b/source/core-keeper/register/changeRouter.ts
@@ -3,7 +3,7 @@
 import type { Random } from '../../shared/effects/random/random';
 import type { RequestOutcome, Transport } from '../../shared/effects/transport/transport';
 import { ControlResponses } from '../messages/controlResponses';
-import type { ChangeOrder, ChangeOutcome } from './messages';
+import type { ChangeRequest, ChangeOutcome } from './messages';
 import type { Leadership } from './leadership';
 import type { WaitingChanges } from './waitingChanges';
 
@@ -44,7 +44,7 @@
   /** Changes requested at this node that have no outcome yet, by all fields that identify a change except its text. */
   private readonly changesInProgress = new Map<
     string,
-    Readonly<{ order: ChangeOrder; outcome: Promise<ChangeOutcome> }>
+    Readonly<{ order: ChangeRequest; outcome: Promise<ChangeOutcome> }>
   >();
 
   public constructor(
@@ -61,23 +61,23 @@
    * members know. This replica campaigns only if a majority receives no heartbeats of a leader. A change id has one outcome,
    * however often the change is forwarded.
    */
-  public change(order: ChangeOrder): Promise<ChangeOutcome> {
-    const identity = JSON.stringify([order.key, order.id, order.form, order.ifMatch, order.learner]);
+  public change(request: ChangeRequest): Promise<ChangeOutcome> {
+    const identity = JSON.stringify([request.key, request.id, request.form, request.ifMatch, request.learner]);
     const inProgress = this.changesInProgress.get(identity);
     // A repeated request waits for the attempt in progress instead of starting another one.
-    if (inProgress !== undefined && inProgress.order.text === order.text) return inProgress.outcome;
-    const outcome = this.changeNow(order).finally(() => this.changesInProgress.delete(identity));
-    this.changesInProgress.set(identity, { order, outcome });
+    if (inProgress !== undefined && inProgress.order.text === request.text) return inProgress.outcome;
+    const outcome = this.changeNow(request).finally(() => this.changesInProgress.delete(identity));
+    this.changesInProgress.set(identity, { order: request, outcome });
     return outcome;
   }
 
-  private async changeNow(order: ChangeOrder): Promise<ChangeOutcome> {
-    if (this.node.votingMembers().length > 0) return this.forwardToMembers(order);
+  private async changeNow(request: ChangeRequest): Promise<ChangeOutcome> {
+    if (this.node.votingMembers().length > 0) return this.forwardToMembers(request);
     const { clock, random } = this;
     const deadlineMicroseconds = clock.nowMicroseconds() + this.limits.changeMicroseconds;
     let mayBeAccepted = false;
     for (;;) {
-      const outcome = await this.changeOnce(order);
+      const outcome = await this.changeOnce(request);
       if (outcome !== undefined && outcome.kind !== 'unknown') return outcome;
       mayBeAccepted ||= outcome?.kind === 'unknown';
       if (clock.nowMicroseconds() >= deadlineMicroseconds)
@@ -87,28 +87,28 @@
   }
 
   /** Undefined: no replica accepted the change. `unknown`: one may have accepted it. */
-  private async changeOnce(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const leadership = this.node.leadership(order.key);
-    const forwarded = leadership.state.kind === 'owning' ? undefined : await this.changeAtLeader(order);
+  private async changeOnce(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
+    const leadership = this.node.leadership(request.key);
+    const forwarded = leadership.state.kind === 'owning' ? undefined : await this.changeAtLeader(request);
     if (forwarded !== undefined && forwarded.kind !== 'unknown') return forwarded;
-    const ownOutcome = await leadership.change(order);
+    const ownOutcome = await leadership.change(request);
     if (ownOutcome !== undefined) return ownOutcome;
-    return (await this.relayChange(order, leadership.leaderHearerAddresses)) ?? forwarded;
+    return (await this.relayChange(request, leadership.leaderHearerAddresses)) ?? forwarded;
   }
 
   /** Undefined: no leader is known, or it no longer leads. `unknown`: the leader stopped answering. */
-  private async changeAtLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const address = this.node.leaderAddress(order.key);
+  private async changeAtLeader(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
+    const address = this.node.leaderAddress(request.key);
     if (address === undefined) return undefined;
-    const changed = ControlResponses.read(await this.askLeader(order, address), 'changed');
+    const changed = ControlResponses.read(await this.askLeader(request, address), 'changed');
     return changed === undefined ? { kind: 'unknown' } : (changed.outcome ?? undefined);
   }
 
   /** If only other members can reach the leader, one of them forwards the change. */
-  private async relayChange(order: ChangeOrder, addresses: readonly string[]): Promise<ChangeOutcome | undefined> {
+  private async relayChange(request: ChangeRequest, addresses: readonly string[]): Promise<ChangeOutcome | undefined> {
     const address = addresses[Math.floor(this.random.fraction() * addresses.length)];
     if (address === undefined) return undefined;
-    const message = { kind: 'relayChange', order };
+    const message = { kind: 'relayChange', order: request };
     const changed = ControlResponses.read(
       await this.transport.ask(address, message, this.limits.passMicroseconds),
       'changed',
@@ -121,7 +121,7 @@
    * over. If its heartbeats arrive but no answer does, connections from this node may fail in one direction only, so the change is
    * offered for the leader to fetch.
    */
-  private askLeader(order: ChangeOrder, leader: string): Promise<RequestOutcome> {
+  private askLeader(request: ChangeRequest, leader: string): Promise<RequestOutcome> {
     return new Promise((resolve) => {
       let isOpen = true;
       let withdrawOffer = (): void => undefined;
@@ -132,26 +132,31 @@
       };
       const checkLeader = (): void => {
         if (!isOpen) return;
-        if (this.node.leaderAddress(order.key) !== leader) finish({ kind: 'silent', reason: 'the leader fell silent' });
+        if (this.node.leaderAddress(request.key) !== leader)
+          finish({ kind: 'silent', reason: 'the leader fell silent' });
         else this.clock.after(leaderCheckIntervalMicroseconds, checkLeader);
       };
       const offer = (): void => {
         if (!isOpen) return;
-        withdrawOffer = this.waiting.offer(order, (outcome) =>
+        withdrawOffer = this.waiting.offer(request, (outcome) =>
           finish({ kind: 'answered', message: { kind: 'changed', outcome: outcome ?? null } }),
         );
       };
       this.clock.after(leaderCheckIntervalMicroseconds, checkLeader);
       this.clock.after(this.limits.askMicroseconds, offer);
-      void this.transport.ask(leader, { kind: 'change', order }, this.limits.passMicroseconds).then(finish);
+      void this.transport.ask(leader, { kind: 'change', order: request }, this.limits.passMicroseconds).then(finish);
     });
   }
 
   /** On a standby: forwards an operator's change to the voting members. */
-  private async forwardToMembers(order: ChangeOrder): Promise<ChangeOutcome> {
+  private async forwardToMembers(request: ChangeRequest): Promise<ChangeOutcome> {
     let mayBeAccepted = false;
     for (const { address } of this.node.votingMembers()) {
-      const answer = await this.transport.ask(address, { kind: 'passChange', order }, this.limits.passMicroseconds);
+      const answer = await this.transport.ask(
+        address,
+        { kind: 'passChange', order: request },
+        this.limits.passMicroseconds,
+      );
       const outcome = ControlResponses.read(answer, 'changed')?.outcome ?? undefined;
       if (outcome !== undefined) return outcome;
       mayBeAccepted ||= answer.kind === 'silent';
@@ -160,13 +165,13 @@
   }
 
   /** Makes the change on this replica only; undefined if it does not lead the key. */
-  public async changeAsLeader(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    const leadership = this.node.leadership(order.key);
-    return leadership.state.kind === 'owning' ? leadership.change(order) : undefined;
+  public async changeAsLeader(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
+    const leadership = this.node.leadership(request.key);
+    return leadership.state.kind === 'owning' ? leadership.change(request) : undefined;
   }
 
   /** Makes a change for a member that cannot reach the leader; it is forwarded at most once. */
-  public async changeFromMember(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    return (await this.changeAsLeader(order)) ?? this.changeAtLeader(order);
+  public async changeFromMember(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
+    return (await this.changeAsLeader(request)) ?? this.changeAtLeader(request);
   }
 }
--- a/source/core-keeper/register/changes.ts
+++ b/source/core-keeper/register/changes.ts
@@ -9,7 +9,7 @@
 import type { Fault } from '../../shared/configuration/jsonDocument';
 import type { ControlNodeMembers } from '../../shared/configuration/types';
 import type { Entry } from '../../shared/register/types';
-import type { ChangeOrder, ChangeOutcome } from './messages';
+import type { ChangeRequest, ChangeOutcome } from './messages';
 import { OutcomeHistories } from './outcomeHistory';
 
 /** The entry of a key before its first change. */
@@ -46,26 +46,30 @@
 };
 
 /** Only the operators' document has dialects; the lists of engines and members always use the product's own format. */
-const applyOrder = (entry: Entry, order: ChangeOrder, dialect: ConfigurationFormat): ConfigurationChangeResult =>
-  order.key === 'blueprint'
-    ? dialect.apply(entry, order)
+const applyOrder = (entry: Entry, request: ChangeRequest, dialect: ConfigurationFormat): ConfigurationChangeResult =>
+  request.key === 'blueprint'
+    ? dialect.apply(entry, request)
     : ConfigurationFormats.applyNative(
         entry,
-        order,
-        (text) => DocumentValidation.checkText(order.key, text),
-        (text) => (order.key === 'core-members' ? memberChangeFaults(entry, text) : []),
+        request,
+        (text) => DocumentValidation.checkText(request.key, text),
+        (text) => (request.key === 'core-members' ? memberChangeFaults(entry, text) : []),
       );
 
 /** Rules for deriving the next entry of a key from a change request. */
 export const Changes = {
   /** Plans a change of the current entry: the next entry to write, or an immediate answer. A pure function. */
-  plan: (entry: Entry, order: ChangeOrder, dialect: ConfigurationFormat = nativeConfigurationFormat): PlannedChange => {
-    const remembered = OutcomeHistories.find(entry.outcomes, order);
+  plan: (
+    entry: Entry,
+    request: ChangeRequest,
+    dialect: ConfigurationFormat = nativeConfigurationFormat,
+  ): PlannedChange => {
+    const remembered = OutcomeHistories.find(entry.outcomes, request);
     if (remembered.kind === 'otherChange')
       return refusal('idUsed', [{ path: '', fault: 'this change id was used for another change' }], entry.revision);
     if (remembered.kind === 'accepted')
       return { kind: 'answer', outcome: { kind: 'taken', revision: remembered.revision } };
-    const next = applyOrder(entry, order, dialect);
+    const next = applyOrder(entry, request, dialect);
     if (next.kind === 'refused') {
       // The base is older than the remembered changes, so this change may have been accepted already. Accepted changes are never refused.
       if (next.reason === 'revision' && remembered.kind === 'forgotten')
@@ -80,9 +84,9 @@
         revision,
         digest: Digests.of(next.text),
         text: next.text,
-        outcomes: OutcomeHistories.add(entry.outcomes, order, revision),
-        ...(order.key === 'core-members' ? { base: entry.text } : {}),
-        ...(order.key === 'core-members' && order.learner !== undefined ? { learner: order.learner } : {}),
+        outcomes: OutcomeHistories.add(entry.outcomes, request, revision),
+        ...(request.key === 'core-members' ? { base: entry.text } : {}),
+        ...(request.key === 'core-members' && request.learner !== undefined ? { learner: request.learner } : {}),
       },
     };
   },
--- a/source/core-keeper/register/leadership.ts
+++ b/source/core-keeper/register/leadership.ts
@@ -15,7 +15,7 @@
 import { OutcomeHistories } from './outcomeHistory';
 import { PrepareRound } from './prepareRound';
 import { PreVote, type PreVoteSettings } from './preVote';
-import type { ChangeOrder, ChangeOutcome, LeaderStatement } from './messages';
+import type { ChangeRequest, ChangeOutcome, LeaderStatement } from './messages';
 import type { CampaignReason, RegisterMetrics, RoundOutcome, RoundPurpose } from './registerMetrics';
 
 /** The state of a replica's leadership of one key; `owning` means that it leads. */
@@ -153,8 +153,8 @@
     });
   }
 
-  public change(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
-    return this.runSerially(() => this.changeNow(order));
+  public change(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
+    return this.runSerially(() => this.changeNow(request));
   }
 
   private transition(event: LeadershipEvent): void {
@@ -260,11 +260,11 @@
   }
 
   /** Undefined: this replica does not lead and may not. `unknown`: it lost the leadership and its entry may still be decided. */
-  private async changeNow(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+  private async changeNow(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
     const deadlineMicroseconds = this.clock.nowMicroseconds() + this.settings.changeMicroseconds;
     let mayBeAccepted = false;
     while (await this.acquireNow()) {
-      const attempt = await this.changeAsLeader(order);
+      const attempt = await this.changeAsLeader(request);
       if (attempt.kind === 'answer') return attempt.outcome;
       mayBeAccepted ||= attempt.mayBeAccepted;
       // The entry may be held by a minority, and only a new epoch can determine whether it is decided.
@@ -275,10 +275,10 @@
     return mayBeAccepted ? { kind: 'unknown' } : undefined;
   }
 
-  private async changeAsLeader(order: ChangeOrder): Promise<LedChange> {
+  private async changeAsLeader(request: ChangeRequest): Promise<LedChange> {
     if (this.current.kind !== 'owning') return { kind: 'deposed', mayBeAccepted: false };
     const { entry } = this.current;
-    const planned = Changes.plan(entry, order, this.settings.dialect);
+    const planned = Changes.plan(entry, request, this.settings.dialect);
     if (planned.kind === 'answer') {
       // A deposed leader could answer with a wrong refusal or an outdated outcome, so the leadership is confirmed first.
       const isConfirmed = (await this.replicate(entry, 'confirm')) === 'reached';
--- a/source/core-keeper/register/messages.ts
+++ b/source/core-keeper/register/messages.ts
@@ -20,7 +20,7 @@
 export type ConfirmAnswer = AcceptAnswer | ControlResponse<'behind'>;
 
 /** `learner`, only for `core-members`: the joining member that must catch up before the previous list stops counting. */
-export type ChangeOrder = ValueOf<typeof ChangeOrderSchema>;
+export type ChangeRequest = ValueOf<typeof ChangeOrderSchema>;
 export type ChangeOutcome = ValueOf<typeof ChangeOutcomeSchema>;
 
 /** What a leader announces about a key in its heartbeats. */
--- a/source/core-keeper/register/waitingChanges.ts
+++ b/source/core-keeper/register/waitingChanges.ts
@@ -1,11 +1,11 @@
 import type { DocumentKey } from '../../shared/configuration/types';
 import type { Message } from '../../shared/effects/transport/transport';
-import type { ChangeOrder, ChangeOutcome, FetchChange } from './messages';
+import type { ChangeRequest, ChangeOutcome, FetchChange } from './messages';
 
 /** Further changes are not offered to the leader; their requests are only retried. */
 const maxWaitingChanges = 64;
 
-type WaitingChange = Readonly<{ order: ChangeOrder; onOutcome: (outcome: ChangeOutcome | undefined) => void }>;
+type WaitingChange = Readonly<{ order: ChangeRequest; onOutcome: (outcome: ChangeOutcome | undefined) => void }>;
 
 /**
  * Changes that this member could not deliver to the leader of their key. The leader fetches them over a connection that it opens
@@ -16,11 +16,11 @@
   private lastNumber = 0;
 
   /** Offers a change to the leader. `onOutcome` receives its outcome, undefined if it no longer leads. The result withdraws the offer. */
-  public offer(order: ChangeOrder, onOutcome: (outcome: ChangeOutcome | undefined) => void): () => void {
+  public offer(request: ChangeRequest, onOutcome: (outcome: ChangeOutcome | undefined) => void): () => void {
     if (this.waiting.size >= maxWaitingChanges) return () => undefined;
     this.lastNumber += 1;
     const number = this.lastNumber;
-    this.waiting.set(number, { order, onOutcome });
+    this.waiting.set(number, { order: request, onOutcome });
     return () => void this.waiting.delete(number);
   }
 
--- a/source/edge-agent/engine-control/pollingEngineController.ts
+++ b/source/edge-agent/engine-control/pollingEngineController.ts
@@ -43,7 +43,7 @@
     private readonly facts: GossipStore,
     shards: ShardCatalog,
     private readonly freshness: Freshness,
-    private readonly pulses: HolderHeartbeats,
+    private readonly heartbeats: HolderHeartbeats,
     private readonly clock: Clock,
     private readonly settings: PollingControllerSettings,
     kind: Engine['kind'],
@@ -99,7 +99,8 @@
     if (!this.holdsLease()) return;
     this.publishStatus(engine, drained ? { ...status, accepting: false } : status);
     // Not while the weights change: no proxy may reference cached blocks of an engine that is about to run other weights.
-    if (!this.isChangingWeights) this.pulses.recordContact(this.name, this.term, this.shard.epoch, sentMicroseconds);
+    if (!this.isChangingWeights)
+      this.heartbeats.recordContact(this.name, this.term, this.shard.epoch, sentMicroseconds);
     this.shard.abandonFills(this.clock.nowMicroseconds() - fillTimeoutMicroseconds);
     this.fenceIfQuarantineFills();
     await this.readEvents(engine);
--- a/source/edge-agent/leases/leaseManager.ts
+++ b/source/edge-agent/leases/leaseManager.ts
@@ -42,7 +42,7 @@
     private readonly facts: GossipStore,
     private readonly shards: ShardCatalog,
     private readonly freshness: Freshness,
-    private readonly pulses: HolderHeartbeats,
+    private readonly heartbeats: HolderHeartbeats,
     private readonly backEnds: BackEndControl,
     private readonly effects: Effects,
     private readonly settings: LeaseManagerSettings,
@@ -171,7 +171,7 @@
   }
 
   private createController(name: string, term: number, holdsLease: () => boolean, engine: Engine): EngineController {
-    const { backEnds, facts, shards, freshness, pulses, log, settings } = this;
+    const { backEnds, facts, shards, freshness, heartbeats: heartbeats, log, settings } = this;
     const { clock } = this.effects;
     if (backEnds.traits?.holdsEvents === true)
       return new LongPollEngineController(
@@ -199,7 +199,7 @@
       facts,
       shards,
       freshness,
-      pulses,
+      heartbeats,
       clock,
       { askMicroseconds: settings.askMicroseconds, unreachableAfter: 2 },
       engine.kind,
--- a/source/edge-proxy/admission/admissionPolicies.ts
+++ b/source/edge-proxy/admission/admissionPolicies.ts
@@ -11,18 +11,18 @@
   take: (queue: AdmissionQueue, identifier: RequestIdentifier, budgetOf: (service: string) => RetryBudget): Policy => ({
     name: 'take',
     apply: async (context) => {
-      const { resolved, order, answer, keepsQueuePosition: turnKept, owesRetryBudget: owesSend } = context;
+      const { resolved, request, answer, keepsQueuePosition: turnKept, owesRetryBudget: owesSend } = context;
       if (resolved === undefined) throw new Error('no mapping resolved');
       const budget = budgetOf(resolved.mapping.service);
       const admission = queue.admit({
         service: resolved.mapping.service,
         className: resolved.mapping.class,
         tenant: resolved.tenant,
-        arrivedMicroseconds: order.arrivedMicroseconds,
-        limitMicroseconds: RequestLimits.of(order, resolved.mapping),
+        arrivedMicroseconds: request.arrivedMicroseconds,
+        limitMicroseconds: RequestLimits.of(request, resolved.mapping),
         keepsQueuePosition: turnKept,
         onClientGone: answer.onClientGone,
-        revalidate: () => identifier.revalidate(order, resolved),
+        revalidate: () => identifier.revalidate(request, resolved),
         // A retry spends from the budget when it starts; until then other requests may go first.
         tryStart: () => !owesSend || budget.trySpend(),
         refusalIfTooLate: (remainingMicroseconds) =>
--- a/source/edge-proxy/admission/admissionQueue.ts
+++ b/source/edge-proxy/admission/admissionQueue.ts
@@ -189,11 +189,11 @@
     );
   }
 
-  private refusalOnArrival(order: AdmissionRequest, queue: ClassQueue, settings: ServiceClass): Refusal | undefined {
+  private refusalOnArrival(request: AdmissionRequest, queue: ClassQueue, settings: ServiceClass): Refusal | undefined {
     // A request that is queued again was accepted before, and its time limit keeps running.
-    if (order.keepsQueuePosition) return undefined;
+    if (request.keepsQueuePosition) return undefined;
     if (queue.queued >= settings.holdingMost)
-      return Refusals.make(503, 'notRun', 'holdingFull', 'Too many orders wait.', this.retryAfterEstimate(order));
+      return Refusals.make(503, 'notRun', 'holdingFull', 'Too many orders wait.', this.retryAfterEstimate(request));
     const wait = this.expectedWaitMicroseconds(queue, queue.queued);
     // Refused on arrival because queueing it until its limit and refusing it then only costs the client time.
     return wait > settings.holdingLimitMicroseconds
@@ -202,7 +202,7 @@
           'notRun',
           'holdingFull',
           'So many orders wait that its limit would pass.',
-          this.retryAfterEstimate(order),
+          this.retryAfterEstimate(request),
         )
       : undefined;
   }
--- a/source/edge-proxy/attempts/attempt.ts
+++ b/source/edge-proxy/attempts/attempt.ts
@@ -104,7 +104,7 @@
 
   public run(): Promise<PolicyResult> {
     const { dependencies, context, placed, fetch } = this;
-    const { order, answer } = context;
+    const { request, answer } = context;
     dependencies.publishNotes(fetch.startNotes);
     this.loadAtStart = {
       pendingPrefillTokens: dependencies.view.work.of(placed.engine).pendingPrefillTokens,
@@ -112,9 +112,9 @@
     };
     dependencies.view.recordSendStart(placed.engine);
     dependencies.view.work.recordSendStart(placed.engine, placed.bootEpoch, {
-      order: order.id,
+      order: request.id,
       tokensToPrefill: placed.tokensToPrefill ?? 0,
-      tokens: (order.promptTokens ?? 0) + (order.maxOutputTokens ?? 0),
+      tokens: (request.promptTokens ?? 0) + (request.maxOutputTokens ?? 0),
       fills: fetch.fills,
     });
     const result = new Promise<PolicyResult>((resolve) => {
@@ -126,10 +126,10 @@
     const { cut } = dependencies.sender.send(
       {
         address: placed.address,
-        method: order.method,
-        path: order.target ?? order.path,
+        method: request.method,
+        path: request.target ?? request.path,
         headers: this.headers(),
-        body: order.body,
+        body: request.body,
         runsOnce: !this.isRepeatable(),
       },
       {
@@ -146,7 +146,7 @@
     return result.finally(() => {
       cancelLimit();
       dependencies.view.ended(placed.engine);
-      dependencies.view.work.ended(placed.engine, order.id);
+      dependencies.view.work.ended(placed.engine, request.id);
       this.notifyScheduler(false);
     });
   }
@@ -159,9 +159,9 @@
   /** How long the response may still take, by the limits of the service, the mapping and the client. */
   private remainingMicroseconds(): number {
     const { service, mapping } = this.resolved;
-    const { order } = this.context;
-    const elapsedMicroseconds = this.dependencies.clock.nowMicroseconds() - order.arrivedMicroseconds;
-    return Math.min(service.answerLimitMicroseconds, RequestLimits.of(order, mapping) - elapsedMicroseconds);
+    const { request } = this.context;
+    const elapsedMicroseconds = this.dependencies.clock.nowMicroseconds() - request.arrivedMicroseconds;
+    return Math.min(service.answerLimitMicroseconds, RequestLimits.of(request, mapping) - elapsedMicroseconds);
   }
 
   /**
@@ -177,7 +177,7 @@
     ) {
       // When a frozen engine resumes, it would still find the request on its connection, long after the configuration
       // under which it was admitted has changed.
-      const validity = this.dependencies.identifier.revalidate(this.context.order, this.resolved);
+      const validity = this.dependencies.identifier.revalidate(this.context.request, this.resolved);
       const revocation = validity.kind === 'refuse' ? validity.refusal : undefined;
       const isUnlisted = !this.dependencies.view.isListed(this.resolved.mapping.service, this.placed.engine);
       if ((revocation !== undefined && revocation.code !== 'notFresh') || validity.kind === 'moved' || isUnlisted) {
@@ -217,23 +217,23 @@
 
   private headers(): Readonly<Record<string, string>> {
     const { target, source, salt } = this.fetch;
-    const { order } = this.context;
+    const { request } = this.context;
     const { service, mapping, tenant, trustDomain } = this.resolved;
     return this.dependencies.backEndFormat.write({
-      orderId: order.id,
-      contentType: order.contentType,
-      passed: order.passed ?? {},
+      orderId: request.id,
+      contentType: request.contentType,
+      passed: request.passed ?? {},
       tenant: tenant === '' ? undefined : tenant,
       trustDomain,
       engine: this.placed.engine,
       model: service.kind === 'pool' ? service.model : '',
       weights: this.placed.weights,
       urgency: this.dependencies.urgencyOf(this.context),
-      leftMicroseconds: Number.isFinite(RequestLimits.of(order, mapping)) ? this.remainingMicroseconds() : undefined,
+      leftMicroseconds: Number.isFinite(RequestLimits.of(request, mapping)) ? this.remainingMicroseconds() : undefined,
       salt,
       target,
       source,
-      after: this.context.after ?? order.after,
+      after: this.context.after ?? request.after,
     });
   }
 
@@ -254,7 +254,7 @@
     );
     this.meaning = meaning;
     // Checked first because nothing in a response to another request may be trusted.
-    if (meaning.orderId !== undefined && meaning.orderId !== this.context.order.id)
+    if (meaning.orderId !== undefined && meaning.orderId !== this.context.request.id)
       return this.rejectResponse('The engine gave an answer to another order.');
     if (meaning.lacksSeal) return this.rejectResponse('The engine gave an answer without its seal.');
     if (meaning.notRun !== undefined) {
@@ -341,7 +341,7 @@
   }
 
   private startResponse(): void {
-    const { answer, order } = this.context;
+    const { answer, request } = this.context;
     const { head, meaning } = this;
     if (head === undefined || meaning === undefined) return;
     this.onFirstEvent(head, meaning);
@@ -350,7 +350,7 @@
       status: head.status,
       headers: {
         ...meaning.passed,
-        ...(this.dependencies.backEndFormat.namesInstance ? { 'postdrum-order': order.id } : {}),
+        ...(this.dependencies.backEndFormat.namesInstance ? { 'postdrum-order': request.id } : {}),
         ...(this.dependencies.backEndFormat.namesInstance && head.status >= 400 ? { 'postdrum-verdict': 'ran' } : {}),
       },
     });
@@ -361,7 +361,7 @@
     if (this.sawFirstEvent) return;
     this.sawFirstEvent = true;
     const { dependencies, placed, fetch } = this;
-    if (head.status === 200) dependencies.view.work.begun(placed.engine, this.context.order.id);
+    if (head.status === 200) dependencies.view.work.begun(placed.engine, this.context.request.id);
     this.notifyScheduler(head.status === 200);
     const isConfirmed =
       head.status === 200 && meaning.bootEpoch === placed.bootEpoch && meaning.weights === placed.weights;
@@ -409,16 +409,16 @@
   private notifyScheduler(succeeded: boolean): void {
     if (this.placed.reserved !== true || this.schedulerNotified) return;
     this.schedulerNotified = true;
-    this.dependencies.scheduler.done(this.placed.engine, this.context.order.id, succeeded);
+    this.dependencies.scheduler.done(this.placed.engine, this.context.request.id, succeeded);
   }
 
   private logPrefill(elapsedMicroseconds: number): void {
     if (this.dependencies.prefillLog === undefined || this.fetch.fills.length + this.placed.cachedParts === 0) return;
     const { placed, fetch, context } = this;
-    const { order } = context;
-    const tokens = order.parts?.map(({ size }) => size).join('+') ?? '';
+    const { request } = context;
+    const tokens = request.parts?.map(({ size }) => size).join('+') ?? '';
     this.dependencies.prefillLog(
-      `Request ${order.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.cachedParts}, salt and first part ${fetch.salt}/${order.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.tokensToPrefill} tokens to prefill behind ${this.loadAtStart.pendingPrefillTokens}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - order.arrivedMicroseconds) / 1000)} ms after arrival.`,
+      `Request ${request.id} (${tokens} tokens) at ${placed.engine}: weights ${placed.weights}, cached parts ${placed.cachedParts}, salt and first part ${fetch.salt}/${request.parts?.[0]?.name ?? ''}, import from ${fetch.source?.holder ?? 'nobody'} ${fetch.move === undefined ? 'without estimate' : `expected in ${Math.round(fetch.move.microseconds / 1000)} ms`}, export to store ${fetch.target === undefined ? 'no' : 'yes'}, ${placed.tokensToPrefill} tokens to prefill behind ${this.loadAtStart.pendingPrefillTokens}, ${this.loadAtStart.inFlight} in flight; first event ${Math.round(elapsedMicroseconds / 1000)} ms after sending, sent ${Math.round((this.sentMicroseconds - request.arrivedMicroseconds) / 1000)} ms after arrival.`,
     );
   }
 
--- a/source/edge-proxy/attempts/sendPolicy.ts
+++ b/source/edge-proxy/attempts/sendPolicy.ts
@@ -56,7 +56,7 @@
     if (!fence.isFresh()) return { kind: 'refuse', refusal: identifier.notFresh() };
     if (context.answer.gone())
       return { kind: 'refuse', refusal: Refusals.make(499, 'notRun', 'userAgentGone', 'The caller left.') };
-    const validity = identifier.revalidate(context.order, resolved);
+    const validity = identifier.revalidate(context.request, resolved);
     if (validity.kind === 'refuse') return validity;
     if (validity.kind === 'moved') {
       const refusal = Refusals.make(503, 'notRun', 'mappingRemoved', 'The mapping changed again and again.', 1);
--- a/source/edge-proxy/cache-imports/fetchPlanner.ts
+++ b/source/edge-proxy/cache-imports/fetchPlanner.ts
@@ -69,7 +69,7 @@
   public constructor(
     private readonly view: EngineView,
     private readonly shards: ShardCatalog,
-    private readonly pulses: HolderHeartbeats,
+    private readonly heartbeats: HolderHeartbeats,
     private readonly speeds: LinkSpeeds,
     private readonly grants: GrantClient,
     private readonly settings: FetchSettings,
@@ -81,11 +81,11 @@
     return {
       name: 'planFetch',
       apply: async (context) => {
-        const { keys, placed, lookUp, order, resolved } = context;
+        const { keys, placed, lookUp, request, resolved } = context;
         if (keys === undefined || placed === undefined || lookUp === undefined || resolved === undefined)
           throw new Error('planFetch runs before a request is resolved and placed');
         // Nothing is awaited here: the names of parts are derived and not allocated, so no grant has to be requested.
-        if (order.parts !== undefined)
+        if (request.parts !== undefined)
           return {
             kind: 'onward',
             context: { ...context, fetch: this.parts.plan(placed, resolved, keys, lookUp) },
@@ -93,7 +93,7 @@
         const fetch =
           keys.blocks === 0
             ? noFetch
-            : await this.plan(`${order.id}.${context.sends}`, placed, keys.keysFor(placed.weights), lookUp);
+            : await this.plan(`${request.id}.${context.sends}`, placed, keys.keysFor(placed.weights), lookUp);
         return { kind: 'onward', context: { ...context, fetch } };
       },
     };
@@ -107,7 +107,7 @@
       present !== undefined &&
       present.term === under.term &&
       present.epoch === under.epoch &&
-      this.pulses.isFresh(under.holder, under.term, under.epoch)
+      this.heartbeats.isFresh(under.holder, under.term, under.epoch)
     );
   }
 
@@ -132,7 +132,7 @@
       head === undefined ||
       head.bootEpoch !== placed.bootEpoch ||
       head.weights !== placed.weights ||
-      !this.pulses.isFresh(placed.engine, head.term, head.epoch)
+      !this.heartbeats.isFresh(placed.engine, head.term, head.epoch)
     )
       return noFetch;
     const newKeys = HashChains.withFillNames(keys, fill);
--- a/source/edge-proxy/edgeProxy.ts
+++ b/source/edge-proxy/edgeProxy.ts
@@ -193,18 +193,18 @@
   private readonly facts = new GossipStore();
   private readonly shards = new ShardCatalog();
   private readonly stalenessGuard: StalenessGuard;
-  private readonly pulses: HolderHeartbeats;
+  private readonly heartbeats: HolderHeartbeats;
   private readonly view: EngineView;
   private readonly demand: DemandView;
   private readonly queue: AdmissionQueue;
   private readonly sends: SendPolicy;
   private readonly pipeline: Pipeline;
   private readonly exchange: GossipExchange;
-  private readonly lanes: ReservedEngines;
+  private readonly reservedEngines: ReservedEngines;
   private readonly speeds: LinkSpeeds;
   private readonly readSpeeds: PrefillSpeeds;
-  private readonly feeders: AgentSelector;
-  private readonly feedWatch: SubscriptionMonitor;
+  private readonly agentSelector: AgentSelector;
+  private readonly subscriptionMonitor: SubscriptionMonitor;
   private readonly standstills: StallMonitor;
   private readonly seedContacts: SeedSelector;
   private readonly ownFacts: ProxyFacts;
@@ -228,7 +228,7 @@
     this.effects = { ...effects, transport: new FleetTransport(effects.transport, () => this.fleet.name) };
     this.log = Logs.channel(`proxy:${settings.name}`);
     this.freshness = new Freshness(clock, dialect, settings.engineList);
-    this.pulses = new HolderHeartbeats(clock);
+    this.heartbeats = new HolderHeartbeats(clock);
     this.stalenessGuard = new StalenessGuard(
       this.freshness,
       clock,
@@ -254,8 +254,8 @@
     // The initial value is 1000 because these are ratios of the measured import time to the expected one, in per mille.
     const moves = new PartImports(this.view, new LinkSpeeds(1000, 4096), settings.partImports);
     this.readSpeeds = readSpeeds;
-    this.lanes = new ReservedEngines(clock, settings.lanes);
-    const desk = new SchedulerClient(
+    this.reservedEngines = new ReservedEngines(clock, settings.lanes);
+    const schedulerClient = new SchedulerClient(
       this.effects.transport,
       clock,
       () => this.view.others.listHolder()?.address,
@@ -264,7 +264,7 @@
       Logs.channel('desk'),
     );
     this.speeds = new LinkSpeeds(settings.importMicrosecondsPerBlock, 4096);
-    this.feedWatch = new SubscriptionMonitor(clock, this.metrics, this.notice);
+    this.subscriptionMonitor = new SubscriptionMonitor(clock, this.metrics, this.notice);
     this.standstills = new StallMonitor(clock, this.notice);
     this.exchange = new GossipExchange(
       {
@@ -272,21 +272,21 @@
         facts: this.facts,
         shards: this.shards,
         freshness: this.freshness,
-        pulses: this.pulses,
+        pulses: this.heartbeats,
       },
       this.effects,
-      (document) => this.feedWatch.recordDocument(document),
+      (document) => this.subscriptionMonitor.recordDocument(document),
     );
-    this.feeders = new AgentSelector(settings, clock, () => this.view.others.agents());
+    this.agentSelector = new AgentSelector(settings, clock, () => this.view.others.agents());
     this.seedContacts = new SeedSelector(clock, this.fleet, settings);
     this.ownFacts = new ProxyFacts(
       settings.name,
       this.facts,
       clock,
       () => this.view.proxies(),
-      () => this.feeders.agent,
+      () => this.agentSelector.agent,
     );
-    this.notes = new NoteSender(clock, this.effects.transport, () => this.feeders.address, settings);
+    this.notes = new NoteSender(clock, this.effects.transport, () => this.agentSelector.address, settings);
     this.queue = new AdmissionQueue(
       clock,
       this.view,
@@ -297,7 +297,7 @@
     const planner = new FetchPlanner(
       this.view,
       this.shards,
-      this.pulses,
+      this.heartbeats,
       this.speeds,
       { grant: (engine, fill, epoch, keys) => this.grant(engine, fill, epoch, keys) },
       { ...settings, margin: settings.importMargin },
@@ -309,7 +309,7 @@
       backEndFormat: backEnds,
       importDurations: moves,
       prefillSpeeds: readSpeeds,
-      scheduler: desk,
+      scheduler: schedulerClient,
       cutsResponsesOnOldWeights: settings.cutsOldWeights,
       silentMicroseconds: settings.silentMicroseconds,
       urgencyOf: ({ resolved }) => this.freshness.blueprint?.classes[resolved?.mapping.class ?? '']?.rank,
@@ -324,15 +324,15 @@
       log: this.log,
       prefillLog: Logs.isOn('reads') ? Logs.channel('reads') : undefined,
       budgetOf: (service) => this.budgetOf(service),
-      remainingQueueMicroseconds: ({ order, resolved }) =>
+      remainingQueueMicroseconds: ({ request, resolved }) =>
         this.queue.remainingQueueMicroseconds(resolved?.mapping.class ?? '', {
-          arrivedMicroseconds: order.arrivedMicroseconds,
-          limitMicroseconds: RequestLimits.of(order, resolved?.mapping),
+          arrivedMicroseconds: request.arrivedMicroseconds,
+          limitMicroseconds: RequestLimits.of(request, resolved?.mapping),
         }),
       publishNotes: (notes) => this.notes.send(notes),
       maxAttempts: settings.mostSends,
       isPlanValid: (fetch) => planner.isStillValid(fetch),
-      seenAgeMicroseconds: (engine) => this.pulses.ageMicroseconds(engine),
+      seenAgeMicroseconds: (engine) => this.heartbeats.ageMicroseconds(engine),
     });
     const traceLog = Logs.isOn('requests') ? Logs.channel('requests') : undefined;
     this.pipeline = new Pipeline(
@@ -353,8 +353,8 @@
             readSpeeds,
             random,
             settings.zone,
-            this.lanes,
-            desk,
+            this.reservedEngines,
+            schedulerClient,
             settings.workPlacement,
             this.demand,
             this.metrics,
@@ -457,10 +457,10 @@
     if (sentence !== undefined) this.notice(sentence);
   }
 
-  public async handle(order: ProxyRequest, answer: ResponseSink): Promise<void> {
+  public async handle(request: ProxyRequest, answer: ResponseSink): Promise<void> {
     this.metrics.count('postdrum_orders_total');
     const refusal: Refusal | undefined = await this.pipeline.run({
-      order,
+      request: request,
       answer,
       sends: 0,
       rounds: 0,
@@ -483,22 +483,25 @@
       engines: this.view.loads(),
       ...this.queue.loads(),
       work: this.view.work.sums(),
-      mix: this.lanes.mixes(),
+      mix: this.reservedEngines.mixes(),
       ...this.view.outliers.reportToPublish(),
     });
     this.ownFacts.publishDemand(this.demand.countsToPublish().demand);
     const subscription = { proxy: this.settings.name, facts: this.ownFacts.ownFacts(), omits: omittedKinds };
     const isStale = this.freshness.ageMicroseconds() > staleMicroseconds;
-    const seed = this.feeders.needsSeed ? this.seedContacts.next() : undefined;
+    const seed = this.agentSelector.needsSeed ? this.seedContacts.next() : undefined;
     const asked = this.effects.clock.nowMicroseconds();
     await Promise.all([
-      ...this.feeders.targets(isStale).map((address) => this.updateFrom(address, subscription)),
+      ...this.agentSelector.targets(isStale).map((address) => this.updateFrom(address, subscription)),
       ...(seed === undefined ? [] : [this.askSeed(seed)]),
     ]);
     const applied = this.freshness.revision('blueprint');
     this.updateTookMicroseconds = this.effects.clock.nowMicroseconds() - asked;
-    this.feedWatch.checkAge(this.freshness.ageMicroseconds(), applied);
-    this.feedWatch.checkRevision(applied, this.freshness.wanted().find(({ key }) => key === 'blueprint')?.revision);
+    this.subscriptionMonitor.checkAge(this.freshness.ageMicroseconds(), applied);
+    this.subscriptionMonitor.checkRevision(
+      applied,
+      this.freshness.wanted().find(({ key }) => key === 'blueprint')?.revision,
+    );
     const listed = this.freshness.engines?.engines;
     if (listed !== undefined) {
       const holders = [...Object.keys(listed), ...Object.keys(this.freshness.blueprint?.stores ?? {})];
@@ -531,8 +534,8 @@
     let isAnswered = false;
     const learn = (message: Message): void => {
       isAnswered = true;
-      this.feedWatch.recordRequest(address, true, clock.nowMicroseconds() - asked);
-      this.feeders.recordAnswer(address);
+      this.subscriptionMonitor.recordRequest(address, true, clock.nowMicroseconds() - asked);
+      this.agentSelector.recordAnswer(address);
       this.learn(address, message, asked);
     };
     const request = { ...extra, loads: this.receivedLoads.position(address) };
@@ -546,8 +549,8 @@
       .finally(() => this.pendingAgents.delete(address));
     await Promise.race([exchanged, Clocks.wait(clock, feedAskMicroseconds)]);
     if (isAnswered) return;
-    this.feedWatch.recordRequest(address, false, clock.nowMicroseconds() - asked);
-    this.feeders.recordFailure(address);
+    this.subscriptionMonitor.recordRequest(address, false, clock.nowMicroseconds() - asked);
+    this.agentSelector.recordFailure(address);
   }
 
   private learn(address: string, message: Message, askedMicroseconds: number): void {
@@ -572,7 +575,7 @@
     keys: readonly NamedKey[],
   ): Promise<FillGrantAnswer> {
     const answer = await this.effects.transport.ask(
-      this.feeders.address,
+      this.agentSelector.address,
       { kind: 'grant', engine, fill, epoch, keys },
       this.settings.grantMicroseconds,
     );
--- a/source/edge-proxy/identification/requestIdentifier.ts
+++ b/source/edge-proxy/identification/requestIdentifier.ts
@@ -267,7 +267,7 @@
   identifyTenant: (identifier: RequestIdentifier): Policy => ({
     name: 'identifyTenant',
     apply: (context) => {
-      const refusal = identifier.refusalFromHead(context.order);
+      const refusal = identifier.refusalFromHead(context.request);
       return Promise.resolve(refusal === undefined ? { kind: 'onward', context } : { kind: 'refuse', refusal });
     },
   }),
@@ -276,7 +276,7 @@
   resolveMapping: (identifier: RequestIdentifier): Policy => ({
     name: 'resolveMapping',
     apply: (context) => {
-      const found = identifier.resolve(context.order);
+      const found = identifier.resolve(context.request);
       return Promise.resolve(
         found.kind === 'refuse' ? found : { kind: 'onward', context: { ...context, resolved: found.resolved } },
       );
--- a/source/edge-proxy/pipeline/pipeline.ts
+++ b/source/edge-proxy/pipeline/pipeline.ts
@@ -82,10 +82,20 @@
 
 /** The context of a request that goes back: without its slot and its engine; resolution and keys are kept only if it is queued again. */
 const returningContext = (
-  { order, answer, resolved, keys, sends, rounds, mayHaveRun, owesRetryBudget: owesSend, after }: RequestContext,
+  {
+    request: request,
+    answer,
+    resolved,
+    keys,
+    sends,
+    rounds,
+    mayHaveRun,
+    owesRetryBudget: owesSend,
+    after,
+  }: RequestContext,
   queued: boolean,
 ): RequestContext => ({
-  order,
+  request: request,
   answer,
   ...(queued ? { resolved, keys } : {}),
   sends,
--- a/source/edge-proxy/pipeline/request.ts
+++ b/source/edge-proxy/pipeline/request.ts
@@ -86,7 +86,7 @@
 
 /** State of one request on its way through the pipeline. */
 export type RequestContext = Readonly<{
-  order: ProxyRequest;
+  request: ProxyRequest;
   answer: ResponseSink;
   resolved?: ResolvedRequest;
   /** Releases the slot held in the class and the pool; called exactly once, whatever the outcome. */
--- a/source/edge-proxy/pipeline/requestTrace.ts
+++ b/source/edge-proxy/pipeline/requestTrace.ts
@@ -15,9 +15,9 @@
   public constructor(
     private readonly clock: Clock,
     private readonly log: Log,
-    { order }: RequestContext,
+    { request }: RequestContext,
   ) {
-    this.sinceMicroseconds = order.arrivedMicroseconds;
+    this.sinceMicroseconds = request.arrivedMicroseconds;
   }
 
   /** Records that a policy has finished with the request. */
@@ -28,11 +28,11 @@
   }
 
   /** Logs the trace when the request ends. */
-  public ended({ order, resolved, placed }: RequestContext, refusal: Refusal | undefined): void {
-    const elapsedMilliseconds = milliseconds(this.clock.nowMicroseconds() - order.arrivedMicroseconds);
+  public ended({ request, resolved, placed }: RequestContext, refusal: Refusal | undefined): void {
+    const elapsedMilliseconds = milliseconds(this.clock.nowMicroseconds() - request.arrivedMicroseconds);
     const outcome = refusal === undefined ? 'answered' : `refused ${refusal.status} ${refusal.code}`;
     this.log(
-      `Request ${order.id} (${resolved?.mapping.class ?? 'unresolved'}, ${order.promptTokens ?? 0} tokens) at ${placed?.engine ?? 'no engine'} ${outcome} after ${elapsedMilliseconds} ms: ${this.sentence()}.`,
+      `Request ${request.id} (${resolved?.mapping.class ?? 'unresolved'}, ${request.promptTokens ?? 0} tokens) at ${placed?.engine ?? 'no engine'} ${outcome} after ${elapsedMilliseconds} ms: ${this.sentence()}.`,
     );
   }
 
--- a/source/edge-proxy/placement/costPlacer.ts
+++ b/source/edge-proxy/placement/costPlacer.ts
@@ -25,8 +25,8 @@
     private readonly speeds: PrefillSpeeds,
     private readonly random: Random,
     private readonly zone: string,
-    private readonly lanes: ReservedEngines,
-    private readonly desk: SchedulerClient,
+    private readonly reservedEngines: ReservedEngines,
+    private readonly schedulerClient: SchedulerClient,
     private readonly settings: PlacementCostSettings,
     private readonly demand: DemandView,
     private readonly metrics: Metrics,
@@ -37,18 +37,18 @@
   /** Chooses an engine; undefined: there is no candidate. */
   public async place(
     candidates: readonly Candidate[],
-    order: ProxyRequest,
+    request: ProxyRequest,
     { service, mapping }: ResolvedRequest,
     keys: PromptKeys,
     lookUp: (weights: string) => LookupResult,
   ): Promise<PlacedRequest | undefined> {
-    const reserved = this.lanes.of(
+    const reserved = this.reservedEngines.of(
       mapping.service,
       candidates.map(({ name }) => name),
       this.view.others.mix(mapping.service),
       PlacementCosts.hasStaleLoads(this.view.proxies()),
     );
-    const prompt = order.promptTokens ?? (order.parts ?? []).reduce((sum, { size }) => sum + size, 0);
+    const prompt = request.promptTokens ?? (request.parts ?? []).reduce((sum, { size }) => sum + size, 0);
     const cachedByWeights = new Map<string, CachedParts>();
     const offered = candidates.map((candidate): PlacementOffer => {
       const cached = cachedByWeights.get(candidate.weights) ?? cachedPartsUnder(keys, candidate.weights, lookUp);
@@ -81,17 +81,17 @@
     const first = candidates[0];
     const places = this.placesOf(keys, offered);
     const demand = {
-      tokens: prompt + (order.maxOutputTokens ?? defaultOutputTokens),
+      tokens: prompt + (request.maxOutputTokens ?? defaultOutputTokens),
       parts: first === undefined ? [] : keys.parts(first.weights),
       zone: this.zone,
-      isShort: this.lanes.isShort((prompt * 1000) / (first === undefined ? 1 : this.speeds.of(first.name))),
+      isShort: this.reservedEngines.isShort((prompt * 1000) / (first === undefined ? 1 : this.speeds.of(first.name))),
       ...(places === undefined ? {} : { places }),
     };
     const offers = this.withCopies(offered, demand);
     const prefix = sharedPrefixOf(demand.parts);
-    const decision = demand.isShort ? undefined : await this.askScheduler(order, offers, demand, prompt, service);
+    const decision = demand.isShort ? undefined : await this.askScheduler(request, offers, demand, prompt, service);
     const scheduled = offers.find(({ name }) => name === decision?.engine);
-    if (scheduled !== undefined) await this.desk.read(prefix, decision?.waitMicroseconds ?? 0);
+    if (scheduled !== undefined) await this.schedulerClient.read(prefix, decision?.waitMicroseconds ?? 0);
     const chosen = scheduled ?? PlacementCosts.choose(offers, demand, this.random, this.settings, this.view.proxies());
     if (chosen === undefined) return undefined;
     const joinsPrefill = scheduled !== undefined && decision?.joined === true;
@@ -101,10 +101,10 @@
     const toRead = sharedIsCached
       ? Math.min(chosen.tokensToPrefill, unsharedTokens(demand.parts, prompt))
       : chosen.tokensToPrefill;
-    this.lanes.recordPlacement(
+    this.reservedEngines.recordPlacement(
       mapping.service,
       ((demand.isShort ? prompt : toRead) * 1000) / chosen.tokensPerMillisecond,
-      order.maxOutputTokens ?? defaultOutputTokens,
+      request.maxOutputTokens ?? defaultOutputTokens,
       chosen.capacity,
       demand.isShort,
     );
@@ -163,7 +163,7 @@
 
   /** The scheduler places the long requests of all proxies one after the other, so that no prefix is prefilled twice and none waits in vain. */
   private askScheduler(
-    order: ProxyRequest,
+    request: ProxyRequest,
     offers: readonly PlacementOffer[],
     demand: RequestNeeds,
     prompt: number,
@@ -171,8 +171,8 @@
   ): Promise<SchedulerDecision | undefined> {
     if (offers.length < 2) return Promise.resolve(undefined);
     const { parts } = demand;
-    return this.desk.reserve({
-      order: order.id,
+    return this.schedulerClient.reserve({
+      order: request.id,
       prefix: sharedPrefixOf(parts),
       offers: offers.map((offer): SchedulerOffer => {
         const { copyMicroseconds: copy } = offer;
--- a/source/edge-proxy/placement/placementPolicies.ts
+++ b/source/edge-proxy/placement/placementPolicies.ts
@@ -41,14 +41,14 @@
 
   public constructor(
     private readonly resolved: ResolvedRequest,
-    order: ProxyRequest,
+    request: ProxyRequest,
   ) {
     const { service } = resolved;
     this.blockChain =
-      service.kind === 'pool' && order.parts === undefined && typeof order.body === 'string'
-        ? HashChains.blocks(promptInBody(order.body), service.blockCharacters, mostBlocks)
+      service.kind === 'pool' && request.parts === undefined && typeof request.body === 'string'
+        ? HashChains.blocks(promptInBody(request.body), service.blockCharacters, mostBlocks)
         : [];
-    const parts = order.parts ?? [];
+    const parts = request.parts ?? [];
     // Without the last part: it is specific to this request, so no other request looks it up.
     const shared = parts.slice(0, -1).reduce((sum, { size }) => sum + size, 0);
     this.named = service.kind === 'pool' && shared >= minSharedTokens ? parts : [];
@@ -132,7 +132,7 @@
     apply: (context) => {
       const resolved = context.resolved;
       if (resolved === undefined) throw new Error('request has no resolved mapping');
-      const keys = context.keys ?? new PromptKeys(resolved, context.order);
+      const keys = context.keys ?? new PromptKeys(resolved, context.request);
       // Only the first time: a request that comes back from the queue has been counted already.
       if (context.keys === undefined && context.rounds === 0) onPrefix(keys.prefix());
       return Promise.resolve({ kind: 'onward', context: { ...context, keys } });
@@ -143,7 +143,7 @@
   place: ({ view, shards, placement, random, metrics, byWork }: PlacementDependencies): Policy => ({
     name: 'place',
     apply: async (context: RequestContext): Promise<PolicyResult> => {
-      const { resolved, keys, order } = context;
+      const { resolved, keys, request: order } = context;
       if (resolved === undefined || keys === undefined) throw new Error('request has no prompt keys');
       const service = resolved.mapping.service;
       const available = view.candidates(service).filter(({ name }) => !context.avoidedEngines.includes(name));
--- a/source/edge-proxy/placement/salts.ts
+++ b/source/edge-proxy/placement/salts.ts
@@ -21,13 +21,13 @@
   },
 
   /** All salts that may be in use now, with the pool on `weights` and the other pools on their intended weights. */
-  allCurrent: (blueprint: Configuration, pool: Pool, weights: string): ReadonlySet<string> => {
-    const sets = currentSalts.get(blueprint) ?? new Map<string, ReadonlySet<string>>();
-    currentSalts.set(blueprint, sets);
+  allCurrent: (configuration: Configuration, pool: Pool, weights: string): ReadonlySet<string> => {
+    const sets = currentSalts.get(configuration) ?? new Map<string, ReadonlySet<string>>();
+    currentSalts.set(configuration, sets);
     const modelKey = `${pool.model}\u0000${weights}`;
     const cached = sets.get(modelKey);
     if (cached !== undefined) return cached;
-    const { services, tenants } = blueprint;
+    const { services, tenants } = configuration;
     const domains = Identities.domains(tenants);
     const pools = Object.values(services).flatMap((service) => (service.kind === 'pool' ? [service] : []));
     const created = new Set(
--- a/source/fleet-simulator/invariants/blueprintLookup.ts
+++ b/source/fleet-simulator/invariants/blueprintLookup.ts
@@ -8,18 +8,18 @@
 
 const indexes = new WeakMap<Configuration, BlueprintIndex>();
 
-const indexOf = (blueprint: Configuration): BlueprintIndex => {
-  const cached = indexes.get(blueprint);
+const indexOf = (configuration: Configuration): BlueprintIndex => {
+  const cached = indexes.get(configuration);
   if (cached !== undefined) return cached;
   const index: BlueprintIndex = {
     tenantOfKey: new Map(
-      Object.entries(blueprint.tenants).flatMap(([tenant, { keys }]) => keys.map((key) => [key, tenant] as const)),
+      Object.entries(configuration.tenants).flatMap(([tenant, { keys }]) => keys.map((key) => [key, tenant] as const)),
     ),
     mappingAt: new Map(
-      Object.values(blueprint.mappings).map((mapping) => [`${mapping.path} ${mapping.model}`, mapping]),
+      Object.values(configuration.mappings).map((mapping) => [`${mapping.path} ${mapping.model}`, mapping]),
     ),
   };
-  indexes.set(blueprint, index);
+  indexes.set(configuration, index);
   return index;
 };
 
@@ -28,14 +28,15 @@
 
 /** Lookups in a blueprint for the invariant checkers. */
 export const ConfigurationLookup = {
-  tenantOf: (blueprint: Configuration, key: string): string | undefined => indexOf(blueprint).tenantOfKey.get(key),
+  tenantOf: (configuration: Configuration, key: string): string | undefined =>
+    indexOf(configuration).tenantOfKey.get(key),
 
-  mappingOf: (blueprint: Configuration, { path, model }: RequestTarget): Route | undefined =>
-    indexOf(blueprint).mappingAt.get(`${path} ${model}`) ?? indexOf(blueprint).mappingAt.get(`${path} `),
+  mappingOf: (configuration: Configuration, { path, model }: RequestTarget): Route | undefined =>
+    indexOf(configuration).mappingAt.get(`${path} ${model}`) ?? indexOf(configuration).mappingAt.get(`${path} `),
 
   /** Returns whether this blueprint lets a request of this client run at a back end of that service. */
-  mayRunAt: (blueprint: Configuration, called: RequestTarget, service: string): boolean =>
-    ConfigurationLookup.tenantOf(blueprint, called.key) !== undefined &&
-    ConfigurationLookup.mappingOf(blueprint, called)?.service === service &&
-    Object.hasOwn(blueprint.services, service),
+  mayRunAt: (configuration: Configuration, called: RequestTarget, service: string): boolean =>
+    ConfigurationLookup.tenantOf(configuration, called.key) !== undefined &&
+    ConfigurationLookup.mappingOf(configuration, called)?.service === service &&
+    Object.hasOwn(configuration.services, service),
 } as const;
--- a/source/fleet-simulator/invariants/invariantCheckers.ts
+++ b/source/fleet-simulator/invariants/invariantCheckers.ts
@@ -46,7 +46,7 @@
   nonce: string;
   proxy: string;
   atMicroseconds: number;
-  fits: (blueprint: Configuration) => boolean;
+  fits: (configuration: Configuration) => boolean;
   what: string;
 }>;
 
@@ -205,7 +205,8 @@
       if (!ran || call === undefined) return [];
       tally.countChecked('removed');
       const service = fleet.serviceOf(engine);
-      const allowed = (blueprint: Configuration): boolean => ConfigurationLookup.mayRunAt(blueprint, call, service);
+      const allowed = (configuration: Configuration): boolean =>
+        ConfigurationLookup.mayRunAt(configuration, call, service);
       if (
         blueprints.inEffectBetween(atMicroseconds - InvariantLimits.removalMicroseconds, atMicroseconds).some(allowed)
       )
@@ -274,8 +275,8 @@
       // App engines are skipped because no blueprint names weights for them.
       if (until === 0 || engine === fleet.appName) return [];
       tally.countChecked('oldWeights');
-      const intended = (blueprint: Configuration): boolean => {
-        const pool = blueprint.services[service];
+      const intended = (configuration: Configuration): boolean => {
+        const pool = configuration.services[service];
         return pool?.kind === 'pool' && pool.weights === weightsAtStart;
       };
       if (blueprints.inEffectBetween(until - InvariantLimits.weightsMicroseconds, until).some(intended)) return [];
--- a/source/fleet-simulator/machines/simFleet.ts
+++ b/source/fleet-simulator/machines/simFleet.ts
@@ -1,6 +1,6 @@
 import { ControlNodeDefaults } from '../../core-keeper/controlNodeSettings';
 import { ControlNode } from '../../core-keeper/controlNode';
-import type { ChangeOrder, ChangeOutcome } from '../../core-keeper/register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../../core-keeper/register/messages';
 import { AgentDefaults, EdgeAgent } from '../../edge-agent/edgeAgent';
 import { EdgeProxy, ProxyDefaults, type ProxySettings } from '../../edge-proxy/edgeProxy';
 import type {
@@ -446,7 +446,7 @@
   /** Requests a change from one control node as an operator and records the outcome that the operator receives. */
   public change(
     controlNode: SimControlNode,
-    request: Omit<ChangeOrder, 'id'> & Readonly<{ id?: string }>,
+    request: Omit<ChangeRequest, 'id'> & Readonly<{ id?: string }>,
   ): OperatorChange {
     this.changeCount += 1;
     const id = request.id ?? `change-${this.changeCount}`;
@@ -521,11 +521,11 @@
 
   /** Starts all machines, writes the first blueprint and engine list, and waits until every proxy and agent has them. */
   public async startAll(
-    blueprint: Configuration = SimBlueprints.initial('w1', this.shape.queueLimitFactor),
+    configuration: Configuration = SimBlueprints.initial('w1', this.shape.queueLimitFactor),
   ): Promise<void> {
     for (const controlNode of this.controlNodes) this.startControlNode(controlNode);
     for (const edge of this.edges) this.startEdge(edge);
-    if ((await this.changeUntilAccepted('blueprint', blueprint)) === undefined)
+    if ((await this.changeUntilAccepted('blueprint', configuration)) === undefined)
       throw new Error('the first blueprint was not taken');
     if ((await this.changeUntilAccepted('engines', this.engineList())) === undefined)
       throw new Error('the first engine list was not taken');
--- a/source/measure/hollow/hollowCore.ts
+++ b/source/measure/hollow/hollowCore.ts
@@ -1,6 +1,6 @@
 import { ControlNodeDefaults } from '../../core-keeper/controlNodeSettings';
 import { ControlNode } from '../../core-keeper/controlNode';
-import type { ChangeOrder } from '../../core-keeper/register/messages';
+import type { ChangeRequest } from '../../core-keeper/register/messages';
 import { SimDisk } from '../../fleet-simulator/world/simDisk';
 import { SimNetwork } from '../../fleet-simulator/world/simNetwork';
 import { SimProcess } from '../../fleet-simulator/world/simProcess';
@@ -51,7 +51,7 @@
     this.changes += 1;
     const read = await this.settle(keeper.read('blueprint'));
     if (read.kind !== 'read') throw new Error('no majority');
-    const order: ChangeOrder = {
+    const order: ChangeRequest = {
       key: 'blueprint',
       form: 'whole',
       text,
--- a/source/shared/gossip/gossipExchange.ts
+++ b/source/shared/gossip/gossipExchange.ts
@@ -153,12 +153,12 @@
 
   /** Answers the request of a peer. */
   public answer(message: Message): Message {
-    const { shards, freshness, pulses } = this.parts;
+    const { shards, freshness, pulses: heartbeats } = this.parts;
     const peerMarks = (message['marks'] ?? {}) as ShardPositionsByHolder;
     return {
       kind: 'newsBack',
       statements: freshness.statements(),
-      pulses: pulses.report(),
+      pulses: heartbeats.report(),
       ...this.factsFor(message),
       // Only the positions of shards of which the requesting peer has changes that are missing here.
       marks: shards.positionsBehind(peerMarks),
@@ -256,8 +256,8 @@
   }
 
   private applyMessage(message: Message, askedMicroseconds: number): void {
-    const { shards, freshness, pulses } = this.parts;
-    pulses.receive(message['pulses'], askedMicroseconds);
+    const { shards, freshness, pulses: heartbeats } = this.parts;
+    heartbeats.receive(message['pulses'], askedMicroseconds);
     const statements = message['statements'];
     if (Statements.isList(statements))
       for (const statement of statements) freshness.applyStatement(statement, askedMicroseconds);
--- a/tests/control-members.test.ts
+++ b/tests/control-members.test.ts
@@ -3,11 +3,11 @@
 import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import { MemberPlans } from '../source/core-keeper/membership/memberPlan';
-import type { ChangeOrder } from '../source/core-keeper/register/messages';
+import type { ChangeRequest } from '../source/core-keeper/register/messages';
 import { ControlFleet } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
 
-const put = (version: number, ifMatch: number, extra: Readonly<Record<string, unknown>> = {}): ChangeOrder => {
+const put = (version: number, ifMatch: number, extra: Readonly<Record<string, unknown>> = {}): ChangeRequest => {
   const text = platformDocument(version, extra);
   return { key: 'blueprint', form: 'whole', text, ifMatch, id: `put ${ifMatch} ${text}` };
 };
--- a/tests/control-random.test.ts
+++ b/tests/control-random.test.ts
@@ -3,7 +3,7 @@
 import { describe, test } from 'node:test';
 import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
-import type { ChangeOrder, ChangeOutcome } from '../source/core-keeper/register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../source/core-keeper/register/messages';
 import { Randoms } from '../source/shared/effects/random/random';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
@@ -82,7 +82,7 @@
     const sent: SentChange = { version: this.nextVersion, ifMatch, operator, outcome: undefined };
     this.sent.push(sent);
     const text = platformDocument(sent.version, { by: operator });
-    const change: ChangeOrder = { key: 'blueprint', form: 'whole', text, ifMatch, id: `${ifMatch} ${text}` };
+    const change: ChangeRequest = { key: 'blueprint', form: 'whole', text, ifMatch, id: `${ifMatch} ${text}` };
     while (!this.stopped && sent.outcome === undefined) {
       const outcome = await this.call((machine) => machine.controlNode?.change(change));
       const isKnown =
--- a/tests/control-reads.test.ts
+++ b/tests/control-reads.test.ts
@@ -3,21 +3,21 @@
 import { describe, test } from 'node:test';
 import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
-import type { ChangeOrder } from '../source/core-keeper/register/messages';
+import type { ChangeRequest } from '../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
 
 const fiveMembers = { membersWanted: 5 };
 const seeds = Number(process.env['POSTDRUM_TEST_SEEDS'] ?? 6);
 
-const orderOf = (text: string, ifMatch: number, form: ChangeOrder['form'] = 'whole'): ChangeOrder => ({
+const orderOf = (text: string, ifMatch: number, form: ChangeRequest['form'] = 'whole'): ChangeRequest => ({
   key: 'blueprint',
   form,
   text,
   ifMatch,
   id: `${form} ${ifMatch} ${text}`,
 });
-const put = (version: number, ifMatch: number): ChangeOrder => orderOf(platformDocument(version), ifMatch);
+const put = (version: number, ifMatch: number): ChangeRequest => orderOf(platformDocument(version), ifMatch);
 
 const versionIn = (text: string): number => {
   const { document } = Envelopes.open(text);
@@ -199,7 +199,7 @@
       const fleet = new ControlFleet(seed, platformConfigurationFormat, fiveMembers);
       assert.ok(await fleet.startAll(5));
       fleet.network.linkBytesPerSecond = 15_000_000;
-      const timed = async (order: ChangeOrder, machine: ControlMachine): Promise<void> => {
+      const timed = async (order: ChangeRequest, machine: ControlMachine): Promise<void> => {
         const began = fleet.world.nowMicroseconds;
         assert.equal((await fleet.change(machine, order, acknowledgeMicroseconds))?.kind, 'taken');
         assert.ok(fleet.world.nowMicroseconds - began < acknowledgeMicroseconds / 2);
--- a/tests/control-safety.test.ts
+++ b/tests/control-safety.test.ts
@@ -4,14 +4,14 @@
 import { Envelopes } from '../platform/operators/envelope';
 import { ReplicaStates, type ReplicaEvent } from '../source/core-keeper/write-ahead-log/replicaState';
 import { Changes, Digests, emptyEntry } from '../source/core-keeper/register/changes';
-import type { ChangeOrder, ChangeOutcome } from '../source/core-keeper/register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../source/core-keeper/register/messages';
 import { maxRememberedChanges } from '../source/core-keeper/register/outcomeHistory';
 import type { Entry } from '../source/shared/register/types';
 import { SimProcess } from '../source/fleet-simulator/world/simProcess';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
 
-const put = (version: number, ifMatch: number, extra: Readonly<Record<string, unknown>> = {}): ChangeOrder => {
+const put = (version: number, ifMatch: number, extra: Readonly<Record<string, unknown>> = {}): ChangeRequest => {
   const text = platformDocument(version, extra);
   return { key: 'blueprint', form: 'whole', text, ifMatch, id: `put ${ifMatch} ${text}` };
 };
@@ -143,14 +143,14 @@
 });
 
 describe('concurrent and repeated changes', () => {
-  const outcomeOfRepeat = (entry: Entry, order: ChangeOrder): ChangeOutcome | undefined => {
+  const outcomeOfRepeat = (entry: Entry, order: ChangeRequest): ChangeOutcome | undefined => {
     const planned = Changes.plan(entry, order, platformConfigurationFormat);
     return planned.kind === 'answer' ? planned.outcome : undefined;
   };
 
   test(`an accepted change is never refused when repeated, however many changes followed`, () => {
     let entry = emptyEntry;
-    const orders: ChangeOrder[] = [];
+    const orders: ChangeRequest[] = [];
     const sizes: number[] = [];
     for (let version = 1; version <= maxRememberedChanges + 200; version += 1) {
       const order = put(version * 3, (version - 1) * 3);
--- a/tests/control-unreachable-leader.test.ts
+++ b/tests/control-unreachable-leader.test.ts
@@ -7,11 +7,11 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
-import type { ChangeOrder } from '../source/core-keeper/register/messages';
+import type { ChangeRequest } from '../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './support/controlFleet';
 import { platformDocument } from './support/platformDocument';
 
-const put = (version: number): ChangeOrder => {
+const put = (version: number): ChangeRequest => {
   const text = platformDocument(version);
   return { key: 'blueprint', form: 'whole', text, ifMatch: version - 1, id: `put ${version}` };
 };
--- a/tests/platform-configuration-format.test.ts
+++ b/tests/platform-configuration-format.test.ts
@@ -4,7 +4,7 @@
 import { platformConfigurationFormat } from '../platform/operators/configurationFormat';
 import { Envelopes } from '../platform/operators/envelope';
 import { Changes, emptyEntry } from '../source/core-keeper/register/changes';
-import type { ChangeOrder } from '../source/core-keeper/register/messages';
+import type { ChangeRequest } from '../source/core-keeper/register/messages';
 import type {
   ConfigurationFormat,
   ConfigurationChangeResult,
@@ -307,11 +307,11 @@
 });
 
 describe('changes by the register', () => {
-  const order = (version: number, ifMatch: number, form: ChangeForm = 'whole'): ChangeOrder => {
+  const order = (version: number, ifMatch: number, form: ChangeForm = 'whole'): ChangeRequest => {
     const text = platformDocument(version);
     return { key: 'blueprint', form, text, ifMatch, id: `${form} ${ifMatch} ${text}` };
   };
-  const taken = (entry: Entry, next: ChangeOrder): Entry => {
+  const taken = (entry: Entry, next: ChangeRequest): Entry => {
     const planned = Changes.plan(entry, next, platformConfigurationFormat);
     assert.equal(planned.kind, 'write');
     return planned.kind === 'write' ? planned.entry : entry;
--- a/tests/queued-past-timeout.test.ts
+++ b/tests/queued-past-timeout.test.ts
@@ -40,7 +40,7 @@
   let step: PolicyResult | undefined;
   void policy
     .apply({
-      order: {
+      request: {
         arrivedMicroseconds: startedMicroseconds,
         ...(clientMicroseconds === undefined ? {} : { limitMicroseconds: clientMicroseconds }),
       },
--- a/tests/support/agentFleet.ts
+++ b/tests/support/agentFleet.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { platformConfigurationFormat } from '../../platform/operators/configurationFormat';
-import type { ChangeOrder } from '../../source/core-keeper/register/messages';
+import type { ChangeRequest } from '../../source/core-keeper/register/messages';
 import { AgentDefaults, EdgeAgent } from '../../source/edge-agent/edgeAgent';
 import { SimBackEnds } from '../../source/fleet-simulator/machines/simBackEnds';
 import { SimProcess } from '../../source/fleet-simulator/world/simProcess';
@@ -144,7 +144,7 @@
 
   /** Sends a change as an operator does: retries with the next node, after a growing pause, until there is an answer. */
   public send(first: ControlMachine, version: number, base: number): SentChange {
-    const order: ChangeOrder = {
+    const order: ChangeRequest = {
       key: 'blueprint',
       form: 'whole',
       text: documentOf(version, this.routes),
--- a/tests/support/attemptHarness.ts
+++ b/tests/support/attemptHarness.ts
@@ -107,7 +107,7 @@
       }),
     );
     const context = {
-      order: {
+      request: {
         id: 'r1',
         method: 'POST',
         path: '/p/1',
--- a/tests/support/controlFleet.ts
+++ b/tests/support/controlFleet.ts
@@ -1,6 +1,6 @@
 import { ControlNodeDefaults, type ControlNodeSettings } from '../../source/core-keeper/controlNodeSettings';
 import { ControlNode } from '../../source/core-keeper/controlNode';
-import type { ChangeOrder, ChangeOutcome } from '../../source/core-keeper/register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../../source/core-keeper/register/messages';
 import type { ReadOutcome } from '../../source/core-keeper/register/quorumReader';
 import { SimDisk } from '../../source/fleet-simulator/world/simDisk';
 import { SimNetwork } from '../../source/fleet-simulator/world/simNetwork';
@@ -131,7 +131,7 @@
   /** Sends a change to one machine; undefined: no outcome within the limit. */
   public async change(
     machine: ControlMachine,
-    order: ChangeOrder,
+    order: ChangeRequest,
     limitMicroseconds = 6_000_000,
   ): Promise<ChangeOutcome | undefined> {
     let outcome: ChangeOutcome | undefined;
@@ -160,7 +160,7 @@
   }
 
   /** Sends a change and drops the response. */
-  public sendWithoutResponse(machine: ControlMachine, order: ChangeOrder): void {
+  public sendWithoutResponse(machine: ControlMachine, order: ChangeRequest): void {
     machine.process.execute(() => void machine.controlNode?.change(order));
   }
 
@@ -173,14 +173,14 @@
   }
 
   /** Repeats the same call on one running machine after the other until its outcome is known, as operators do. */
-  public changeWithRetries(order: ChangeOrder, limitMicroseconds: number): Promise<ChangeOutcome | undefined> {
+  public changeWithRetries(order: ChangeRequest, limitMicroseconds: number): Promise<ChangeOutcome | undefined> {
     return this.changeWithRetriesAt(this.machines, order, limitMicroseconds);
   }
 
   /** Like `changeWithRetries`, but only on the given machines. */
   public async changeWithRetriesAt(
     machines: readonly ControlMachine[],
-    order: ChangeOrder,
+    order: ChangeRequest,
     limitMicroseconds: number,
   ): Promise<ChangeOutcome | undefined> {
     const until = this.world.nowMicroseconds + limitMicroseconds;
--- a/tests/support/leaderDuel.ts
+++ b/tests/support/leaderDuel.ts
@@ -1,7 +1,7 @@
 /** Scenario of incident inc1: the leader of a large configuration is unreachable while operators keep calling every member. */
 import assert from 'node:assert/strict';
 import { platformConfigurationFormat } from '../../platform/operators/configurationFormat';
-import type { ChangeOrder } from '../../source/core-keeper/register/messages';
+import type { ChangeRequest } from '../../source/core-keeper/register/messages';
 import { ControlFleet, type ControlMachine } from './controlFleet';
 import { platformDocument } from './platformDocument';
 
@@ -19,7 +19,7 @@
 };
 
 /** A change that replaces the configuration with a large document. */
-export const largePut = (version: number, ifMatch: number): ChangeOrder => {
+export const largePut = (version: number, ifMatch: number): ChangeRequest => {
   const text = largeDocument(version);
   return { key: 'blueprint', form: 'whole', text, ifMatch, id: `put ${ifMatch} ${version}` };
 };
@@ -64,7 +64,7 @@
 /** Two operators change the first version and repeat the same call until the test ends. */
 const writePeriodically = (fleet: ControlFleet): (() => void) => {
   let isOn = true;
-  const send = (order: ChangeOrder, turn: number): void => {
+  const send = (order: ChangeRequest, turn: number): void => {
     if (!isOn) return;
     const machine = fleet.machines[turn % fleet.machines.length];
     machine?.process.execute(() => void machine.controlNode?.change(order));
--- a/tests/support/model/modelReplica.ts
+++ b/tests/support/model/modelReplica.ts
@@ -5,7 +5,7 @@
 import { Acceptor } from '../../../source/core-keeper/register/acceptor';
 import { EntryTransfer } from '../../../source/core-keeper/register/entryTransfer';
 import { ReplicaCore } from '../../../source/core-keeper/register/replicaCore';
-import type { ChangeOrder, ChangeOutcome } from '../../../source/core-keeper/register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../../../source/core-keeper/register/messages';
 import { QuorumReader } from '../../../source/core-keeper/register/quorumReader';
 import { RegisterMetrics } from '../../../source/core-keeper/register/registerMetrics';
 import { Leadership } from '../../../source/core-keeper/register/leadership';
@@ -219,7 +219,7 @@
     return found;
   }
 
-  public change(order: ChangeOrder): Promise<ChangeOutcome | undefined> {
+  public change(order: ChangeRequest): Promise<ChangeOutcome | undefined> {
     return this.leadership(order.key).change(order);
   }
 
--- a/tests/support/model/registerModel.ts
+++ b/tests/support/model/registerModel.ts
@@ -2,7 +2,7 @@
  * A few replicas, a network and disks under the explorer's hand, a script of clients' calls, and what must always hold:
  * at most one change a base is confirmed, what was confirmed stays, reads never go back, nothing refused is in force.
  */
-import type { ChangeOrder, ChangeOutcome } from '../../../source/core-keeper/register/messages';
+import type { ChangeRequest, ChangeOutcome } from '../../../source/core-keeper/register/messages';
 import { ReplicaStates } from '../../../source/core-keeper/write-ahead-log/replicaState';
 import type { DocumentKey } from '../../../source/shared/configuration/types';
 import type { Message, Transport } from '../../../source/shared/effects/transport/transport';
@@ -360,7 +360,7 @@
     machine.hasLeft = true;
   }
 
-  private order({ text, ifMatch }: Extract<Call, Readonly<{ kind: 'change' }>>): ChangeOrder {
+  private order({ text, ifMatch }: Extract<Call, Readonly<{ kind: 'change' }>>): ChangeRequest {
     return { key: 'blueprint', form: 'whole', text, ifMatch, id: text };
   }
 
