--- a/tests/platform-http-formats.test.ts
+++ b/tests/platform-http-formats.test.ts
@@ -61,7 +61,7 @@
         { name: 'e4402b7d', size: 250 },
       ],
       promptTokens: 1460,
-      mostTokens: 80,
+      maxOutputTokens: 80,
       limitMicroseconds: 6_000_000,
       after: '7',
     });
--- a/tests/prompt-part-placement.test.ts
+++ b/tests/prompt-part-placement.test.ts
@@ -135,7 +135,7 @@
   PlacementCosts.choose(offers, demand, seededRandom(seed), PlacementCostSettings.usual)?.name;
 
 test('a request goes where its parts are cached, unless that engine has a long prefill queue, many requests or full memory', () => {
-  const keeps = { matched: 1, toRead: 1000 };
+  const keeps = { matched: 1, tokensToPrefill: 1000 };
   assert.equal(choose([offer('a'), offer('b', keeps), offer('c')]), 'b');
   assert.equal(choose([offer('a'), offer('b', { ...keeps, work: { pendingPrefillTokens: 40_000, tokens: 0 } })]), 'a');
   assert.equal(choose([offer('a'), offer('b', { ...keeps, inFlight: 30 })]), 'a');
