--- a/source/core-keeper/membership/memberChanges.ts
+++ b/source/core-keeper/membership/memberChanges.ts
@@ -16,7 +16,7 @@
   joins: 'named' | 'asks';
   membersWanted: number;
   askMicroseconds: number;
-  /** How long a changed list waits for its learner to catch up before it takes effect without it. */
+  /** How long a change of the list waits for its learner to catch up. After that it can be completed before the learner votes. */
   learnerTimeoutMicroseconds: number;
   /** How long a member that stops keeps voting while its successor catches up. */
   handOverLimitMicroseconds: number;
@@ -74,7 +74,7 @@
     );
   }
 
-  /** A replica without a place asks for one. It gets that of a member silent beyond doubt or leaving, or a new one. */
+  /** Adds a replica that asks to join: in place of a member that is certainly silent or is leaving, or as an additional member. */
   public async takeIn(name: string, member: ControlNodeMember): Promise<Message> {
     if (!this.core.votes() || this.settings.joins !== 'asks') return refusal;
     this.standbys.set(name, this.clock.nowMicroseconds());
@@ -94,9 +94,9 @@
   }
 
   /**
-   * Hands over at a planned stop: this member keeps voting until its successor has caught up, since it may hold one of only two copies of
-   * the last accepted value. It returns at once if there is no standby replica and all other members answer, and at the latest after the
-   * limit. It waits for a silent member because that one may hold the other copy and return without its disk.
+   * Before a planned stop, keeps this member voting until its successor has caught up, because it may hold one of only two copies of the
+   * last accepted value. Returns at once if there is no standby replica and all other members answer, and at the latest after the limit.
+   * While a member is silent it waits: that member may hold the other copy, and may return without its disk.
    */
   public async handOver(refresh: () => Promise<void>): Promise<void> {
     if (this.settings.joins !== 'asks') return;
--- a/source/core-keeper/messages/messageHandler.ts
+++ b/source/core-keeper/messages/messageHandler.ts
@@ -160,7 +160,10 @@
     return membersRevision < view.revision ? { kind: 'ballots', answers, view } : { kind: 'ballots', answers };
   }
 
-  /** Pre-vote: whether this node votes in the candidate's fleet, and whether it hears a leader other than the candidate. */
+  /**
+   * Pre-vote: whether this node votes in the candidate's fleet, and whether it hears a leader other than the candidate. The latter
+   * is also true if this node itself leads or campaigns.
+   */
   private preVote({ key, fleet, candidate }: ControlRequest<'mayLead'>): Message {
     if (!this.parts.core.votes() || !this.isOwnFleet(fleet)) return noVoteResponse;
     const wouldDepose = this.parts.leaderWatch.wouldDepose(key, candidate);
@@ -179,8 +182,8 @@
       // A standby names the members, so that a process that has reached the standby finds them.
       return { kind: 'noVote', led: this.parts.standing.followedMembers().map(({ address }) => address) };
     const response = this.parts.replicaReport.statementsAnswer();
-    // The digest leaves out the ages, which grow with time; the reader advances them itself. It includes the start time, so that
-    // the reader notices a restart, after which this node has forgotten its agent contacts.
+    // Of an age, only whether it is known counts in the digest: ages grow with time, and the reader advances them itself. The
+    // digest includes the start time, so that the reader notices a restart, after which this node has forgotten its agent contacts.
     const known = Digests.of(
       JSON.stringify([this.startedMicroseconds, response], (field, value: unknown) =>
         field === 'ageMicroseconds' ? value === null : value,
--- a/source/core-keeper/register/leadership.ts
+++ b/source/core-keeper/register/leadership.ts
@@ -96,7 +96,7 @@
     return this.current;
   }
 
-  /** Start of the current uninterrupted leadership. */
+  /** Start of the current uninterrupted leadership, or of the last one; `-Infinity` if there was none. */
   public get ledSinceMicroseconds(): number {
     return this.leadingSinceMicroseconds;
   }
@@ -143,8 +143,8 @@
   }
 
   /**
-   * The second step of a membership change: the previous list stops counting. A membership change is never rolled back instead:
-   * replicas use a list as soon as they hold it, so two lists that could both follow the same one could have disjoint majorities.
+   * The second step of a membership change: from then on only a majority of the new list is needed. A change is always completed, never
+   * undone: replicas use a list as soon as they hold it, and two lists that both follow the same one could have disjoint majorities.
    */
   public completeMemberChange(): Promise<boolean> {
     return this.runSerially(async () => {
@@ -242,7 +242,7 @@
     );
   }
 
-  /** Takes the second step of a membership change immediately if no learner has to catch up first. */
+  /** Completes a membership change immediately if no learner has to catch up first. False if the leadership was lost. */
   private async completeMemberChangeNow(): Promise<boolean> {
     if (this.key !== 'core-members' || this.current.kind !== 'owning') return true;
     const { entry } = this.current;
@@ -259,7 +259,7 @@
     return true;
   }
 
-  /** Undefined: this replica does not lead and may not. `unknown`: it lost the leadership and its entry may still be decided. */
+  /** Undefined: no entry of this request can be decided. `unknown`: the leadership was lost, and an entry may still be decided. */
   private async changeNow(request: ChangeRequest): Promise<ChangeOutcome | undefined> {
     const deadlineMicroseconds = this.clock.nowMicroseconds() + this.settings.changeMicroseconds;
     let mayBeAccepted = false;
--- a/source/edge-agent/engine-list/engineListReader.ts
+++ b/source/edge-agent/engine-list/engineListReader.ts
@@ -53,15 +53,16 @@
 const withoutLeaseRateShare = 0.25;
 const minCallsPerSecond = 0.1;
 
-/** The number of agents that are assumed to start at the same time, each knowing only itself. */
+/** The number of agents that are assumed to start at the same time; at first each knows only itself and cannot count them. */
 const agentsStartingTogether = 9;
 
 /** Revisions per lease term. All revisions of a later term are higher, so no process reverts when the holder changes. */
 const revisionsPerTerm = 2 ** 20;
 
 /**
- * Reads the external list of engines under a lease and publishes it as the key `engines` in the fleet's own format; the
- * lease holder is the only writer of that key.
+ * Reads the external list of engines and publishes it as the key `engines` in the fleet's own format. Normally only the
+ * lease holder writes that key. Without a holder, any agent whose list is missing or stale may write it; revisions of later
+ * terms override these writes.
  */
 export class EngineListReader {
   private term = 0;
@@ -87,8 +88,8 @@
   ) {
     this.lifetimes = new EngineLifetimes(() => this.settings.lagMicroseconds);
     this.rateLimiter = new CallRateLimiter(clock);
-    // The first read is delayed longer at a low call rate: agents that start together would otherwise use up the calls of
-    // a second at once.
+    // At a low call rate the first read is delayed by a longer random time: otherwise agents that start together would use
+    // up the calls of a second at once.
     const spread =
       this.rateWithoutLease() < maxCallsWithoutLeasePerSecond
         ? (agentsStartingTogether * 1_000_000) / this.rateWithoutLease()
@@ -108,7 +109,8 @@
     const term = this.leaseTerm();
     if (term === undefined && !this.shouldReadWithoutLease()) return;
     const result = await this.fetchAllPages(term);
-    // The lease is checked again because another agent may hold it by now, and the key has one writer at a time.
+    // Checked again because meanwhile the lease may have changed hands, or another agent without the lease may have
+    // published a list. Normally only the lease holder writes the key.
     if (result === undefined || !this.mayRead(term)) return;
     const { listed, requestedMicroseconds } = result;
     if (!this.accepts(listed)) return;
@@ -126,8 +128,8 @@
 
   /**
    * While no agent holds the lease, as when the control nodes are unavailable or all agents have just started, each agent
-   * reads the list itself, at long random intervals. Without a list no request is served, and a read changes nothing that
-   * other agents rely on.
+   * reads and publishes the list itself, at long random intervals, because without a list no request is served. This is
+   * safe because its revision is just above the known one: the revisions of the next lease holder are higher.
    */
   private shouldReadWithoutLease(): boolean {
     const now = this.clock.nowMicroseconds();
@@ -148,8 +150,8 @@
   }
 
   /**
-   * Waits until the rate limit allows one call. An agent without the lease uses the whole share of such agents because the
-   * random intervals let only few of them read at a time.
+   * Waits until the rate limit allows one call. Each agent without the lease may use the whole share of all such agents:
+   * they read at random intervals, so only few of them read at the same time.
    */
   private async waitForRateLimit(term: number | undefined): Promise<void> {
     const wait = this.rateLimiter.reserveCall(
@@ -230,7 +232,7 @@
     if (term !== this.term) [this.term, this.sequence, this.publishedText] = [term, 0, ''];
     const applied = this.freshness.applied('engines');
     const above = (applied?.revision ?? 0) - term * revisionsPerTerm;
-    // A revision of a later term is not exceeded: its holder takes precedence, and this lease has ended.
+    // A revision of a later term is left out: this lease has ended then, and the holder of the later term takes precedence.
     const before = above < revisionsPerTerm ? above : 0;
     const isPublished = text === this.publishedText && (before <= this.sequence || applied?.text === text);
     // The revision exceeds the applied one because an agent without the lease may have published another text under the
--- a/source/edge-agent/leases/leaseCandidacy.ts
+++ b/source/edge-agent/leases/leaseCandidacy.ts
@@ -23,9 +23,9 @@
   rankMicroseconds: number;
   /** The time after the start without candidacies. */
   settleMicroseconds: number;
-  /** A lease is handed over after another agent was first in the order for this time. */
+  /** A holder hands its lease over when another agent has been first in the rendezvous order for this time. */
   giveBackMicroseconds: number;
-  /** The interval at which a holder refreshes its gossip entry; 0: at each ballot. */
+  /** How often a holder refreshes its gossip entry when nothing else has changed; 0: at each ballot. */
   heartbeatMicroseconds: number;
 }>;
 
@@ -62,8 +62,8 @@
   }
 
   /**
-   * The least time that had passed without a directive when the term right before this one was released; 0 if not known. After an older
-   * term it is not known, because a term in between may have been held.
+   * A lower bound of the time without a directive at the release of the previous term; 0 if unknown. It is unknown if the last entry is
+   * of an older term, because an agent may have held a term in between.
    */
   public previousNoDirectiveMicroseconds(subject: LeaseSubject, term: number): number {
     const fact = this.holderOf(subject);
@@ -140,6 +140,7 @@
     this.notFirstSince.set(lease, since);
     if (now - since < this.settings.giveBackMicroseconds) return undefined;
     this.notFirstSince.delete(lease);
+    // A time in the future delays this agent's next request, so that the other agent can acquire the lease first.
     this.vacantSince.set(lease, now + this.settings.giveBackMicroseconds);
     return first;
   }
--- a/source/edge-proxy/admission/admissionQueue.ts
+++ b/source/edge-proxy/admission/admissionQueue.ts
@@ -9,7 +9,7 @@
 export type AdmissionResult =
   | Readonly<{ kind: 'taken'; release: () => void }>
   | Readonly<{ kind: 'refuse'; refusal: Refusal }>
-  /** The mapping that the request was resolved to has changed while it waited. */
+  /** The mapping or the class that the request was resolved to has changed. */
   | Readonly<{ kind: 'moved'; refusal: Refusal }>;
 
 /** A request that asks for admission to a service. */
@@ -111,7 +111,7 @@
     const arrivalRefusal = this.refusalOnArrival(request, queue, settings);
     if (arrivalRefusal !== undefined) return Promise.resolve({ kind: 'refuse', refusal: arrivalRefusal });
     return new Promise((resolve) => {
-      // Counted from arrival: a request that was resolved anew or queued again has already used part of its time.
+      // The time limit counts from arrival: a request that is resolved anew or queued again has already used part of it.
       const remainingMicroseconds = this.remainingQueueMicroseconds(className, request);
       const entry: QueuedRequest = {
         order: request,
@@ -207,7 +207,7 @@
       : undefined;
   }
 
-  /** Expected wait behind that many requests, by the recent start rate of the class; 0 if the rate is unknown. */
+  /** Expected wait with that many requests ahead, from the recent start rate of the class; 0 if none is ahead or the rate is unknown. */
   private expectedWaitMicroseconds({ startTimes }: ClassQueue, requestsAhead: number): number {
     const now = this.clock.nowMicroseconds();
     const recent = startTimes.filter((start) => now - start <= startRateWindowMicroseconds);
@@ -224,7 +224,7 @@
       queue.tenants.set(tenant, [...list, entry]);
       return;
     }
-    // The request goes to the front of all tenants: it had its turn already and failed only because its engine was full.
+    // The request and its tenant go to the front: the request already had its turn and failed only because its engine was full.
     const others = [...queue.tenants].filter(([name]) => name !== tenant);
     queue.tenants.clear();
     queue.tenants.set(tenant, [entry, ...list]);
--- a/source/edge-proxy/placement/costPlacer.ts
+++ b/source/edge-proxy/placement/costPlacer.ts
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Adds the cost of one more copy. A copy costs because the engine evicts other parts for it, which may be needed next and are then
-   * prefilled again. On an engine that should hold a copy the cost is negative: later requests find the parts there for one import now.
+   * Adds the cost of a new copy of the shared parts. The engine evicts other parts for the copy, and they must be prefilled again if they
+   * are needed next. On an engine that is meant to hold a copy, the import cost is waived instead: later requests find the parts there.
    */
   private withCopies(offers: readonly PlacementOffer[], { parts, places }: RequestNeeds): readonly PlacementOffer[] {
     const shared = parts.length - 1;
@@ -161,7 +161,10 @@
     this.metrics.count('postdrum_prefix_copies_total', { copy });
   }
 
-  /** The scheduler places the long requests of all proxies one after the other, so that no prefix is prefilled twice and none waits in vain. */
+  /**
+   * Asks the scheduler for an engine. It places the long requests of all proxies one after another, so that no prefix is prefilled twice
+   * and no request waits in vain.
+   */
   private askScheduler(
     request: ProxyRequest,
     offers: readonly PlacementOffer[],
@@ -191,7 +194,7 @@
   }
 }
 
-/** What is known of a request's parts under one weight version, by holder. */
+/** A request's parts under one weight version; `matched`: how many of them, from the first on, each holder has cached. */
 type CachedParts = Readonly<{
   parts: readonly PartKey[];
   names: readonly string[];
@@ -215,7 +218,7 @@
   };
 };
 
-/** Key of the longest prefix that a request shares with others; empty: there is none. */
+/** Key of the longest prefix that a request can share with others: all its parts except the last; empty: there is none. */
 const sharedPrefixOf = (parts: readonly PartKey[]): string => parts[parts.length - 2]?.name ?? '';
 
 /** Tokens to prefill where all shared parts are cached. */
--- a/source/shared/back-end/connection-pool/pooledSender.ts
+++ b/source/shared/back-end/connection-pool/pooledSender.ts
@@ -13,9 +13,9 @@
     idleMicroseconds: number;
     /** How long before the back end's stated timeout a connection is closed. */
     marginMicroseconds: number;
-    /** A request that must run at most once uses only connections that were idle for less than this, */
+    /** A request that must run at most once uses only connections that were idle for less than this. */
     maxIdleForOnceMicroseconds: number;
-    /** or less than this if the back end has stated a longer keep-alive timeout. */
+    /** Replaces `maxIdleForOnceMicroseconds` for connections whose back end has stated a keep-alive timeout. */
     maxStatedIdleForOnceMicroseconds: number;
   }>;
 
@@ -64,7 +64,8 @@
     if (idleConnection !== undefined) return this.writeTo(idleConnection, request, sink);
     const { maxOpen: most } = this.boundOf(address);
     const { conns, idle } = this.poolOf(address);
-    // The oldest idle connection has been idle too long for this request, and the limit leaves no room for a new one.
+    // Idle connections are left only if the request must run at most once and even the most recently used one has been idle
+    // too long for it. At the limit, the least recently used of them makes room for a new connection.
     if (conns.size >= most) idle[0]?.destroy('replaced by a new connection at the limit');
     if (this.closed || this.poolOf(address).conns.size >= most) {
       const text = this.closed ? 'the connection pool is closed' : 'no connection is free';
@@ -113,17 +114,17 @@
         connection.destroy('idle timeout');
         continue;
       }
-      // The back end has dropped connections that were idle for not much longer.
+      // The back end has dropped connections that had been idle for only a little longer than this limit.
       if (idle >= limit) {
         connection.destroy('the back end drops idle connections sooner');
         continue;
       }
-      // The other connections were idle for even longer.
       const { maxIdleForOnceMicroseconds, maxStatedIdleForOnceMicroseconds } = this.settings;
       const maxIdle = Math.min(
         connection.isTimeoutStated ? maxStatedIdleForOnceMicroseconds : maxIdleForOnceMicroseconds,
         limit / 2,
       );
+      // The other connections have been idle for even longer.
       if (runsOnce && idle >= maxIdle) return undefined;
       pool.idle = pool.idle.slice(0, -1);
       return connection;
--- a/source/shared/gossip/gossipExchange.ts
+++ b/source/shared/gossip/gossipExchange.ts
@@ -47,7 +47,7 @@
 };
 
 /**
- * `mutual`: both sides send each other what is missing. `following`: one answer brings the changes since the last request; it suits
+ * `mutual`: each side sends the other what it lacks. `following`: each answer carries the changes since the previous request. This suits
  * daemons that write few entries themselves.
  */
 export type ExchangeMode = 'mutual' | 'following';
@@ -60,8 +60,8 @@
 
 /**
  * Anti-entropy gossip. A request carries checksums; the answer carries versions where the checksums differ, and then each side sends the
- * other what is missing. Agents exchange with a few peer agents. A proxy follows its agent: after a first exchange it receives the
- * changes to the agent's store since the last change that it has, by the number of the change.
+ * other what is missing. Agents exchange with a few peer agents. A proxy follows its agent: after a first full exchange it requests the
+ * changes to the agent's store that come after the last one that it has. Changes are numbered for this.
  */
 export class GossipExchange {
   /** Random identifier of this store, because the count of changes restarts when the agent restarts. */
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Exchanges with one peer. False when it did not answer. `extra` and `onAnswer` carry additional data of one pair of daemons.
-   * `patienceMicroseconds`: a first answer that arrives after the limit, but within this time, is accepted too.
+   * Exchanges with one peer; false if it did not answer. A pair of daemons can add its own data: `extra` is added to the request, and
+   * `onAnswer` receives the answer. `patienceMicroseconds`: the first answer is accepted within this time, even after the limit.
    */
   public async ask(
     address: string,
@@ -138,7 +138,7 @@
     if (pushAnswer.kind !== 'answered') batchSize.recordTimeout();
     if (pushAnswer.kind !== 'answered' || !this.isFromOwnFleet(pushAnswer.message)) return true;
     this.applyEntries(pushAnswer.message);
-    // Follows only once nothing is left, because a follower is not sent earlier changes again.
+    // Following starts only when no entry is missing any more, because a follower is not sent earlier changes again.
     if (wants.length === wanted.length && wanted.length < GossipLimits.perMessage) this.follow(address, follow);
     return true;
   }
@@ -191,7 +191,10 @@
     return { digest: facts.digest(sums, wanted), facts: this.refutations(message, wanted), ...follow };
   }
 
-  /** Entries of unwanted kinds that the requesting peer wrote itself and of which a later version than the sent one is known here. */
+  /**
+   * Later versions, known here, of the entries in the request, which normally are the peer's own. Only entries of kinds that the peer
+   * does not want are selected.
+   */
   private refutations({ facts: sent }: Message, wanted: (kind: string) => boolean): readonly GossipEntry[] {
     if (!GossipValidation.isList(sent)) return [];
     return sent.flatMap(({ key, version }) => {
@@ -202,7 +205,8 @@
   }
 
   /**
-   * Takes what a peer pushes after an exchange: bodies and entries, but no statements, whose age is only known in the answer to a request.
+   * Applies what a peer pushes after an exchange, except statements and heartbeats: their age is known only if they arrive in the answer
+   * to a request.
    */
   public answerPush(message: Message): Message {
     if (!this.isFromOwnFleet(message)) return { kind: 'heard' };
