--- a/tests/platform-cut.test.ts
+++ b/tests/platform-cut.test.ts
@@ -65,8 +65,6 @@
     'source/shared/configuration/types.ts',
     'source/edge-proxy/cache-imports/partImports.ts',
   ],
-  // The number of waiting requests.
-  heldCount: ['source/edge-proxy/edgeProxy.ts', 'source/edge-proxy/admission/admissionQueue.ts'],
   // Limits on retries.
   retryRatio: ['source/edge-proxy/fleetBounds.ts'],
   retrySlack: ['source/edge-proxy/fleetBounds.ts'],
