--- a/source/core-keeper/controlNodeSettings.ts
+++ b/source/core-keeper/controlNodeSettings.ts
@@ -16,6 +16,7 @@
   askMicroseconds: number;
   /** Time limit for an operator's change or read. */
   changeMicroseconds: number;
+  /** How often a leader sends heartbeats. */
   heartbeatMicroseconds: number;
   /** A leader that has sent no heartbeat for this long counts as failed. */
   ownerSilentMicroseconds: number;
--- a/source/core-keeper/operators/operatorApiFormat.ts
+++ b/source/core-keeper/operators/operatorApiFormat.ts
@@ -35,7 +35,7 @@
   readonly readRoutes: readonly Readonly<{ path: string; key: DocumentKey }>[];
   readonly changeRoutes: readonly ChangeRoute[];
   /** Checks the headers; a call that fails this check is refused before its body is read. */
-  readonly checkHeaders: (place: ChangeRoute, headers: IncomingHttpHeaders) => ApiResponse | undefined;
+  readonly checkHeaders: (route: ChangeRoute, headers: IncomingHttpHeaders) => ApiResponse | undefined;
   /** Parses the whole call. */
   readonly parseChange: (call: ChangeCall) => ParsedChange;
   /** The response to a call whose body could not be read. */
--- a/source/edge-proxy/placement/engineView.ts
+++ b/source/edge-proxy/placement/engineView.ts
@@ -164,7 +164,7 @@
     );
   }
 
-  /** Called when gossip arrives: detects outliers by the outcomes of requests, here and at other proxies. */
+  /** Detects outliers by the outcomes of requests, here and at other proxies; called when gossip arrives. */
   public detectOutliers(): void {
     this.refusals.dropExpired();
     const others = this.others.current();
--- a/source/measure/hollow/hollowCore.ts
+++ b/source/measure/hollow/hollowCore.ts
@@ -6,7 +6,7 @@
 import { SimProcess } from '../../fleet-simulator/world/simProcess';
 import { World } from '../../fleet-simulator/world/world';
 
-/** Keepers as they are, on virtual time, with disks in memory. */
+/** Control nodes of the product on virtual time, with disks in memory. */
 export class HollowCore {
   public readonly world: World;
   public readonly network: SimNetwork;
